--- a/src/snowdock/decisions/__init__.py
+++ b/src/snowdock/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: functions of what is known, without input or output."""
+"""Decisions as pure functions of the shared state, without I/O."""
--- a/src/snowdock/decisions/minion_choice.py
+++ b/src/snowdock/decisions/minion_choice.py
@@ -1,4 +1,4 @@
-"""Which minion a request goes to, and which minions are set aside for a while."""
+"""Selection of the minion for a request, with temporary exclusion of failing minions."""
 
 import dataclasses
 import random
@@ -13,7 +13,7 @@
 
 
 class MinionLike(Protocol):
-    """What the choice needs to know of a minion."""
+    """The attributes of a minion that the selection reads."""
 
     name: str
     hall: str
@@ -21,7 +21,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Health:
-    """A minion's record: failures in a row, and until when it is set aside."""
+    """Consecutive failures of a minion and the end of its exclusion.
+
+    Attributes
+    ----------
+    failures
+        Consecutive failed requests.
+    excluded_until
+        Monotonic time in seconds until which the minion gets no requests.
+    is_probing
+        Whether a probe request to the minion is in flight.
+    """
 
     failures: int = 0
     until: float = 0.0
@@ -31,26 +41,27 @@
 def choose(
     candidates: Iterable[tuple[MinionLike, int, Health]], hall: str, wanted: str, now: float
 ) -> MinionLike | None:
-    """Choose among minions with idle slots.
+    """Return the best minion with idle slots for a request.
 
-    The wanted one goes first, if it is there; then near ones, then the ones with most idle
-    slots. One that is set aside gets one request at a time after its pause, as a probe.
+    Minions without recent failures are preferred, then those in the node's data hall, then
+    those with the most idle slots. After its exclusion a failing minion gets one request at
+    a time as a probe.
 
     Parameters
     ----------
     candidates
-        Minions with their idle slots and records.
+        Minions with their number of idle slots and their health.
     hall
         The data hall of this node.
-    wanted
-        The minion that a session stays with, or nothing.
+    session_minion
+        The only minion that may serve the request's session, or an empty string.
     now
-        The monotonic clock.
+        Monotonic time in seconds.
 
     Returns
     -------
     MinionLike or None
-        None where there is none to choose.
+        None if no candidate is eligible.
     """
     best, best_key = None, None
     for minion, idle, health in candidates:
@@ -65,7 +76,7 @@
 
 
 def note_result(health: Health, failed: bool, now: float) -> None:
-    """Write down how a request to a minion went."""
+    """Update a minion's health with the result of a request."""
     health.on_probe = False
     if not failed:
         health.failures = 0
--- a/src/snowdock/decisions/orders.py
+++ b/src/snowdock/decisions/orders.py
@@ -1,4 +1,4 @@
-"""What a worker is to be told, worked out from the shared state."""
+"""Sync orders for workers, built from the shared state."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerOrder:
-    """An order and the address that it goes to."""
+    """A sync order and the address of its worker."""
 
     address: str
     order: SyncOrder
@@ -23,23 +23,24 @@
 def build_order(
     state: State, name: str, reports: Mapping[str, AttemptReport], now_ms: int
 ) -> WorkerOrder | None:
-    """Make the order for one worker.
+    """Build the sync order for one worker.
 
     Parameters
     ----------
     state
         The shared state.
     name
-        The worker.
+        The worker's name.
     reports
-        What the worker told last; closed attempts among them are to be forgotten there.
+        The worker's last report of each attempt, by attempt id. The worker is ordered to
+        forget the ended attempts among them that no longer hold capacity.
     now_ms
-        The sender's clock.
+        The sender's clock in milliseconds since the epoch.
 
     Returns
     -------
     WorkerOrder or None
-        None where the worker is unknown or gone: then nobody may renew anything on it.
+        None if the worker is unknown or gone; its leases must not be renewed then.
     """
     worker = state.workers.get(name)
     if worker is None or worker.state == VmState.GONE:
@@ -63,8 +64,8 @@
         if report.state != _RUNNING:
             forget.append(attempt)
         else:
-            # A node that lags behind may see an attempt that it has not read of yet; only
-            # one that was surely closed is stopped.
+            # The worker may run an attempt whose record this node has not read yet, so only
+            # attempts known to be closed are stopped.
             found = find_named_attempt(state, attempt)
             if found is not None and found.is_closed:
                 stop.append(StopOrder(attempt, "stop"))
--- a/src/snowdock/decisions/ownership.py
+++ b/src/snowdock/decisions/ownership.py
@@ -1,6 +1,7 @@
-"""Which node acts on what: rendezvous hashing over the nodes that seem alive.
+"""Assignment of keys to nodes by rendezvous hashing over the nodes that seem alive.
 
-It is only a hint. Two nodes that act on the same thing do no harm; the log judges.
+Ownership avoids duplicate effort only. If two nodes act on the same key, the log's order
+decides between their records.
 """
 
 from collections.abc import Iterable
@@ -10,12 +11,12 @@
 
 
 def owner_order(thing: str, nodes: Iterable[str]) -> list[str]:
-    """Rank nodes for a thing, the one that should act first."""
+    """Return the nodes in order of preference for a key."""
     return sorted(nodes, key=lambda node: _weight(thing, node), reverse=True)
 
 
 def owner(thing: str, nodes: Iterable[str]) -> str | None:
-    """Name the node that should act on a thing, or None where there is no node."""
+    """Return the node that should act on a key, or None if there are no nodes."""
     return max(nodes, key=lambda node: _weight(thing, node), default=None)
 
 
--- a/src/snowdock/decisions/placements.py
+++ b/src/snowdock/decisions/placements.py
@@ -1,4 +1,4 @@
-"""Placement of one work's queued tasks."""
+"""Placement of the queued tasks of one work."""
 
 import dataclasses
 
@@ -11,15 +11,18 @@
 __all__ = ["Crowd", "Waiting", "describe", "fits_nowhere", "place"]
 
 _FRACTION_STEPS = 20
-"""Free fractions are rounded to this many steps, so that scores can be remembered."""
+"""Free fractions are rounded to this many steps to raise the hit rate of the score cache."""
 
 BATCH_TASKS = 256
-"""The most tasks that one record places; a gang is never split."""
+"""Maximum number of tasks placed by one record; a gang is never split."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waiting:
-    """Why a work cannot be placed now; ``needs_room`` if ending other work would help."""
+    """The reason why a work cannot be placed now.
+
+    ``needs_capacity`` is true if preempting other work would help.
+    """
 
     reason: str
     needs_room: bool = False
@@ -27,14 +30,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Crowd:
-    """How many tasks of one work stand on each VM, rack and data hall."""
+    """Number of assigned tasks of one work by VM, rack and data hall."""
 
     vms: dict[str, int] = dataclasses.field(default_factory=dict)
     racks: dict[str, int] = dataclasses.field(default_factory=dict)
     halls: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def add(self, worker) -> None:
-        """Count one more task on a worker."""
+        """Count a task assigned to a worker."""
         for counts, key in (
             (self.vms, worker.name),
             (self.racks, worker.rack),
@@ -44,7 +47,7 @@
 
 
 def describe(spec: WorkSpec, waited_ms: int) -> dict[str, object]:
-    """Show a work to a policy program."""
+    """Return the properties of a work that a policy program receives."""
     return {
         "kind": spec.kind,
         "name": spec.name,
@@ -57,7 +60,7 @@
         "priority": spec.priority,
         "urgent": spec.urgent,
         "waited_seconds": waited_ms / 1000,
-        # Declared work has no objective of its own, and teams no weights yet.
+        # Declared work has no latency target, and teams have no weights.
         "slack_seconds": 0.0,
         "overdue": 0.0,
         "share_used": 0.0,
@@ -65,12 +68,12 @@
 
 
 def fits_nowhere(index: RoomIndex, size: Size) -> bool:
-    """Tell whether no worker could hold a size even when empty."""
+    """Return whether the size exceeds the total capacity of every worker."""
     return not any(worker.capacity.holds(size) for worker in index.workers.values())
 
 
 def _affordable(state: State, work: Work, reserved: Size, wanted: int) -> int:
-    """Count the tasks that the team's quota still allows."""
+    """Return how many of the wanted tasks fit the rest of the team's quota."""
     team = state.configuration.declarations.teams.get(work.spec.team)
     if team is None:
         return 0
@@ -90,25 +93,27 @@
 def place(
     work: Work, state: State, index: RoomIndex, policies: PolicyBook, reserved: Size
 ) -> TasksPlaced | Waiting:
-    """Choose workers for a work's queued tasks.
+    """Choose workers for the queued tasks of a work.
 
     Parameters
     ----------
     work
         The work.
     state
-        The shared state, for quotas and for where the work's other tasks stand.
+        The shared state, for the team's quota and usage.
     index
-        Free room; what is chosen is reserved in it, and the caller releases it.
+        The free capacity of workers. Capacity for the chosen tasks is reserved in it; the
+        caller releases it.
     policies
-        The programs in force.
+        The policy programs in force.
     reserved
-        What this node has proposed for the team and not yet seen judged.
+        The size of the team's placements that this node has proposed and that are not yet
+        decided.
 
     Returns
     -------
-    TasksPlaced or Waiting
-        The record to propose, or why there is none.
+    TasksPlaced or Unplaced
+        The record to propose, or the reason why there is none.
     """
     queued = work.queued
     spec = work.spec
@@ -166,7 +171,10 @@
 
 
 def _show_vm(index: RoomIndex, name: str, crowd: Crowd) -> dict[str, object]:
-    """Show a worker to a policy program, coarsely, so that equal ones look equal."""
+    """Return the properties of a worker that a policy program receives.
+
+    The free fraction is rounded so that similar workers share a cached score.
+    """
     worker = index.workers[name]
     fraction = index.free(name).cpu / worker.capacity.cpu
     return {
@@ -176,6 +184,6 @@
         "same_rack": crowd.racks.get(worker.rack, 0),
         "same_hall": crowd.halls.get(worker.hall, 0),
         "accelerators": worker.capacity.accelerators,
-        # Declared work does not tell how far it is, so nothing is known of its workers' speed.
+        # Declared work reports no progress, so the speed of its workers is unknown.
         "slowness": 1.0,
     }
--- a/src/snowdock/decisions/preemption.py
+++ b/src/snowdock/decisions/preemption.py
@@ -1,4 +1,4 @@
-"""Making room for work that its policy puts before running work."""
+"""Preemption of running work in favour of queued work."""
 
 import dataclasses
 import random
@@ -13,12 +13,12 @@
 __all__ = ["make_room"]
 
 _LOOKED_AT = 24
-"""Workers that are looked at for one decision."""
+"""Minimum number of workers sampled for one decision, if that many are live."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Plan:
-    """What has to end on one worker so that a task fits there."""
+    """The attempts to end on one worker so that a task fits, and the size they free."""
 
     stops: list[StopRequested] = dataclasses.field(default_factory=list)
     freed: Size = ZERO
@@ -27,24 +27,24 @@
 def make_room(
     work: Work, state: State, policies: PolicyBook, source: random.Random
 ) -> list[StopRequested]:
-    """Choose running attempts to end so that a work's queued tasks find room.
+    """Choose running attempts to end so that the queued tasks of a work can be placed.
 
     Parameters
     ----------
     work
-        The work that found no room.
+        The work that could not be placed.
     state
         The shared state.
     policies
-        Asked for each possible victim whether and how it is to end.
-    source
-        Chooses the workers that are looked at.
+        The policy programs, which decide for each victim whether and how it ends.
+    rng
+        Source of randomness for sampling workers.
 
     Returns
     -------
     list of StopRequested
-        The fewest ends found; empty where the policy allows none, and for a gang where not
-        all of its tasks would find room. Work that may not be dropped is never named.
+        The plans that end the fewest attempts. Empty if the policy allows none, or if not
+        all tasks of a gang would fit. Non-preemptible work is never included.
     """
     live = [w for w in state.workers.values() if w.state == VmState.LIVE]
     live = [w for w in live if w.capacity.holds(work.spec.size)]
@@ -59,13 +59,13 @@
 
 
 def _plan(work: Work, worker: Worker, state: State, policies: PolicyBook) -> _Plan | None:
-    """Plan for one worker; None where the allowed ends would not free enough."""
+    """Plan the preemptions on one worker, or return None if they would not free enough."""
     plan = _Plan()
     missing = work.spec.size.minus(worker.free)
     described = describe(work.spec, 0)
     leaving = _stopping_size(worker, state)
     if leaving.holds(missing):
-        # Enough is on its way out already; ending more would be waste.
+        # Attempts that are already stopping will free enough.
         return None
     for number, task, attempt, victim in _victims(worker, state):
         if plan.freed.plus(leaving).holds(missing):
@@ -87,7 +87,7 @@
 
 
 def _victims(worker: Worker, state: State) -> Iterator[tuple[int, int, int, Work]]:
-    """Give the attempts that may be ended, the lowest priority first."""
+    """Return the preemptible attempts on a worker, lowest priority first."""
     found = []
     for name in worker.attempts:
         number, task, attempt = parse_attempt_id(name)
--- a/src/snowdock/decisions/retries.py
+++ b/src/snowdock/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries of requests: how long to wait, and how many a node may spend."""
+"""Backoff and budget for the retries of requests."""
 
 import threading
 
@@ -11,13 +11,13 @@
 
 
 def backoff_seconds(tries: int, fraction: float) -> float:
-    """Give the pause before another try, with full jitter.
+    """Return the delay before the next try: exponential backoff with full jitter.
 
     Parameters
     ----------
     tries
-        Tries made so far, from 1.
-    fraction
+        Number of tries made so far, at least 1.
+    jitter
         A random number from 0 to 1.
 
     Returns
@@ -29,7 +29,7 @@
 
 
 class RetryBudget:
-    """Allows retries in proportion to successes, so that they never multiply an overload."""
+    """Token bucket that limits retries to a share of successes, to avoid retry storms."""
 
     def __init__(self) -> None:
         self._tokens = _MOST
@@ -37,16 +37,16 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries available now, including fractions."""
         return self._tokens
 
     def note_success(self) -> None:
-        """Earn a part of a retry."""
+        """Add the fraction of a token that a success earns."""
         with self._lock:
             self._tokens = min(_MOST, self._tokens + _RATIO)
 
     def take(self) -> bool:
-        """Spend a retry, if there is one."""
+        """Spend a token and return True, or return False if none is left."""
         with self._lock:
             if self._tokens < 1:
                 return False
--- a/src/snowdock/decisions/room.py
+++ b/src/snowdock/decisions/room.py
@@ -1,4 +1,4 @@
-"""An index of workers by free room, so that a decision looks at a few candidates only."""
+"""An index of workers by free capacity, to find a few placement candidates quickly."""
 
 import itertools
 import random
@@ -13,18 +13,18 @@
 
 _CANDIDATES = 8
 _SET_ASIDE_STREAK = 5
-"""Failures in a row after which a worker gets one task at a time, as a probe."""
+"""Consecutive failures after which a worker gets only one task at a time as a probe."""
 
 _MOST_ASIDE = 0.5
-"""Where a larger share of the workers has failed so often, it is for what they are given: works
-that always fail once closed all four of four workers to everything else."""
+"""If a larger share of the workers fails, the work is presumed to be at fault and no worker is
+put on probation."""
 
 
 class RoomIndex:
-    """Workers that may take tasks, sorted by free processors within free accelerators.
+    """Live workers grouped by free accelerators and sorted by free CPU.
 
-    Room that this node has proposed to use, but whose verdict is not yet known, counts as
-    used: ``reserve`` and ``release`` keep it.
+    Capacity that this node has proposed to use counts as used until the record is decided;
+    see `reserve` and `release`.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -45,11 +45,11 @@
         return self._workers
 
     def free(self, name: str) -> Size:
-        """Tell what is neither promised nor reserved on a worker."""
+        """Return the capacity of a worker that is neither used nor reserved."""
         return self._free[name]
 
     def update(self, worker: Worker) -> None:
-        """Take over a worker's present state."""
+        """Add a worker or update it from its state."""
         self._workers[worker.name] = worker
         if worker.streak >= _SET_ASIDE_STREAK:
             self._failing.add(worker.name)
@@ -58,12 +58,12 @@
         self._refresh(worker.name)
 
     def reserve(self, name: str, size: Size) -> None:
-        """Count room as used until `release`."""
+        """Count capacity on a worker as used until `release`."""
         self._reserved[name] = self._reserved.get(name, ZERO).plus(size)
         self._refresh(name)
 
     def release(self, name: str, size: Size) -> None:
-        """Undo a `reserve` of the same size."""
+        """Undo a `reserve` of the same size on the same worker."""
         left = self._reserved[name].minus(size)
         if left == ZERO:
             del self._reserved[name]
@@ -85,11 +85,11 @@
         self._entries[name] = (free.accelerators, free.cpu)
 
     def candidates(self, size: Size) -> list[str]:
-        """Give a few workers with room for a size.
+        """Return the names of a few workers with enough free capacity for a size.
 
-        They are the tightest ones, and others at random, so that two nodes that decide at
-        the same time seldom choose the same. Workers with no more accelerators than needed
-        come first, which keeps accelerators for those that need them.
+        Workers with the fewest sufficient free accelerators come first, to save
+        accelerators for tasks that need them. Among these, the tightest fits are followed
+        by a random sample, so that nodes that decide concurrently seldom collide.
         """
         found: list[str] = []
         for accelerators in sorted(self._buckets):
@@ -109,7 +109,7 @@
         picked = self._random.sample(others, min(_CANDIDATES // 2, len(others)))
         seen = set(picked)
         yield from self._holding(bucket, itertools.chain(tight, picked), size)
-        # Where memory is what lacks, the sample may miss the few that still hold the size.
+        # The order ignores memory, so the sample may miss workers that still fit.
         if count > _CANDIDATES:
             rest = (n for n in others if n not in seen)
             yield from self._holding(bucket, rest, size)
@@ -121,7 +121,7 @@
                 yield name
 
     def _is_being_probed(self, name: str) -> bool:
-        """Whether a failing worker has the one task that shows whether it still fails."""
+        """Return whether a worker on probation already has its one task."""
         if name not in self._failing:
             return False
         if name in self._reserved:
--- a/src/snowdock/decisions/shares.py
+++ b/src/snowdock/decisions/shares.py
@@ -1,4 +1,4 @@
-"""How a minion's slots are divided among the nodes."""
+"""Division of a minion's slots among the nodes."""
 
 import dataclasses
 
@@ -11,10 +11,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MinionView:
-    """A minion as one node may use it.
+    """A minion from the point of view of one node.
 
-    ``share`` slots are the node's own, ``target`` is what it should hold, and ``unshared``
-    slots are nobody's.
+    Attributes
+    ----------
+    share
+        Slots that the node holds.
+    target
+        Slots that the node should hold.
+    unassigned
+        Slots that no node holds and that are not cooling down.
+    is_live
+        Whether the minion takes new requests.
     """
 
     name: str
@@ -28,7 +36,7 @@
 
 
 def view_minions(state: State, node: str, now_ms: int) -> tuple[MinionView, ...]:
-    """Show all minions to a node.
+    """Return a node's view of all minions.
 
     Parameters
     ----------
@@ -37,13 +45,13 @@
     node
         The node.
     now_ms
-        The node's clock: time on the log stands still while nothing is appended, and slots
-        that have cooled down by the clock may be taken, which moves the log's time on.
+        The node's clock in milliseconds since the epoch. The log's time, ``state.now_ms``,
+        would not advance while nothing is appended, and cooled slots would not be taken.
 
     Returns
     -------
     tuple of MinionView
-        One for each minion.
+        A view of each minion.
     """
     live = [m.name for m in state.members.values() if m.state == MemberState.LIVE]
     return tuple(_view(state, minion, node, live, now_ms) for minion in state.minions.values())
@@ -69,26 +77,26 @@
 
 
 def target_share(minion: str, slots: int, node: str, nodes: list[str]) -> int:
-    """Tell how many of a minion's slots a node should hold.
+    """Return how many of a minion's slots a node should hold.
 
-    Over all nodes the targets add up to exactly ``slots``; which nodes get the odd ones
-    differs from minion to minion.
+    The targets of all nodes add up to ``slots``. Which nodes get a slot more than others
+    depends on the minion.
 
     Parameters
     ----------
     minion
         The minion's name.
     slots
-        All its slots.
+        The number of its slots.
     node
-        The node asked about.
+        The node.
     nodes
         All nodes that take requests.
 
     Returns
     -------
     int
-        Slots; 0 for a node that is not among them.
+        Number of slots; 0 if ``node`` is not in ``nodes``.
     """
     if node not in nodes:
         return 0
--- a/src/snowdock/decisions/worker_reports.py
+++ b/src/snowdock/decisions/worker_reports.py
@@ -1,4 +1,4 @@
-"""What a worker's answer means for the shared state."""
+"""Records derived from a worker's answer to a sync order."""
 
 from ..declarations import Size
 from ..platform.workers import SyncAnswer
@@ -11,7 +11,7 @@
 
 
 def judge_answer(state: State, name: str, answer: SyncAnswer) -> list[Record]:
-    """Work out what is to be recorded of a worker's answer.
+    """Derive the records to propose from a worker's answer.
 
     Parameters
     ----------
@@ -25,8 +25,8 @@
     Returns
     -------
     list of Record
-        Starts and ends that the state does not show yet. If the worker has started again,
-        only that: its answer says nothing of attempts that were ordered for an earlier boot.
+        Starts and ends of attempts that the state does not contain yet. If the worker has
+        rebooted, only its new boot: the answer does not cover attempts of an earlier boot.
     """
     worker = state.workers.get(name)
     if worker is None:
--- a/src/snowdock/programs/__init__.py
+++ b/src/snowdock/programs/__init__.py
@@ -1,4 +1,4 @@
-"""The policy programs that come with snowdock, for declarations to name."""
+"""The policy programs that are included in snowdock and that declarations can name."""
 
 import functools
 import importlib.resources
@@ -8,7 +8,7 @@
 
 @functools.cache
 def shipped_programs() -> dict[str, str]:
-    """Give the texts of the shipped programs by file name."""
+    """Return the sources of the built-in programs by file name."""
     folder = importlib.resources.files(__name__)
     return {
         entry.name: entry.read_text(encoding="utf-8")
--- a/src/snowdock/programs/deadline_first.star
+++ b/src/snowdock/programs/deadline_first.star
@@ -1,6 +1,6 @@
-# For jobs with an objective: urgent queues first, then what has least time left. What is late
-# already is worth little and goes behind what can still be in time. Of one queue, work of a team
-# that has more than twice its share of the room goes behind that of others.
+# For jobs with a latency target: orders work by queue priority, then by least slack. Work that
+# has missed its target ranks behind work that can still meet it. Within a queue, work of a team
+# that uses more than twice its share ranks behind the work of other teams.
 
 def admit(work):
     return True
@@ -16,15 +16,15 @@
     return base - min(max(work["slack_seconds"], -60.0), 60.0)
 
 def score(work, vm):
-    # Fast VMs first, then best fit: large free rooms stay whole for large tasks.
+    # Prefers fast VMs, then the best fit, to keep large VMs free for large tasks.
     return 1.0 - vm["free_fraction"] * 0.5 - vm["slowness"] - vm["failure_streak"] * 0.2
 
 def preempt(work, victim):
-    # What can wait makes room for what cannot; a gang finds its room at once or not at all.
+    # Preempts only work of lower priority that has slack left, and never for overdue work.
     if work["overdue"] > 1.0 or victim["priority"] >= work["priority"]:
         return ""
     return "checkpoint" if victim["slack_seconds"] > 2.0 else ""
 
 def backoff_seconds(work, failures):
-    # One failure in a row is mostly chance, and the next try goes elsewhere anyway.
+    # Retries a first failure at once, since the next attempt usually runs on another VM.
     return 0.0 if failures < 2 else min(2.0, 0.05 * (1 << failures))
--- a/src/snowdock/programs/gang.star
+++ b/src/snowdock/programs/gang.star
@@ -1,4 +1,4 @@
-# For gangs: tasks are kept close together, and on VMs that are partly used already.
+# For gangs: packs tasks into as few racks as possible, on VMs that are already in use.
 
 def admit(work):
     return True
--- a/src/snowdock/programs/packing_first.star
+++ b/src/snowdock/programs/packing_first.star
@@ -1,4 +1,4 @@
-# Puts full VMs first: tasks go where least stays free, so that whole VMs stay empty.
+# Best fit: places tasks on the fullest VMs, to keep other VMs empty.
 
 def admit(work):
     return True
--- a/src/snowdock/programs/service_spread.star
+++ b/src/snowdock/programs/service_spread.star
@@ -1,4 +1,4 @@
-# For services: tasks are spread over data halls, then racks, then VMs.
+# For services: spreads tasks over data halls, racks and VMs.
 
 def admit(work):
     return True
--- a/src/snowdock/programs/waiting_first.star
+++ b/src/snowdock/programs/waiting_first.star
@@ -1,4 +1,4 @@
-# Puts short waiting first: urgent and long-waiting work leads, and tasks go where most is free.
+# Minimizes waiting: ranks urgent and long-waiting work first, and places tasks on the emptiest VMs.
 
 def admit(work):
     return True
