--- a/src/snowdock/reducer/__init__.py
+++ b/src/snowdock/reducer/__init__.py
@@ -1,7 +1,7 @@
-"""The one reducer over the log: ``reduce(state, entry)``.
+"""The reducer that applies log entries to the shared state: ``reduce(state, entry)``.
 
-The log's order is the only arbiter. Each record is judged against the state at its offset,
-so every node finds the same records valid or void without talking to the others.
+Each record is validated against the state at its offset. The result depends only on the log,
+so all nodes accept and reject the same records without further communication.
 """
 
 import dataclasses
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """A batch at its offset in the log."""
+    """A batch and its offset in the log."""
 
     offset: int
     batch: Batch
@@ -37,21 +37,21 @@
 def reduce(state: State, entry: Entry) -> list[Effect]:
     """Apply one log entry to the state.
 
-    The state is changed in place: copying it for each of several hundred entries a second
-    would cost more than all decisions together. An entry at or below ``state.offset`` was
-    applied before and is passed over.
+    The state is modified in place, since copying it for each entry would be too slow. Entries
+    at or below ``state.offset`` have been applied before and are ignored.
 
     Parameters
     ----------
     state
-        The shared state; owned by the caller, changed here.
+        The shared state; modified in place.
     entry
         The next entry.
 
     Returns
     -------
     list of Effect
-        What follows from it, in order; the batch's verdicts come last.
+        The effects of the entry, in order. The last one contains the verdicts on the batch's
+        records. Empty if the batch is ignored.
     """
     if entry.offset <= state.offset:
         return []
@@ -72,20 +72,19 @@
 
 
 def offset_of(number: int) -> int:
-    """Tell at which offset a work was accepted, from its number."""
+    """Return the offset at which a work was accepted, from its number."""
     return number // RECORDS_PER_ENTRY
 
 
 def _admit(state: State, entry: Entry) -> bool:
-    """Refuse repeated batches and batches of incarnations that were replaced or never joined."""
+    """Check that a batch is not repeated and its sender's incarnation is a member or joining."""
     batch = entry.batch
     if batch.incarnation in state.retired:
         return False
     member = state.members.get(batch.node)
     if member is not None and member.incarnation == batch.incarnation:
         return batch.sequence > member.sequence
-    # An unknown incarnation may speak only to join; its first batch carries nothing else
-    # that could be judged before.
+    # The first batch of an incarnation has to begin with its joining.
     return bool(batch.records) and isinstance(batch.records[0], NodeJoined)
 
 
--- a/src/snowdock/reducer/_configurations.py
+++ b/src/snowdock/reducer/_configurations.py
@@ -1,4 +1,4 @@
-"""The configuration: one version after another, and the services that it declares."""
+"""Handler of configuration records, and the reconciliation of declared services."""
 
 from ..declarations import service_spec
 from ..effects import Accepted, ConfigurationInForce, Verdict
@@ -16,12 +16,12 @@
     state = context.state
     current = state.configuration.version
     require(record.base == current, f"made from version {record.base}, current is {current}")
-    # The offset is the version; offset 0 would read as "none yet", but the first batch on
-    # any log is a joining node's.
-    require(context.offset > current, "the version would not grow")
+    # The version is the offset, and version 0 means that there is no configuration. Offset 0
+    # is never a configuration, since the first batch of a log is that of a joining node.
+    require(context.offset > current, "the new version is not greater than the current one")
     state.configuration = Configuration(context.offset, record.author, record.declarations)
     limits = record.declarations.limits
-    # No lease was given before the first configuration: without a team there is no work.
+    # No lease is granted before the first configuration, since work needs a declared team.
     state.longest_lease_ms = max(state.longest_lease_ms, limits.lease_ms)
     _reconcile_services(context)
     context.effects.append(ConfigurationInForce(context.offset))
@@ -29,9 +29,9 @@
 
 
 def _reconcile_services(context: Context) -> None:
-    """Make the running services those that are declared.
+    """Cancel services that are no longer declared and create those that are new.
 
-    A changed declaration is a new piece of work beside the end of the old one.
+    A service whose declaration has changed is cancelled and created again.
     """
     state = context.state
     declared = {
--- a/src/snowdock/reducer/_members.py
+++ b/src/snowdock/reducer/_members.py
@@ -1,4 +1,4 @@
-"""Nodes: joining, draining, leaving, and what they have confirmed to have read."""
+"""Handlers of node records, and the tracking of the members' read offsets."""
 
 from ..effects import Accepted as _Accepted
 from ..effects import MembersChanged, Verdict
@@ -11,7 +11,7 @@
 
 
 def confirm_reading(state: State, batch: Batch) -> None:
-    """Take over what a known sender says of its own progress."""
+    """Update the sequence and the read offset of the member that sent a batch."""
     member = state.members.get(batch.node)
     if member is not None and member.incarnation == batch.incarnation:
         member.sequence = batch.sequence
@@ -19,10 +19,10 @@
 
 
 def fence_workers(state: State) -> None:
-    """Note the workers whose end every member has confirmed to have read.
+    """Mark as fenced each gone worker whose `WorkerGone` record all members have read.
 
-    A member confirms by any batch with a high enough read offset. One that joined later
-    counts as having confirmed: it acts only after reading its own joining.
+    A member confirms this by any batch with a sufficient read offset. A member that joined
+    later has confirmed it by joining, since it acts only after it has read that record.
     """
     if not state.unfenced:
         return
@@ -39,7 +39,7 @@
     require(record.node == batch.node, "a node joins only for itself")
     require(record.incarnation == batch.incarnation, "a node joins only for itself")
     known = state.members.get(record.node)
-    require(known is None or known.incarnation != record.incarnation, "joined already")
+    require(known is None or known.incarnation != record.incarnation, "the node has joined already")
     if known is not None:
         _retire(context, known)
     state.members[record.node] = Member(
@@ -76,7 +76,7 @@
     state = context.state
     member = state.members.get(record.node)
     require(member is not None, "unknown node")
-    require(member.incarnation == record.incarnation, "another incarnation joined")
+    require(member.incarnation == record.incarnation, "another incarnation has joined")
     del state.members[record.node]
     _retire(context, member)
     context.effects.append(MembersChanged())
--- a/src/snowdock/reducer/_minions.py
+++ b/src/snowdock/reducer/_minions.py
@@ -1,4 +1,4 @@
-"""Minions and the division of their slots among nodes."""
+"""Handlers of minion and slot records."""
 
 from ..effects import Accepted, Effect, SharesChanged, Verdict
 from ..records import MinionGone, MinionLeaving, MinionSeen, SlotsReturned, SlotsTaken
@@ -11,7 +11,7 @@
 
 
 def slots_of(state: State, minion: Minion) -> int:
-    """Slots that the declared endpoints allow on a minion: the smallest one counts."""
+    """Return a minion's slots: the smallest number that an endpoint of its group declares."""
     endpoints = state.configuration.declarations.endpoints.values()
     return min((e.slots for e in endpoints if e.minions == minion.group), default=0)
 
@@ -24,7 +24,7 @@
 def _seen(context: Context, record: MinionSeen) -> Verdict:
     minions = context.state.minions
     known = minions.get(record.minion)
-    require(known is None or known.address != record.address, "known already")
+    require(known is None or known.address != record.address, "the minion is known already")
     made = Minion(record.minion, record.group, record.hall, record.address)
     if known is not None:
         made.shares = known.shares
@@ -36,7 +36,7 @@
 def _leaving(context: Context, record: MinionLeaving) -> Verdict:
     minion = context.state.minions.get(record.minion)
     require(minion is not None, "unknown minion")
-    require(minion.state == VmState.LIVE, "not live")
+    require(minion.state == VmState.LIVE, "the minion is not live")
     minion.state = VmState.LEAVING
     context.effects.append(SharesChanged(record.minion))
     return Accepted()
@@ -55,10 +55,10 @@
     state, node = context.state, context.batch.node
     minion = state.minions.get(record.minion)
     require(minion is not None and minion.state == VmState.LIVE, "the minion is not live")
-    require(record.slots > 0, "no slots")
+    require(record.slots > 0, "the number of slots is not positive")
     cooling = sum(entry.slots for entry in state.cooling if entry.minion == record.minion)
     given = sum(minion.shares.values()) + cooling
-    require(given + record.slots <= slots_of(state, minion), "not so many slots are free")
+    require(given + record.slots <= slots_of(state, minion), "too few slots are free")
     minion.shares[node] = minion.shares.get(node, 0) + record.slots
     context.effects.append(SharesChanged(record.minion))
     return Accepted()
@@ -69,7 +69,7 @@
     minion = context.state.minions.get(record.minion)
     require(minion is not None, "unknown minion")
     held = minion.shares.get(node, 0)
-    require(0 < record.slots <= held, "not so many slots are held")
+    require(0 < record.slots <= held, "the node does not hold that many slots")
     _set_share(minion, node, held - record.slots)
     context.effects.append(SharesChanged(record.minion))
     return Accepted()
@@ -83,14 +83,14 @@
 
 
 def return_all(context: Context, node: str) -> None:
-    """Free the slots of a node that ended in good order: nothing of it runs any more."""
+    """Free the slots of a node that has left gracefully and has no requests in flight."""
     for minion in context.state.minions.values():
         if minion.shares.pop(node, 0):
             context.effects.append(SharesChanged(minion.name))
 
 
 def cool_all(context: Context, node: str) -> None:
-    """Set aside the slots of a node that vanished, until its last request must be over."""
+    """Withhold the slots of a lost node until the longest request deadline has passed."""
     state = context.state
     until = state.now_ms + _longest_deadline_ms(state)
     for minion in state.minions.values():
@@ -100,7 +100,7 @@
 
 
 def release_cooled(state: State, effects: list[Effect]) -> None:
-    """Free slots whose waiting time is over."""
+    """Free the slots whose cooldown has ended."""
     if not state.cooling:
         return
     over = [entry for entry in state.cooling if entry.until_ms <= state.now_ms]
--- a/src/snowdock/reducer/_placements.py
+++ b/src/snowdock/reducer/_placements.py
@@ -1,4 +1,4 @@
-"""Placement: room is checked here, at the record's offset, and nowhere else for good."""
+"""Handler of placement records, which checks capacity and quota at the record's offset."""
 
 from ..declarations import ZERO
 from ..effects import Accepted, AttemptAssigned, Verdict
@@ -12,7 +12,7 @@
 def _placed(context: Context, record: TasksPlaced) -> Verdict:
     state = context.state
     work = state.works.get(record.work)
-    require(work is not None and not work.cancelled, "no such work to place")
+    require(work is not None and not work.cancelled, "the work is unknown or cancelled")
     _check_tasks(work, record)
     _check_room(state, work, record)
     _check_quota(state, work, len(record.placements))
@@ -28,12 +28,12 @@
 def _check_tasks(work: Work, record: TasksPlaced) -> None:
     queued = set(work.queued)
     numbers = [placement.task for placement in record.placements]
-    require(numbers, "no tasks")
-    require(len(set(numbers)) == len(numbers), "a task is named twice")
+    require(numbers, "the record places no tasks")
+    require(len(set(numbers)) == len(numbers), "a task is placed twice")
     require(queued.issuperset(numbers), "a task is not queued")
     if work.spec.kind == "gang":
-        require(len(numbers) == len(queued), "a gang is placed as a whole")
-        require(not any(task.holds_room for task in work.tasks), "the gang is not stopped yet")
+        require(len(numbers) == len(queued), "a gang must be placed as a whole")
+        require(not any(task.holds_room for task in work.tasks), "the gang has assigned tasks")
 
 
 def _check_room(state: State, work: Work, record: TasksPlaced) -> None:
@@ -42,7 +42,7 @@
         worker = state.workers.get(placement.worker)
         require(worker is not None and worker.state == VmState.LIVE, "the worker is not live")
         left = free.get(placement.worker, worker.free)
-        require(left.holds(work.spec.size), f"no room on {placement.worker}")
+        require(left.holds(work.spec.size), f"not enough capacity on {placement.worker}")
         free[placement.worker] = left.minus(work.spec.size)
 
 
@@ -52,7 +52,7 @@
     wanted = state.usage.get(work.spec.team, ZERO)
     for _ in range(count):
         wanted = wanted.plus(work.spec.size)
-    require(team.quota.holds(wanted), "over the team's quota")
+    require(team.quota.holds(wanted), "the team's quota is exceeded")
 
 
 HANDLERS = {TasksPlaced: _placed}
--- a/src/snowdock/reducer/_requests.py
+++ b/src/snowdock/reducer/_requests.py
@@ -1,4 +1,4 @@
-"""Not-repeatable requests: one intent for each id, ever."""
+"""Handlers of records about non-repeatable requests, of which each id is accepted once."""
 
 from ..effects import Accepted, Verdict
 from ..records import RequestEnded, RequestIntended, SnapshotPart
@@ -15,13 +15,12 @@
 def _intended(context: Context, record: RequestIntended) -> Verdict:
     state = context.state
     window = state.configuration.declarations.limits.request_window_ms
-    require(record.request not in state.requests, "an intent for this id is on the log")
+    require(record.request not in state.requests, "the request id has been used")
     born = request_time_ms(record.request)
     require(born is not None, "not a request id")
-    # The record of an id is kept for twice the window, so an id young enough to be taken
-    # here cannot have been forgotten.
-    require(born >= state.now_ms - window, "the id is older than the window")
-    require(born <= state.now_ms + window, "the id is from the future")
+    # Used ids are kept for twice the window, so a used id that passes this check is still known.
+    require(born >= state.now_ms - window, "the request id is older than the request window")
+    require(born <= state.now_ms + window, "the request id is too far in the future")
     _prune(state, window)
     state.requests[record.request] = Request(
         context.batch.node, context.batch.incarnation, record.minion, born
@@ -40,16 +39,16 @@
 
 def _ended(context: Context, record: RequestEnded) -> Verdict:
     request = context.state.requests.get(record.request)
-    require(request is not None, "no intent for this id")
-    require(request.incarnation == context.batch.incarnation, "another node's request")
-    require(not request.outcome, "ended already")
+    require(request is not None, "unknown request id")
+    require(request.incarnation == context.batch.incarnation, "the request is another node's")
+    require(not request.outcome, "the request has ended already")
     require(record.outcome in _OUTCOMES, "unknown outcome")
     request.outcome = record.outcome
     return Accepted()
 
 
 def _snapshot_part(context: Context, record: SnapshotPart) -> Verdict:
-    """Snapshots are read by starting nodes; they change nothing."""
+    """Accept a part of a snapshot, which changes nothing; starting nodes read it."""
     return Accepted(record.offset)
 
 
--- a/src/snowdock/reducer/_tools.py
+++ b/src/snowdock/reducer/_tools.py
@@ -1,4 +1,4 @@
-"""What the reducer's parts share: the context of a record, checks, and room accounting."""
+"""Context, checks and state changes that the reducer's handlers share."""
 
 import dataclasses
 
@@ -23,22 +23,22 @@
 ]
 
 RECORDS_PER_ENTRY = 4096
-"""Work numbers are ``offset * RECORDS_PER_ENTRY + index``, so they never repeat."""
+"""Maximum number of records in a batch; the work number of a record is
+``offset * RECORDS_PER_ENTRY + index``, which is unique."""
 
 
 FINISHED_TASKS_KEPT = 10_000
-"""Tasks of ended works that are kept one by one."""
+"""Number of tasks of finished works that are kept; older works keep only counts by state."""
 
 KEY_WINDOW_MS = 8 * 3600 * 1000
-"""How long after a work's end its key, and the counts of its tasks, are kept.
+"""How long the key and the task counts of a finished work are kept.
 
-At the target's 13,000 jobs a day these are some 4 MB; a whole day's would be 11 MB, which a
-node does not have (``docs/CAPACITY.md``).
+This bounds the memory of a node; see ``docs/CAPACITY.md``.
 """
 
 
 class InvalidRecord(Exception):
-    """A record does not fit the state at its offset and is void."""
+    """Raised if a record is not valid in the state at its offset."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -47,7 +47,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """Where a record stands: the state, the effects so far, its batch and its place."""
+    """A record's position in the log, with the state and the effects of the entry so far.
+
+    ``index`` is the position of the record in its batch.
+    """
 
     state: State
     effects: list[Effect]
@@ -57,18 +60,30 @@
 
     @property
     def number(self) -> int:
-        """A number that belongs to this record alone."""
+        """The number of a work that the record submits, unique to the record."""
         return self.offset * RECORDS_PER_ENTRY + self.index
 
 
 def require(condition: object, reason: str) -> None:
-    """Find the record void unless the condition holds."""
+    """Reject the record unless the condition holds.
+
+    Raises
+    ------
+    InvalidRecord
+        If the condition is false.
+    """
     if not condition:
         raise InvalidRecord(reason)
 
 
 def find_attempt(state: State, work: int, task: int, attempt: int) -> tuple[Work, Task]:
-    """Find an attempt that holds room; anything else makes the record void."""
+    """Return the work and the task of an attempt that is assigned to a worker.
+
+    Raises
+    ------
+    InvalidRecord
+        If there is no such attempt or it is not the task's current one.
+    """
     found = state.works.get(work)
     require(found is not None, "unknown work")
     require(0 <= task < len(found.tasks), "unknown task")
@@ -78,7 +93,7 @@
 
 
 def set_task_state(state: State, work: Work, task: Task, value: TaskState) -> None:
-    """Change a task's state and keep the counts of queued and of open tasks."""
+    """Set a task's state and update the counts of queued and open tasks."""
     state.queued_tasks += (value == TaskState.QUEUED) - (task.state == TaskState.QUEUED)
     was_over = task.is_over
     task.state = value
@@ -86,7 +101,7 @@
 
 
 def hold_room(state: State, work: Work, number: int, worker: Worker) -> int:
-    """Give a task's next attempt room on a worker.
+    """Assign the next attempt of a task to a worker.
 
     Returns
     -------
@@ -118,7 +133,10 @@
 
 
 def close_attempt(context: Context, work: Work, number: int, outcome: Outcome) -> None:
-    """Free an attempt's room and tell of its end; the task's next state is the caller's."""
+    """Free the capacity of a task's attempt and emit `AttemptClosed`.
+
+    The caller sets the task's next state.
+    """
     state = context.state
     task = work.tasks[number]
     worker = state.workers[task.worker]
@@ -131,7 +149,7 @@
 
 
 def note_if_over(context: Context, work: Work) -> None:
-    """Tell of the work's end, once, when its last task has ended."""
+    """Emit `WorkFinished` once when all tasks of a work have ended."""
     if work.finished_ms == 0 and work.is_over:
         work.finished_ms = context.state.now_ms
         context.effects.append(WorkFinished(work.number))
@@ -139,7 +157,7 @@
 
 
 def _keep_finished(state: State, work: Work) -> None:
-    """Keep the tasks of the newest ended works, and fold those of older ones into counts."""
+    """Replace the tasks of the oldest finished works by counts of their states."""
     state.finished.append(work.number)
     state.finished_tasks += len(work.tasks)
     while state.finished_tasks > FINISHED_TASKS_KEPT and len(state.finished) > 1:
@@ -151,7 +169,7 @@
 
 
 def forget_old(state: State) -> None:
-    """Forget folded works, and their keys, once no caller asks again for the same work."""
+    """Remove compacted works and their keys that ended more than `KEY_WINDOW_MS` ago."""
     horizon = state.now_ms - KEY_WINDOW_MS
     while state.folded and state.works[state.folded[0]].finished_ms < horizon:
         work = state.works.pop(state.folded.pop(0))
--- a/src/snowdock/reducer/_workers.py
+++ b/src/snowdock/reducer/_workers.py
@@ -1,4 +1,4 @@
-"""Workers as the VM list and their own answers show them."""
+"""Handlers of worker records."""
 
 from ..effects import Accepted, StopWanted, Verdict, WorkerAdded, WorkerWithdrawn
 from ..records import WorkerGone, WorkerLeaving, WorkerSeen
@@ -11,11 +11,11 @@
 def _seen(context: Context, record: WorkerSeen) -> Verdict:
     workers = context.state.workers
     known = workers.get(record.worker)
-    require(known is None or known.boot != record.boot, "known already")
-    # Attempts of an earlier boot keep their room until each is recorded as ended: the new
-    # boot answers for them that they are absent.
+    require(known is None or known.boot != record.boot, "the worker is known already")
+    # Attempts of an earlier boot hold their capacity until their ends are recorded; the new
+    # boot reports them as absent.
     attempts = {} if known is None else known.attempts
-    require(known is None or known.state != VmState.GONE or not attempts, "attempts are open")
+    require(known is None or known.state != VmState.GONE or not attempts, "attempts are still open")
     made = Worker(
         name=record.worker,
         boot=record.boot,
@@ -37,7 +37,7 @@
 def _leaving(context: Context, record: WorkerLeaving) -> Verdict:
     worker = context.state.workers.get(record.worker)
     require(worker is not None, "unknown worker")
-    require(worker.state == VmState.LIVE, "not live")
+    require(worker.state == VmState.LIVE, "the worker is not live")
     worker.state = VmState.LEAVING
     context.effects.append(WorkerWithdrawn(worker.name, gone=False))
     for name in worker.attempts:
@@ -48,7 +48,7 @@
 def _move_away(context: Context, name: str) -> None:
     number, task, attempt = parse_attempt_id(name)
     work = context.state.works[number]
-    # A session that may not be dropped stays until the VM ends it.
+    # Non-preemptible work runs until the VM ends.
     if not work.spec.preemptible or work.tasks[task].stopping:
         return
     work.tasks[task].stopping = True
@@ -60,8 +60,8 @@
     state = context.state
     worker = state.workers.get(record.worker)
     require(worker is not None, "unknown worker")
-    require(worker.boot == record.boot, "another boot was seen")
-    require(worker.state != VmState.GONE, "gone already")
+    require(worker.boot == record.boot, "the worker has another boot")
+    require(worker.state != VmState.GONE, "the worker is gone already")
     worker.state = VmState.GONE
     worker.gone_offset = context.offset
     state.unfenced.append(worker.name)
--- a/src/snowdock/reducer/_works.py
+++ b/src/snowdock/reducer/_works.py
@@ -1,4 +1,4 @@
-"""Work: submission, cancellation, and what the end of an attempt means for its task."""
+"""Handlers of work and attempt records."""
 
 from ..declarations import WorkSpec
 from ..effects import Accepted, StopWanted, Verdict, WorkQueued
@@ -27,19 +27,19 @@
 
 
 _MOST_LOSSES = 5
-"""Running attempts that may be lost with their worker before their task is given up: a task may be
-what ends each worker that starts it, and would take one after the other for ever."""
+"""Number of lost running attempts after which a task fails, since the task itself may crash its
+workers."""
 
 _LOSSES = frozenset((Outcome.ABSENT, Outcome.LOST))
 
 
 def service_number(context: Context, index: int) -> int:
-    """Give a declared service a work number: counted down from the entry's last one."""
+    """Return the work number of a declared service, counted down from the entry's last number."""
     return (context.offset + 1) * RECORDS_PER_ENTRY - 1 - index
 
 
 def create(context: Context, number: int, key: str, spec: WorkSpec) -> None:
-    """Put new work into the state, all tasks queued."""
+    """Add a work with all its tasks queued to the state."""
     state = context.state
     tasks = [Task() for _ in range(spec.tasks)]
     state.works[number] = Work(number, key, spec, tasks, state.now_ms, open_tasks=spec.tasks)
@@ -52,8 +52,8 @@
     state = context.state
     known = state.keys.get(record.key)
     if known is not None:
-        # The same submission again, after a lost answer: the same work.
-        require(state.works[known].spec == record.spec, "the key names other work")
+        # The caller has repeated the submission, such as after a lost answer.
+        require(state.works[known].spec == record.spec, "the key was used for another work")
         return Accepted(known)
     spec = record.spec
     declarations = state.configuration.declarations
@@ -68,13 +68,13 @@
 def _cancelled(context: Context, record: WorkCancelled) -> Verdict:
     work = context.state.works.get(record.work)
     require(work is not None, "unknown work")
-    require(work.spec.kind != "service", "a declared service ends by a configuration")
+    require(work.spec.kind != "service", "a declared service ends only by a configuration change")
     cancel(context, work)
     return Accepted(work.number)
 
 
 def cancel(context: Context, work: Work) -> None:
-    """Give up a work; doing so twice, or after its end, changes nothing."""
+    """Cancel a work; this has no effect on a work that is cancelled or finished already."""
     if work.cancelled or work.is_over:
         return
     work.cancelled = True
@@ -97,7 +97,7 @@
 def _started(context: Context, record: AttemptStarted) -> Verdict:
     state = context.state
     work, task = find_attempt(state, record.work, record.task, record.attempt)
-    require(task.state == TaskState.PLACED, "started already")
+    require(task.state == TaskState.PLACED, "the attempt has started already")
     set_task_state(state, work, task, TaskState.RUNNING)
     if work.started_ms == 0:
         work.started_ms = state.now_ms
@@ -106,8 +106,8 @@
 
 def _stop_requested(context: Context, record: StopRequested) -> Verdict:
     work, task = find_attempt(context.state, record.work, record.task, record.attempt)
-    require(work.spec.preemptible, "the work may not be dropped")
-    require(not task.stopping, "stopping already")
+    require(work.spec.preemptible, "the work is not preemptible")
+    require(not task.stopping, "the attempt is stopping already")
     _want_stop(context, work, record.task, record.how)
     return Accepted()
 
@@ -118,7 +118,7 @@
         outcome = Outcome(record.outcome)
     except ValueError:
         outcome = None
-    require(outcome not in (None, Outcome.LOST), "not an outcome that a worker tells")
+    require(outcome not in (None, Outcome.LOST), "not an outcome that a worker reports")
     _end(context, work, record.task, outcome)
     return Accepted()
 
@@ -168,7 +168,10 @@
 
 
 def _requeued(context: Context, work: Work) -> None:
-    """Queue again; the rest of a gang is stopped first, since it starts only as a whole."""
+    """Announce that a work has queued tasks again.
+
+    The assigned tasks of a gang are stopped first, since a gang is placed only as a whole.
+    """
     if work.spec.kind == "gang":
         for number, task in enumerate(work.tasks):
             if task.holds_room:
