--- a/tests/naive.py
+++ b/tests/naive.py
@@ -1,6 +1,6 @@
-"""A naive version of the rules for work: plain dictionaries, worked out anew each time.
+"""A naive model of the reducer's rules for work, on plain dictionaries.
 
-It knows nothing of the reducer's code. Each question replays the whole history.
+It shares no code with the reducer, and its users replay the whole history for each record.
 """
 
 from snowdock.records import (
@@ -18,7 +18,7 @@
 
 
 def replay(history: list, workers: dict, quota: tuple) -> dict:
-    """Work out everything from the history: a list of (number, record) that were valid."""
+    """Build the model's state from a list of (work number, record) pairs of valid records."""
     world = {"tasks": {}, "specs": {}, "cancelled": set(), "state": {}, "quota": quota}
     world["workers"] = dict(workers)
     for number, record in history:
@@ -31,7 +31,7 @@
 
 
 def used(world: dict, worker: str | None = None) -> tuple:
-    """Sum up the sizes of all tasks that hold room, on one worker or on all."""
+    """Return the total size of the assigned tasks on one worker, or on all if it is None."""
     total = [0, 0, 0]
     for key, task in world["tasks"].items():
         if task["state"] in HOLDING and worker in (None, task["worker"]):
@@ -46,7 +46,7 @@
 
 
 def is_valid(world: dict, record) -> bool:
-    """Judge a record."""
+    """Return whether a record is valid."""
     if isinstance(record, WorkSubmitted):
         return record.spec.team == "t"
     if isinstance(record, WorkCancelled):
@@ -86,7 +86,7 @@
 
 
 def apply(world: dict, number: int, record) -> None:
-    """Carry out a valid record."""
+    """Apply a valid record."""
     tasks = world["tasks"]
     if isinstance(record, WorkSubmitted):
         world["specs"][number] = record.spec
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of placement, ownership, shares, minion choice and retries."""
+"""Tests of placement, preemption, ownership, shares, minion selection and retries."""
 
 import random
 import unittest
@@ -57,7 +57,7 @@
         st.integers(1, 6),
     )
     def test_finds_room_if_there_is_any(self, sizes: list, size: Size, tasks: int) -> None:
-        """A task is placed exactly if some worker has room, and never where there is none."""
+        """Tasks are placed if and only if a worker has capacity, and never beyond it."""
         state, index = cluster([Size(s.cpu, s.memory, s.accelerators) for s in sizes])
         result = self.place(state, index, work("batch", tasks, size))
         fits = [s for s in sizes if s.holds(size)]
@@ -67,7 +67,7 @@
             self.assertTrue(min(free.cpu, free.memory, free.accelerators) >= 0)
 
     def test_gang_is_whole_or_nothing(self) -> None:
-        """A gang that does not fit as a whole reserves nothing."""
+        """A gang that does not fit as a whole reserves no capacity."""
         state, index = cluster([Size(4, 4)] * 3)
         result = self.place(state, index, work("gang", 4, Size(3, 3)))
         self.assertEqual(result, Waiting("no room for all 4 tasks at once", needs_room=True))
@@ -76,7 +76,7 @@
         self.assertEqual(len(result.placements), 3)
 
     def test_service_is_spread(self) -> None:
-        """A service's tasks go to different data halls and racks first."""
+        """The tasks of a service are spread over workers and data halls."""
         state, index = cluster([Size(16, 16)] * 8)
         result = self.place(state, index, work("service", 4, Size(1, 1)))
         chosen = [state.workers[p.worker] for p in result.placements]
@@ -84,13 +84,13 @@
         self.assertEqual(sum(w.hall == "h0" for w in chosen), 2)
 
     def test_accelerators_are_kept_for_those_that_need_them(self) -> None:
-        """Work without accelerators goes to workers without, while there is room."""
+        """Work without accelerators is placed on workers without accelerators first."""
         state, index = cluster([Size(4, 4, 8), Size(4, 4, 0)])
         result = self.place(state, index, work("batch", 4, Size(1, 1)))
         self.assertNotIn("w0", {p.worker for p in result.placements[:1]})
 
     def test_reasons(self) -> None:
-        """Waiting work says why: quota, no room, or never any room."""
+        """The reason names the team's quota or a size that exceeds every worker."""
         state, index = cluster([Size(4000, 4)], quota=0.001)
         made = work("batch", 1, Size(2, 1))
         self.assertEqual(self.place(state, index, made), Waiting("team t is at its quota"))
@@ -101,7 +101,7 @@
         )
 
     def test_failing_worker_gets_one_task_at_a_time(self) -> None:
-        """A worker with a long record of failures is only probed."""
+        """A worker with many consecutive failures gets a single task as a probe."""
         state, index = cluster([Size(8, 8)])
         state.workers["w0"].streak = 9
         index.update(state.workers["w0"])
@@ -110,7 +110,7 @@
 
 
 class TestFailingWorks(unittest.TestCase):
-    """Works that always fail give all workers a long record of failures; others still run."""
+    """Works that always fail must not stop the placement of other works."""
 
     def failing_cluster(self, workers: int) -> tuple[State, RoomIndex]:
         state, index = cluster([Size(8, 8)] * workers)
@@ -122,13 +122,13 @@
         return state, index
 
     def test_most_workers_are_never_closed(self) -> None:
-        """Where more than half of the workers fail, it is for what they are given."""
+        """If more than half of the workers fail, none is limited to one task."""
         state, index = self.failing_cluster(4)
         found = place(work("batch", 4, Size(2, 2)), state, index, PolicyBook([].append), ZERO)
         self.assertEqual(len(found.placements), 4)
 
     def test_few_workers_that_fail_are_probed(self) -> None:
-        """Where others do well, those that fail have one task at a time."""
+        """If most workers succeed, a failing one gets one task at a time."""
         state, index = self.failing_cluster(4)
         for name in ("w1", "w2", "w3"):
             state.workers[name].streak = 0
@@ -157,7 +157,7 @@
         return make_room(self.urgent, self.state, policies, random.Random(1))
 
     def test_lowest_priority_ends_first_and_no_more_than_needed(self) -> None:
-        """The fewest attempts of lower priority are ended, by checkpoint."""
+        """The fewest attempts of lowest priority are stopped by checkpoint."""
         for number, priority in ((11, 10), (12, 20)):
             self.run_on(number, "w0", Size(2, 2), priority=priority)
         self.run_on(13, "w1", Size(4, 4), priority=95)
@@ -167,13 +167,13 @@
         )
 
     def test_what_may_not_be_dropped_stays(self) -> None:
-        """Nothing is ended where only such work, or work of higher priority, runs."""
+        """Non-preemptible work and work of equal priority are not preempted."""
         self.run_on(11, "w0", Size(4, 4), priority=0, preemptible=False)
         self.run_on(12, "w1", Size(4, 4), priority=90)
         self.assertEqual(self.make_room(), [])
 
     def test_what_ends_already_is_counted(self) -> None:
-        """While enough is on its way out, nothing more is ended on that worker."""
+        """No attempt is preempted on a worker whose stopping attempts free enough capacity."""
         self.run_on(11, "w0", Size(4, 4), priority=1)
         self.run_on(12, "w1", Size(4, 4), priority=99)
         self.state.works[11].tasks[0].stopping = True
@@ -183,7 +183,7 @@
 class TestOwnership(unittest.TestCase):
     @given(st.text(max_size=20), st.permutations(NODES))
     def test_all_agree_and_few_move(self, thing: str, nodes: list) -> None:
-        """The order of the nodes is all the same, and only a leaver's things move."""
+        """The order of nodes does not matter, and only keys of a removed node change owner."""
         first = owner(thing, nodes)
         self.assertEqual(first, owner(thing, NODES))
         left = [node for node in NODES if node != "a"]
@@ -192,7 +192,7 @@
 
     @given(st.text(max_size=20), st.integers(0, 64), st.integers(1, 4))
     def test_targets_add_up(self, minion: str, slots: int, count: int) -> None:
-        """The nodes' targets add up to all slots of a minion."""
+        """The targets of all nodes add up to the minion's slots."""
         nodes = NODES[:count]
         total = sum(target_share(minion, slots, node, nodes) for node in NODES)
         self.assertEqual(total, slots)
@@ -204,13 +204,13 @@
         return MinionView(name, "g", hall, "", 8, 8, 0, True)
 
     def test_near_ones_go_first(self) -> None:
-        """A minion of the own data hall is chosen although another has more idle slots."""
+        """A minion in the node's data hall is preferred to one with more idle slots."""
         near, far = self.view("n", "h1"), self.view("f", "h2")
         candidates = [(near, 1, Health()), (far, 8, Health())]
         self.assertEqual(choose(candidates, "h1", "", 0.0), near)
 
     def test_failing_one_is_set_aside_and_probed(self) -> None:
-        """After failures in a row a minion rests, then gets one request as a probe."""
+        """After consecutive failures a minion is excluded, then gets one probe request."""
         health = Health()
         for _ in range(3):
             note_result(health, True, 0.0)
@@ -225,7 +225,7 @@
 
 class TestRetries(unittest.TestCase):
     def test_budget_is_spent_and_earned(self) -> None:
-        """Retries stop when the budget is spent, and come back with successes."""
+        """Retries are refused once the budget is spent, until successes refill it."""
         budget = RetryBudget()
         while budget.take():
             pass
@@ -238,5 +238,5 @@
 
     @given(st.integers(1, 50), st.floats(0, 1))
     def test_backoff_is_bounded(self, tries: int, fraction: float) -> None:
-        """The pause never exceeds its bound."""
+        """The delay is never negative or above its maximum."""
         self.assertTrue(0 <= backoff_seconds(tries, fraction) <= 1)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of what a worker is told, and of what its answer means."""
+"""Tests of sync orders for workers and of the records derived from their answers."""
 
 import unittest
 
@@ -35,7 +35,7 @@
 
 class TestBuildOrder(OrderCase):
     def test_each_attempt_gets_its_order(self) -> None:
-        """Placed attempts are started, running ones renewed, unwanted ones ended."""
+        """Placed attempts are started, running ones renewed, stopping ones stopped."""
         order = build_order(self.state, "w", {}, 5).order
         self.assertEqual([start.attempt for start in order.start], ["7.0.1"])
         self.assertEqual(order.renew, ["7.1.2"])
@@ -43,12 +43,12 @@
         self.assertEqual(order.boot, "b")
 
     def test_a_gone_worker_gets_no_order(self) -> None:
-        """Nobody renews anything on a worker whose end is on the log."""
+        """Leases on a worker that the log records as gone are not renewed."""
         self.state.workers["w"].state = VmState.GONE
         self.assertIsNone(build_order(self.state, "w", {}, 5))
 
     def test_only_what_is_surely_closed_is_stopped(self) -> None:
-        """A lagging node leaves attempts alone that it has not read of yet."""
+        """A lagging node does not stop attempts whose records it has not read yet."""
         running = AttemptReport("running")
         reports = {"7.3.3": running, "7.3.4": running, "9.0.1": running, "junk": running}
         reports["7.3.2"] = AttemptReport("succeeded")
@@ -62,19 +62,19 @@
         return judge_answer(self.state, "w", told)
 
     def test_starts_and_ends_are_recorded_once(self) -> None:
-        """Only what the state does not show yet becomes a record."""
+        """Records are derived only for changes that the state does not contain yet."""
         told = answer(_7_0_1="running", _7_1_2="running", _7_2_1="stopped", _7_3_3="succeeded")
         self.assertEqual(
             self.judge(told), [AttemptStarted(7, 0, 1), AttemptEnded(7, 2, 1, "stopped")]
         )
 
     def test_an_answer_of_another_boot_says_nothing_of_attempts(self) -> None:
-        """Of a worker that started again only the new boot is recorded."""
+        """If a worker has rebooted, only its new boot is recorded."""
         told = answer("c", _7_1_2="absent")
         seen = WorkerSeen("w", "c", Size(4000, 4096, 0), "r", "h", "http://w")
         self.assertEqual(self.judge(told), [seen])
 
     def test_nonsense_is_passed_over(self) -> None:
-        """Unknown works, tasks and ids bring nothing."""
+        """No records are derived for unknown workers, works and tasks or invalid ids."""
         self.assertEqual(self.judge(answer(_9_0_1="failed", _7_9_1="failed", junk="failed")), [])
         self.assertEqual(judge_answer(self.state, "unknown", answer()), [])
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -20,13 +20,13 @@
 
 class TestCompile(unittest.TestCase):
     def test_shipped_programs_are_good(self) -> None:
-        """Each shipped program passes its own trial."""
+        """Each built-in program passes validation."""
         for name, text in shipped_programs().items():
             with self.subTest(name):
                 self.assertEqual(compile_program(name, text).name, name)
 
     def test_mistakes_are_told_with_their_line(self) -> None:
-        """Syntax errors, missing functions, wrong results and endless loops are refused."""
+        """Syntax errors, missing functions, invalid results and endless loops are rejected."""
         endless = "def admit(work):\n    for i in range(1000000000):\n        pass\n"
         cases = {
             GOOD + "\ndef broken(:\n": "mine.star:",
@@ -42,7 +42,7 @@
 
     @given(st.text(max_size=300))
     def test_any_text_is_taken_or_refused_by_type(self, text: str) -> None:
-        """No text brings anything but the typed failure."""
+        """Random text raises `PolicyError` and nothing else."""
         with self.assertRaises(PolicyError):
             compile_program("mine.star", text)
 
@@ -53,7 +53,7 @@
         self.book = PolicyBook(self.alarms.append)
 
     def test_a_failure_at_run_time_is_answered_by_the_shipped_program(self) -> None:
-        """A program that passes its trial and fails later stops nothing and raises an alarm."""
+        """If a validated program fails in a call, the built-in one is used and it is reported."""
         text = GOOD.replace(
             "return urgent", 'fail("no") if work["name"] == "x" else 0\n    return urgent'
         )
@@ -66,7 +66,7 @@
         self.assertEqual(self.alarms[0].function, "rank")
 
     def test_an_unusable_text_leaves_the_old_program(self) -> None:
-        """A text that does not compile here leaves the accepted one in force."""
+        """A program that does not compile leaves the previous one in force."""
         self.book.replace(declare(GOOD.replace('work["priority"]', '7 * work["priority"]')))
         self.assertEqual(self.book.call("batch", "rank", WORK), 7)
         self.book.replace(declare("nonsense("))
@@ -74,7 +74,7 @@
         self.assertEqual(len(self.alarms), 1)
 
     def test_check_names_the_program(self) -> None:
-        """A bad program is named before it is published."""
+        """The check of a configuration names a program that does not compile."""
         with self.assertRaises(DeclarationErrors) as caught:
             PolicyBook.check(declare("nonsense("))
         self.assertEqual(caught.exception.exceptions[0].file, "mine.star")
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of the records' codec."""
+"""Tests of the encoding of batches of records."""
 
 import os
 import unittest
@@ -40,18 +40,18 @@
 class TestBatchCodec(unittest.TestCase):
     @given(st.lists(RECORDS, max_size=12))
     def test_what_is_encoded_is_decoded(self, records: list) -> None:
-        """Any mixture of records, in any order, comes back as it was."""
+        """Decoding returns the encoded records for any mixture of types, in order."""
         self.assertEqual(decode_batch(encode_batch(batch(records))), batch(records))
 
     def test_a_configuration_is_decoded(self) -> None:
-        """A record with nested models comes back as it was."""
+        """A record with nested structs survives encoding and decoding."""
         declarations = Declarations(teams={"t": Team(cpu=1, memory_gb=2)}, programs={"a": "b\n"})
         made = batch([ConfigurationProposed(3, declarations, "me")])
         self.assertEqual(decode_batch(encode_batch(made)), made)
 
     @given(st.binary(max_size=200), st.integers(0, 60))
     def test_garbage_is_refused_by_type(self, noise: bytes, at: int) -> None:
-        """Foreign bytes and damaged batches bring a batch or the typed failure, nothing else."""
+        """Random bytes and damaged batches either decode or raise `InvalidInput`."""
         good = encode_batch(batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
         for data in (noise, good[:at], good[:at] + noise + good[at:]):
             try:
@@ -60,12 +60,12 @@
                 continue
 
     def test_a_bomb_is_refused(self) -> None:
-        """Bytes that would expand beyond the bound are refused."""
+        """A batch that would decompress beyond the size limit is rejected."""
         part = SnapshotPart(0, 0, 1, bytes(20 * 1024 * 1024))
         with self.assertRaises(InvalidInput):
             decode_batch(encode_batch(batch([part])))
 
     def test_snapshot_bytes_survive(self) -> None:
-        """Binary data of snapshots is kept to the byte."""
+        """The binary data of a snapshot part is unchanged by encoding and decoding."""
         part = SnapshotPart(5, 0, 1, os.urandom(1000))
         self.assertEqual(decode_batch(encode_batch(batch([part]))).records, [part])
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""Tests of the reducer: against the naive version, and of single rules."""
+"""Tests of the reducer against the naive model, and of single rules."""
 
 import collections
 import random
@@ -48,7 +48,7 @@
 
 
 class Journal:
-    """Feeds batches of single records to a state and remembers them."""
+    """Applies batches of records to a state and keeps them as log entries."""
 
     def __init__(self) -> None:
         self.state = State()
@@ -61,7 +61,7 @@
             self.add(WorkerSeen(name, "b", Size(*size), "r", "h", ""))
 
     def add(self, *records, read: int | None = None, node: str = "n", incarnation: str = "i"):
-        """Reduce a batch; give whether each record was valid."""
+        """Apply a batch and return for each record whether it was accepted."""
         self._sequence += 1
         read = self.state.offset if read is None else read
         batch = Batch(node, incarnation, self._sequence, read, self.now_ms, list(records))
@@ -82,9 +82,9 @@
 
 
 class Stream:
-    """Makes records that are mostly plausible, and sometimes late, repeated or nonsense.
+    """Generates records that are mostly plausible, and sometimes late, repeated or invalid.
 
-    Without a look at the state hardly one placement in hundreds would be valid.
+    They are drawn with regard to the state, since few placements would be valid otherwise.
     """
 
     def __init__(self, seed: int, journal: Journal) -> None:
@@ -104,7 +104,7 @@
         return self._journal.state
 
     def make(self):
-        """Make the next record, or give None for a repetition of the last batch."""
+        """Return the next record, or None to repeat the last batch."""
         if self._source.random() < 0.1:
             return None
         return self._source.choice(self._makers)()
@@ -159,7 +159,7 @@
     @settings(max_examples=150, deadline=None)
     @given(st.integers(0, 2**32))
     def test_matches_naive(self, seed: int) -> None:
-        """Verdicts, tasks and room are those of the naive version after every record."""
+        """Verdicts, tasks and used capacity equal those of the naive model after each record."""
         journal, history = Journal(), []
         stream = Stream(seed, journal)
         for _ in range(STEPS):
@@ -175,7 +175,7 @@
             self._compare(journal.state, naive.replay(history, WORKERS, QUOTA))
 
     def test_the_stream_reaches_every_verdict(self) -> None:
-        """The streams bring valid and void records of every kind, so that they prove something."""
+        """Guards against vacuous streams: each record type is both accepted and rejected."""
         seen = collections.Counter()
         for seed in range(200):
             journal = Journal()
@@ -191,7 +191,7 @@
                 self.assertGreater(seen[kind, valid], 5, f"{kind.__name__} {valid}")
 
     def _repeat(self, journal: Journal) -> None:
-        """Check that a batch that comes a second time changes nothing."""
+        """Check that a repeated batch leaves the state unchanged."""
         before = digest(journal.state)
         offset = journal.state.offset
         reduce(journal.state, Entry(offset + 1, journal.entries[-1].batch))
@@ -221,7 +221,7 @@
     @settings(max_examples=50, deadline=None)
     @given(st.integers(0, 2**32), st.integers(0, STEPS))
     def test_snapshot_and_tail_give_the_same_state(self, seed: int, cut: int) -> None:
-        """A node that starts from any snapshot and folds the rest ends with the same digest."""
+        """A snapshot at any offset and the entries after it give the same digest."""
         journal = Journal()
         stream = Stream(seed, journal)
         for _ in range(STEPS):
@@ -232,7 +232,7 @@
         for entry in journal.entries[:cut]:
             reduce(early, entry)
         late = decode_state(encode_state(early))
-        # Entries that the snapshot covers are passed over.
+        # Entries that the snapshot covers are ignored.
         for entry in journal.entries:
             reduce(late, entry)
         self.assertEqual(digest(late), digest(journal.state))
@@ -248,12 +248,12 @@
         self.lost = AttemptLost(self.work, 0, 1)
 
     def test_needs_a_gone_worker(self) -> None:
-        """An attempt on a worker that is only silent is not lost, however long."""
+        """An attempt is not lost while its worker is silent but not gone."""
         self.journal.now_ms += 10**9
         self.assertEqual(self.journal.add(self.lost), [False])
 
     def test_needs_every_member(self) -> None:
-        """A member that has not confirmed holds the loss up, until its own VM is gone."""
+        """The loss is rejected until each member has confirmed the fence or is gone."""
         self.journal.add(WorkerGone("w0", "b"))
         self.journal.now_ms += 10**9
         self.assertEqual(self.journal.add(self.lost), [False])
@@ -262,7 +262,7 @@
         self.assertEqual(self.journal.add(self.lost), [True])
 
     def test_needs_the_time_to_be_over(self) -> None:
-        """At the last moment of the lease the loss is void, a millisecond later it is valid."""
+        """The loss is rejected in the last millisecond of the lease and accepted after it."""
         self.journal.add(WorkerGone("w0", "b"))
         self.journal.add(read=self.journal.state.offset)
         self.journal.add(node="m", incarnation="j", read=self.journal.state.offset)
@@ -277,10 +277,10 @@
 
 
 class TestRepeatedLoss(unittest.TestCase):
-    """A task that runs, and that its worker's next boot knows nothing of, may be what ended it."""
+    """A task whose running attempts are lost repeatedly may be what crashes its workers."""
 
     def outcomes(self, kind: str, started: bool) -> list[TaskState]:
-        """Give the task's state after each of six attempts that ended absent."""
+        """Return the task's state after each of up to six attempts that end as absent."""
         journal = Journal()
         work = journal.submit(WorkSpec(kind, "x", "t", 1, Size(1000, 1024)))
         states = []
@@ -294,18 +294,18 @@
         return states
 
     def test_it_is_given_up(self) -> None:
-        """After five running attempts that were lost the task has failed."""
+        """The task fails after five running attempts have been lost."""
         expected = [TaskState.QUEUED] * 4 + [TaskState.FAILED]
         self.assertEqual(self.outcomes("batch", started=True), expected)
 
     def test_attempts_that_never_ran_do_not_count(self) -> None:
-        """An order that its worker never got tells nothing of the task."""
+        """Attempts that never started do not count as losses."""
         self.assertEqual(self.outcomes("batch", started=False), [TaskState.QUEUED] * 6)
 
 
 class TestStops(unittest.TestCase):
     def test_what_may_not_be_dropped_is_not_stopped(self) -> None:
-        """A session that may not be dropped is never asked to make room."""
+        """A request to stop an attempt of non-preemptible work is rejected."""
         journal = Journal()
         spec = WorkSpec("batch", "x", "t", 1, Size(1000, 1024), preemptible=False)
         work = journal.submit(spec)
@@ -313,7 +313,7 @@
         self.assertEqual(journal.add(StopRequested(work, 0, 1, "stop")), [False])
 
     def test_a_retired_incarnation_is_not_heard(self) -> None:
-        """A process that was replaced can append nothing any more."""
+        """Batches of a replaced incarnation are ignored."""
         journal = Journal()
         journal.add(NodeJoined("n", "i2", "h", "", ""), incarnation="i2")
         spec = WorkSpec("batch", "x", "t", 1, Size(1000, 1024))
@@ -321,7 +321,7 @@
         self.assertEqual(journal.state.works, {})
 
     def test_a_repeated_batch_is_void(self) -> None:
-        """Slots taken by a batch that was appended twice are taken once."""
+        """The slots of a batch that was appended twice are taken once."""
         journal = Journal()
         base = journal.state.configuration.version
         endpoints = {"e": Endpoint("g", slots=8)}
@@ -346,7 +346,7 @@
         return work
 
     def test_old_tasks_are_folded_into_counts(self) -> None:
-        """What is kept of ended work is bounded in tasks; older outcomes stay as counts."""
+        """The number of tasks kept is bounded; older finished works keep only their counts."""
         size = FINISHED_TASKS_KEPT // 4
         first = self.run_work("first", size)
         for number in range(6):
@@ -357,7 +357,7 @@
         self.assertTrue(state.works[first].is_over)
 
     def test_key_outlives_the_tasks(self) -> None:
-        """A key names the same work for its whole window, also after its tasks were folded."""
+        """A key identifies its work for the whole window, also after the work is compacted."""
         size = FINISHED_TASKS_KEPT // 4
         first = self.run_work("first", size)
         for number in range(6):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of the shared state's encoding."""
+"""Tests of the encoding of the shared state."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 class TestEncoding(unittest.TestCase):
     def test_a_state_with_work_survives(self) -> None:
-        """A state whose maps have numbers as keys is encoded and read back (issue 4)."""
+        """A state with integer map keys can be encoded and decoded (issue 4)."""
         spec = WorkSpec("batch", "x", "t", 1, Size(1, 1))
         state = State(works={7: Work(7, "k", spec, [Task()], 1)})
         again = decode_state(encode_state(state))
