--- a/src/snowdock/decisions/room.py
+++ b/src/snowdock/decisions/room.py
@@ -16,8 +16,8 @@
 """Consecutive failures after which a worker gets only one task at a time as a probe."""
 
 _MOST_ASIDE = 0.5
-"""If a larger share of the workers fails, the work is presumed to be at fault and no worker is
-put on probation."""
+"""If a larger share of the workers fails, the work is presumed to be at fault, and failing workers
+get further tasks while others run."""
 
 
 class RoomIndex:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -122,7 +122,7 @@
         return state, index
 
     def test_most_workers_are_never_closed(self) -> None:
-        """If more than half of the workers fail, none is limited to one task."""
+        """If more than half of the workers fail, they get further tasks all the same."""
         state, index = self.failing_cluster(4)
         found = place(work("batch", 4, Size(2, 2)), state, index, PolicyBook([].append), ZERO)
         self.assertEqual(len(found.placements), 4)
