--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -8,10 +8,10 @@
 import time
 
 from bench.tools import fill, percentile
-from snowdock.decisions.placements import place
-from snowdock.decisions.room import RoomIndex
+from snowdock.decisions.capacity_index import CapacityIndex
+from snowdock.decisions.placements import place_tasks
 from snowdock.declarations import ZERO, Size, WorkSpec
-from snowdock.policies import PolicyBook
+from snowdock.policies import PolicySet
 from snowdock.records import TasksPlaced
 from snowdock.state import State, Task, Work
 
@@ -22,9 +22,9 @@
 SHAPES = (Size(500, 1024), Size(1000, 2048), Size(2000, 2048), Size(250, 4096))
 
 
-def make_index(state: State) -> RoomIndex:
+def make_index(state: State) -> CapacityIndex:
     """Index all workers of a state."""
-    index = RoomIndex(random.Random(1))
+    index = CapacityIndex(random.Random(1))
     for worker in state.workers.values():
         index.update(worker)
     return index
@@ -39,14 +39,14 @@
 def measure(state: State, kind: str, count: int, tasks: int) -> tuple[list[float], int]:
     """Time single decisions; room is given back as the cluster fills, so that it stays even."""
     index = make_index(state)
-    policies = PolicyBook(print)
+    policies = PolicySet(print)
     seconds, placed = [], 0
     held: list[tuple[str, Size]] = []
     for number in range(count):
         size = SHAPES[number % len(SHAPES)]
         work = make_work(number, size, kind, tasks)
         started = time.perf_counter()
-        result = place(work, state, index, policies, ZERO)
+        result = place_tasks(work, state, index, policies, ZERO)
         seconds.append(time.perf_counter() - started)
         if isinstance(result, TasksPlaced):
             placed += 1
--- a/bench/packing.py
+++ b/bench/packing.py
@@ -8,10 +8,10 @@
 import random
 
 from bench.tools import fill
-from snowdock.decisions.placements import place
-from snowdock.decisions.room import RoomIndex
+from snowdock.decisions.capacity_index import CapacityIndex
+from snowdock.decisions.placements import place_tasks
 from snowdock.declarations import ZERO, Declarations, Policy, Size, WorkSpec
-from snowdock.policies import PolicyBook
+from snowdock.policies import PolicySet
 from snowdock.records import TasksPlaced
 from snowdock.state import Task, Work
 
@@ -35,15 +35,15 @@
 def used_by_policy(program: str, sizes: list[Size], seed: int) -> int:
     """Place a stream under a policy and count the workers used."""
     state = fill(WORKERS, 0).state
-    policies = PolicyBook(print)
+    policies = PolicySet(print)
     policies.replace(Declarations(policies={"batch": Policy(program)}))
-    index = RoomIndex(random.Random(seed))
+    index = CapacityIndex(random.Random(seed))
     for worker in state.workers.values():
         index.update(worker)
     used = set()
     for number, size in enumerate(sizes):
         spec = WorkSpec("batch", f"shape-{size.cpu}", "team-1", 1, size)
-        result = place(Work(number, "", spec, [Task()], 0), state, index, policies, ZERO)
+        result = place_tasks(Work(number, "", spec, [Task()], 0), state, index, policies, ZERO)
         if isinstance(result, TasksPlaced):
             used.update(placement.worker for placement in result.placements)
     return len(used)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -19,7 +19,7 @@
 from snowdock.node.peer_messages import Heartbeat, encode_peer_message
 from snowdock.platform._http import Client
 from snowdock.platform.workers import AttemptReport, SyncAnswer, SyncOrder, WorkerClient
-from snowdock.programs import shipped_programs
+from snowdock.programs import builtin_programs
 from snowdock.records import (
     AttemptEnded,
     AttemptStarted,
@@ -200,7 +200,7 @@
             f"service-{n}": Service(f"team-{n}", tasks=65, cpu=0.5, memory_gb=1) for n in range(40)
         },
         endpoints={f"endpoint-{n}": Endpoint(f"minions-{n}") for n in range(HALLS)},
-        programs=shipped_programs(),
+        programs=builtin_programs(),
     )
     batch = Batch("bench", "b", 1, 0, 0, [ConfigurationProposed(0, declarations, "operator")])
     data = encode_batch(batch)
--- a/src/snowdock/cli/commands.py
+++ b/src/snowdock/cli/commands.py
@@ -108,10 +108,10 @@
     def run_command(self) -> int | None:
         """Check."""
         # Only this command needs the policy programs' interpreter.
-        from ..policies import PolicyBook
+        from ..policies import PolicySet
 
         declarations = parse_declarations(_read_folder(self.argument("folder")))
-        PolicyBook.check(declarations)
+        PolicySet.check(declarations)
         self.line(
             f"good: {len(declarations.teams)} teams, {len(declarations.services)} services, "
             f"{len(declarations.endpoints)} endpoints, {len(declarations.policies)} policies"
--- a/src/snowdock/columns.py
+++ b/src/snowdock/columns.py
@@ -24,12 +24,12 @@
     """Give name, sort of column, and type of each field of a record."""
     hints = typing.get_type_hints(kind)
     return tuple(
-        (field.name, _sort(hints[field.name]), hints[field.name])
+        (field.name, _column_type(hints[field.name]), hints[field.name])
         for field in msgspec.structs.fields(kind)
     )
 
 
-def _sort(hint: type) -> str:
+def _column_type(hint: type) -> str:
     if hint is int:
         return "number"
     if hint is str:
@@ -56,13 +56,13 @@
         A column for each field.
     """
     columns = []
-    for name, sort, hint in _fields(kind):
+    for name, column_type, hint in _fields(kind):
         values = [getattr(record, name) for record in records]
-        if sort == "number":
-            columns.append(_differences(values))
-        elif sort == "text":
+        if column_type == "number":
+            columns.append(_delta_encode(values))
+        elif column_type == "text":
             columns.append(_join(values))
-        elif sort == "records":
+        elif column_type == "records":
             inner = typing.get_args(hint)[0]
             flat = list(itertools.chain.from_iterable(values))
             columns.append([[len(value) for value in values], to_columns(inner, flat)])
@@ -82,8 +82,8 @@
     fields = _fields(kind)
     try:
         read = [
-            list(_read_column(sort, hint, column))
-            for (_, sort, hint), column in zip(fields, columns, strict=True)
+            list(_read_column(column_type, hint, column))
+            for (_, column_type, hint), column in zip(fields, columns, strict=True)
         ]
         if any(len(column) != count for column in read):
             raise InvalidInput("columns of different lengths")
@@ -95,12 +95,12 @@
         raise InvalidInput(f"not columns of {kind.__name__}: {error}") from error
 
 
-def _read_column(sort: str, hint: type, column: object) -> Iterable:
-    if sort == "number":
+def _read_column(column_type: str, hint: type, column: object) -> Iterable:
+    if column_type == "number":
         return itertools.accumulate(column)
-    if sort == "text":
+    if column_type == "text":
         return column.split(_SEPARATOR) if isinstance(column, str) else column
-    if sort == "records":
+    if column_type == "records":
         lengths, inner_columns = column
         if any(length < 0 for length in lengths):
             raise InvalidInput("a negative length")
@@ -115,7 +115,7 @@
         yield list(itertools.islice(rest, length))
 
 
-def _differences(values: list[int]) -> list[int]:
+def _delta_encode(values: list[int]) -> list[int]:
     return [after - before for before, after in itertools.pairwise([0, *values])]
 
 
--- a/src/snowdock/decisions/room.py
+++ b/src/snowdock/decisions/capacity_index.py
@@ -9,18 +9,18 @@
 from ..declarations import ZERO, Size
 from ..state import VmState, Worker
 
-__all__ = ["RoomIndex"]
+__all__ = ["CapacityIndex"]
 
-_CANDIDATES = 8
-_SET_ASIDE_STREAK = 5
+_MAX_CANDIDATES = 8
+_PROBATION_STREAK = 5
 """Failures in a row after which a worker gets one task at a time, as a probe."""
 
-_MOST_ASIDE = 0.5
+_MAX_PROBATION_SHARE = 0.5
 """Where a larger share of the workers has failed so often, it is for what they are given: works
 that always fail once closed all four of four workers to everything else."""
 
 
-class RoomIndex:
+class CapacityIndex:
     """Workers that may take tasks, sorted by free processors within free accelerators.
 
     Room that this node has proposed to use, but whose verdict is not yet known, counts as
@@ -51,7 +51,7 @@
     def update(self, worker: Worker) -> None:
         """Take over a worker's present state."""
         self._workers[worker.name] = worker
-        if worker.streak >= _SET_ASIDE_STREAK:
+        if worker.failure_streak >= _PROBATION_STREAK:
             self._failing.add(worker.name)
         else:
             self._failing.discard(worker.name)
@@ -95,28 +95,28 @@
         for accelerators in sorted(self._buckets):
             if accelerators < size.accelerators:
                 continue
-            for name in self._from_bucket(self._buckets[accelerators], size):
+            for name in self._search_bucket(self._buckets[accelerators], size):
                 found.append(name)
-                if len(found) >= _CANDIDATES:
+                if len(found) >= _MAX_CANDIDATES:
                     return found
         return found
 
-    def _from_bucket(self, bucket: SortedKeyList, size: Size) -> Iterator[str]:
+    def _search_bucket(self, bucket: SortedKeyList, size: Size) -> Iterator[str]:
         first = bucket.bisect_key_left((size.cpu, ""))
         count = len(bucket) - first
-        tight = range(first, min(first + _CANDIDATES // 2, len(bucket)))
+        tight = range(first, min(first + _MAX_CANDIDATES // 2, len(bucket)))
         others = range(tight.stop, len(bucket))
-        picked = self._random.sample(others, min(_CANDIDATES // 2, len(others)))
+        picked = self._random.sample(others, min(_MAX_CANDIDATES // 2, len(others)))
         seen = set(picked)
-        yield from self._holding(bucket, itertools.chain(tight, picked), size)
+        yield from self._filter_fitting(bucket, itertools.chain(tight, picked), size)
         # Where memory is what lacks, the sample may miss the few that still hold the size.
-        if count > _CANDIDATES:
+        if count > _MAX_CANDIDATES:
             rest = (n for n in others if n not in seen)
-            yield from self._holding(bucket, rest, size)
+            yield from self._filter_fitting(bucket, rest, size)
 
-    def _holding(self, bucket: SortedKeyList, numbers, size: Size) -> Iterator[str]:
-        for number in numbers:
-            name = bucket[number][1]
+    def _filter_fitting(self, bucket: SortedKeyList, positions, size: Size) -> Iterator[str]:
+        for position in positions:
+            name = bucket[position][1]
             if self._free[name].holds(size) and not self._is_being_probed(name):
                 yield name
 
@@ -126,5 +126,5 @@
             return False
         if name in self._reserved:
             return True
-        are_few = len(self._failing) <= _MOST_ASIDE * len(self._workers)
-        return are_few and bool(self._workers[name].attempts)
+        is_minority = len(self._failing) <= _MAX_PROBATION_SHARE * len(self._workers)
+        return is_minority and bool(self._workers[name].attempts)
--- a/src/snowdock/decisions/minion_choice.py
+++ b/src/snowdock/decisions/minion_choice.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-__all__ = ["Health", "MinionLike", "choose", "note_result"]
+__all__ = ["MinionHealth", "MinionLike", "choose_minion", "record_result"]
 
-_SET_ASIDE_FAILURES = 3
-_FIRST_PAUSE_SECONDS = 0.5
-_LONGEST_PAUSE_SECONDS = 30.0
+_EXCLUSION_FAILURES = 3
+_INITIAL_EXCLUSION_SECONDS = 0.5
+_MAX_EXCLUSION_SECONDS = 30.0
 
 
 class MinionLike(Protocol):
@@ -20,16 +20,19 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Health:
+class MinionHealth:
     """A minion's record: failures in a row, and until when it is set aside."""
 
     failures: int = 0
-    until: float = 0.0
-    on_probe: bool = False
+    excluded_until: float = 0.0
+    is_probing: bool = False
 
 
-def choose(
-    candidates: Iterable[tuple[MinionLike, int, Health]], hall: str, wanted: str, now: float
+def choose_minion(
+    candidates: Iterable[tuple[MinionLike, int, MinionHealth]],
+    hall: str,
+    session_minion: str,
+    now: float,
 ) -> MinionLike | None:
     """Choose among minions with idle slots.
 
@@ -54,9 +57,11 @@
     """
     best, best_key = None, None
     for minion, idle, health in candidates:
-        if wanted and minion.name != wanted:
+        if session_minion and minion.name != session_minion:
             continue
-        if health.failures >= _SET_ASIDE_FAILURES and (health.on_probe or health.until > now):
+        if health.failures >= _EXCLUSION_FAILURES and (
+            health.is_probing or health.excluded_until > now
+        ):
             continue
         key = (health.failures == 0, minion.hall == hall, idle, random.random())
         if best_key is None or key > best_key:
@@ -64,14 +69,14 @@
     return best
 
 
-def note_result(health: Health, failed: bool, now: float) -> None:
+def record_result(health: MinionHealth, failed: bool, now: float) -> None:
     """Write down how a request to a minion went."""
-    health.on_probe = False
+    health.is_probing = False
     if not failed:
         health.failures = 0
-        health.until = 0.0
+        health.excluded_until = 0.0
         return
     health.failures += 1
-    excess = max(0, health.failures - _SET_ASIDE_FAILURES)
-    pause = min(_FIRST_PAUSE_SECONDS * 2**excess, _LONGEST_PAUSE_SECONDS)
-    health.until = now + pause * random.uniform(0.5, 1.0)
+    excess = max(0, health.failures - _EXCLUSION_FAILURES)
+    pause = min(_INITIAL_EXCLUSION_SECONDS * 2**excess, _MAX_EXCLUSION_SECONDS)
+    health.excluded_until = now + pause * random.uniform(0.5, 1.0)
--- a/src/snowdock/decisions/orders.py
+++ b/src/snowdock/decisions/orders.py
@@ -5,7 +5,7 @@
 
 from ..leases import ORDER_VALID_MS
 from ..platform.workers import AttemptReport, StartOrder, StopOrder, SyncOrder
-from ..state import State, TaskState, VmState, Work, find_named_attempt, parse_attempt_id
+from ..state import State, TaskState, VmState, Work, find_attempt_by_id, parse_attempt_id
 
 __all__ = ["WorkerOrder", "build_order"]
 
@@ -53,7 +53,7 @@
         if task.stopping:
             stop.append(StopOrder(attempt, "stop" if work.cancelled else "checkpoint"))
         elif task.state == TaskState.PLACED:
-            start.append(_start_order(attempt, work, not_after_ms))
+            start.append(_build_start_order(attempt, work, not_after_ms))
         else:
             renew.append(attempt)
     forget = []
@@ -65,7 +65,7 @@
         else:
             # A node that lags behind may see an attempt that it has not read of yet; only
             # one that was surely closed is stopped.
-            found = find_named_attempt(state, attempt)
+            found = find_attempt_by_id(state, attempt)
             if found is not None and found.is_closed:
                 stop.append(StopOrder(attempt, "stop"))
     lease_ms = state.configuration.declarations.limits.lease_ms
@@ -73,7 +73,7 @@
     return WorkerOrder(worker.address, order)
 
 
-def _start_order(attempt: str, work: Work, not_after_ms: int) -> StartOrder:
+def _build_start_order(attempt: str, work: Work, not_after_ms: int) -> StartOrder:
     spec = work.spec
     size = spec.size
     return StartOrder(attempt, size.cpu, size.memory, size.accelerators, spec.run_ms, not_after_ms)
--- a/src/snowdock/decisions/ownership.py
+++ b/src/snowdock/decisions/ownership.py
@@ -6,18 +6,18 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-__all__ = ["owner", "owner_order"]
+__all__ = ["find_owner", "rank_owners"]
 
 
-def owner_order(thing: str, nodes: Iterable[str]) -> list[str]:
+def rank_owners(key: str, nodes: Iterable[str]) -> list[str]:
     """Rank nodes for a thing, the one that should act first."""
-    return sorted(nodes, key=lambda node: _weight(thing, node), reverse=True)
+    return sorted(nodes, key=lambda node: _weight(key, node), reverse=True)
 
 
-def owner(thing: str, nodes: Iterable[str]) -> str | None:
+def find_owner(key: str, nodes: Iterable[str]) -> str | None:
     """Name the node that should act on a thing, or None where there is no node."""
-    return max(nodes, key=lambda node: _weight(thing, node), default=None)
+    return max(nodes, key=lambda node: _weight(key, node), default=None)
 
 
-def _weight(thing: str, node: str) -> bytes:
-    return blake2b(f"{node}\0{thing}".encode(), digest_size=8).digest()
+def _weight(key: str, node: str) -> bytes:
+    return blake2b(f"{node}\0{key}".encode(), digest_size=8).digest()
--- a/src/snowdock/decisions/placements.py
+++ b/src/snowdock/decisions/placements.py
@@ -3,30 +3,30 @@
 import dataclasses
 
 from ..declarations import ZERO, Size, WorkSpec
-from ..policies import PolicyBook
+from ..policies import PolicySet
 from ..records import Placement, TasksPlaced
 from ..state import State, Work
-from .room import RoomIndex
+from .capacity_index import CapacityIndex
 
-__all__ = ["Crowd", "Waiting", "describe", "fits_nowhere", "place"]
+__all__ = ["PlacementCounts", "Unplaced", "describe_work", "fits_nowhere", "place_tasks"]
 
 _FRACTION_STEPS = 20
 """Free fractions are rounded to this many steps, so that scores can be remembered."""
 
-BATCH_TASKS = 256
+MAX_TASKS_PER_RECORD = 256
 """The most tasks that one record places; a gang is never split."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class Unplaced:
     """Why a work cannot be placed now; ``needs_room`` if ending other work would help."""
 
     reason: str
-    needs_room: bool = False
+    needs_capacity: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class Crowd:
+class PlacementCounts:
     """How many tasks of one work stand on each VM, rack and data hall."""
 
     vms: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -43,7 +43,7 @@
             counts[key] = counts.get(key, 0) + 1
 
 
-def describe(spec: WorkSpec, waited_ms: int) -> dict[str, object]:
+def describe_work(spec: WorkSpec, waited_ms: int) -> dict[str, object]:
     """Show a work to a policy program."""
     return {
         "kind": spec.kind,
@@ -64,17 +64,17 @@
     }
 
 
-def fits_nowhere(index: RoomIndex, size: Size) -> bool:
+def fits_nowhere(index: CapacityIndex, size: Size) -> bool:
     """Tell whether no worker could hold a size even when empty."""
     return not any(worker.capacity.holds(size) for worker in index.workers.values())
 
 
-def _affordable(state: State, work: Work, reserved: Size, wanted: int) -> int:
+def _count_within_quota(state: State, work: Work, reserved: Size, wanted: int) -> int:
     """Count the tasks that the team's quota still allows."""
     team = state.configuration.declarations.teams.get(work.spec.team)
     if team is None:
         return 0
-    left = team.quota.minus(state.usage.get(work.spec.team, ZERO)).minus(reserved)
+    left = team.quota.minus(state.team_usage.get(work.spec.team, ZERO)).minus(reserved)
     size = work.spec.size
     counts = [wanted]
     for have, need in (
@@ -87,9 +87,9 @@
     return max(0, min(counts))
 
 
-def place(
-    work: Work, state: State, index: RoomIndex, policies: PolicyBook, reserved: Size
-) -> TasksPlaced | Waiting:
+def place_tasks(
+    work: Work, state: State, index: CapacityIndex, policies: PolicySet, reserved: Size
+) -> TasksPlaced | Unplaced:
     """Choose workers for a work's queued tasks.
 
     Parameters
@@ -112,69 +112,73 @@
     """
     queued = work.queued
     spec = work.spec
-    if spec.kind == "gang" and any(task.holds_room for task in work.tasks):
-        return Waiting("the rest of the gang is being stopped")
-    wanted = len(queued) if spec.kind == "gang" else min(len(queued), BATCH_TASKS)
-    count = _affordable(state, work, reserved, wanted)
+    if spec.kind == "gang" and any(task.is_assigned for task in work.tasks):
+        return Unplaced("the rest of the gang is being stopped")
+    wanted = len(queued) if spec.kind == "gang" else min(len(queued), MAX_TASKS_PER_RECORD)
+    count = _count_within_quota(state, work, reserved, wanted)
     if count == 0 or (spec.kind == "gang" and count < wanted):
-        return Waiting(f"team {spec.team} is at its quota")
-    chosen = _choose(work, count, index, policies)
+        return Unplaced(f"team {spec.team} is at its quota")
+    chosen = _choose_workers(work, count, index, policies)
     if not chosen or (spec.kind == "gang" and len(chosen) < wanted):
         for name in chosen:
             index.release(name, spec.size)
-        return _explain(index, spec)
+        return _build_unplaced(index, spec)
     return TasksPlaced(
         work.number,
         [Placement(task, name) for task, name in zip(queued, chosen, strict=False)],
     )
 
 
-def _explain(index: RoomIndex, spec: WorkSpec) -> Waiting:
+def _build_unplaced(index: CapacityIndex, spec: WorkSpec) -> Unplaced:
     if fits_nowhere(index, spec.size):
-        return Waiting("no worker could ever hold one task")
+        return Unplaced("no worker could ever hold one task")
     if spec.kind == "gang":
-        return Waiting(f"no room for all {spec.tasks} tasks at once", needs_room=True)
-    return Waiting("no room now", needs_room=True)
+        return Unplaced(f"no room for all {spec.tasks} tasks at once", needs_capacity=True)
+    return Unplaced("no room now", needs_capacity=True)
 
 
-def _choose(work: Work, count: int, index: RoomIndex, policies: PolicyBook) -> list[str]:
-    crowd = Crowd()
+def _choose_workers(work: Work, count: int, index: CapacityIndex, policies: PolicySet) -> list[str]:
+    counts = PlacementCounts()
     for task in work.tasks:
-        if task.holds_room:
-            crowd.add(index.workers[task.worker])
-    described = describe(work.spec, 0)
+        if task.is_assigned:
+            counts.add(index.workers[task.worker])
+    work_view = describe_work(work.spec, 0)
     chosen: list[str] = []
     for _ in range(count):
-        name = _best(work.spec, described, crowd, index, policies)
+        name = _find_best_worker(work.spec, work_view, counts, index, policies)
         if name is None:
             break
         index.reserve(name, work.spec.size)
-        crowd.add(index.workers[name])
+        counts.add(index.workers[name])
         chosen.append(name)
     return chosen
 
 
-def _best(
-    spec: WorkSpec, described: dict, crowd: Crowd, index: RoomIndex, policies: PolicyBook
+def _find_best_worker(
+    spec: WorkSpec,
+    work_view: dict,
+    counts: PlacementCounts,
+    index: CapacityIndex,
+    policies: PolicySet,
 ) -> str | None:
     best, best_score = None, None
     for name in index.candidates(spec.size):
-        score = policies.score(spec.kind, described, _show_vm(index, name, crowd))
+        score = policies.score(spec.kind, work_view, _describe_worker(index, name, counts))
         if score is not None and (best_score is None or score > best_score):
             best, best_score = name, score
     return best
 
 
-def _show_vm(index: RoomIndex, name: str, crowd: Crowd) -> dict[str, object]:
+def _describe_worker(index: CapacityIndex, name: str, counts: PlacementCounts) -> dict[str, object]:
     """Show a worker to a policy program, coarsely, so that equal ones look equal."""
     worker = index.workers[name]
     fraction = index.free(name).cpu / worker.capacity.cpu
     return {
         "free_fraction": round(fraction * _FRACTION_STEPS) / _FRACTION_STEPS,
-        "failure_streak": worker.streak,
-        "same_vm": crowd.vms.get(name, 0),
-        "same_rack": crowd.racks.get(worker.rack, 0),
-        "same_hall": crowd.halls.get(worker.hall, 0),
+        "failure_streak": worker.failure_streak,
+        "same_vm": counts.vms.get(name, 0),
+        "same_rack": counts.racks.get(worker.rack, 0),
+        "same_hall": counts.halls.get(worker.hall, 0),
         "accelerators": worker.capacity.accelerators,
         # Declared work does not tell how far it is, so nothing is known of its workers' speed.
         "slowness": 1.0,
--- a/src/snowdock/decisions/preemption.py
+++ b/src/snowdock/decisions/preemption.py
@@ -5,27 +5,27 @@
 from collections.abc import Iterator
 
 from ..declarations import ZERO, Size
-from ..policies import PolicyBook
+from ..policies import PolicySet
 from ..records import StopRequested
 from ..state import State, VmState, Work, Worker, parse_attempt_id
-from .placements import describe
+from .placements import describe_work
 
-__all__ = ["make_room"]
+__all__ = ["choose_preemptions"]
 
-_LOOKED_AT = 24
+_MIN_SAMPLED_WORKERS = 24
 """Workers that are looked at for one decision."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Plan:
+class _PreemptionPlan:
     """What has to end on one worker so that a task fits there."""
 
     stops: list[StopRequested] = dataclasses.field(default_factory=list)
     freed: Size = ZERO
 
 
-def make_room(
-    work: Work, state: State, policies: PolicyBook, source: random.Random
+def choose_preemptions(
+    work: Work, state: State, policies: PolicySet, rng: random.Random
 ) -> list[StopRequested]:
     """Choose running attempts to end so that a work's queued tasks find room.
 
@@ -49,8 +49,8 @@
     live = [w for w in state.workers.values() if w.state == VmState.LIVE]
     live = [w for w in live if w.capacity.holds(work.spec.size)]
     wanted = len(work.queued)
-    looked_at = source.sample(live, min(len(live), max(_LOOKED_AT, 2 * wanted)))
-    plans = [_plan(work, worker, state, policies) for worker in looked_at]
+    sampled = rng.sample(live, min(len(live), max(_MIN_SAMPLED_WORKERS, 2 * wanted)))
+    plans = [_plan_worker(work, worker, state, policies) for worker in sampled]
     found = sorted((plan for plan in plans if plan is not None), key=lambda p: len(p.stops))
     chosen = found[:wanted]
     if work.spec.kind == "gang" and len(chosen) < wanted:
@@ -58,23 +58,25 @@
     return [stop for plan in chosen for stop in plan.stops]
 
 
-def _plan(work: Work, worker: Worker, state: State, policies: PolicyBook) -> _Plan | None:
+def _plan_worker(
+    work: Work, worker: Worker, state: State, policies: PolicySet
+) -> _PreemptionPlan | None:
     """Plan for one worker; None where the allowed ends would not free enough."""
-    plan = _Plan()
+    plan = _PreemptionPlan()
     missing = work.spec.size.minus(worker.free)
-    described = describe(work.spec, 0)
-    leaving = _stopping_size(worker, state)
-    if leaving.holds(missing):
+    work_view = describe_work(work.spec, 0)
+    stopping = _stopping_size(worker, state)
+    if stopping.holds(missing):
         # Enough is on its way out already; ending more would be waste.
         return None
-    for number, task, attempt, victim in _victims(worker, state):
-        if plan.freed.plus(leaving).holds(missing):
+    for number, task, attempt, victim in _find_victims(worker, state):
+        if plan.freed.plus(stopping).holds(missing):
             break
-        how = policies.call(work.spec.kind, "preempt", described, describe(victim.spec, 0))
+        how = policies.call(work.spec.kind, "preempt", work_view, describe_work(victim.spec, 0))
         if how:
             plan.stops.append(StopRequested(number, task, attempt, how))
             plan.freed = plan.freed.plus(victim.spec.size)
-    return plan if plan.stops and plan.freed.plus(leaving).holds(missing) else None
+    return plan if plan.stops and plan.freed.plus(stopping).holds(missing) else None
 
 
 def _stopping_size(worker: Worker, state: State) -> Size:
@@ -86,7 +88,7 @@
     return total
 
 
-def _victims(worker: Worker, state: State) -> Iterator[tuple[int, int, int, Work]]:
+def _find_victims(worker: Worker, state: State) -> Iterator[tuple[int, int, int, Work]]:
     """Give the attempts that may be ended, the lowest priority first."""
     found = []
     for name in worker.attempts:
--- a/src/snowdock/decisions/retries.py
+++ b/src/snowdock/decisions/retries.py
@@ -4,13 +4,13 @@
 
 __all__ = ["RetryBudget", "backoff_seconds"]
 
-_FIRST_SECONDS = 0.02
-_LONGEST_SECONDS = 1.0
-_RATIO = 0.1
-_MOST = 20.0
+_INITIAL_BACKOFF_SECONDS = 0.02
+_MAX_BACKOFF_SECONDS = 1.0
+_TOKENS_PER_SUCCESS = 0.1
+_MAX_TOKENS = 20.0
 
 
-def backoff_seconds(tries: int, fraction: float) -> float:
+def backoff_seconds(tries: int, jitter: float) -> float:
     """Give the pause before another try, with full jitter.
 
     Parameters
@@ -25,14 +25,14 @@
     float
         Seconds.
     """
-    return min(_FIRST_SECONDS * 2 ** (tries - 1), _LONGEST_SECONDS) * fraction
+    return min(_INITIAL_BACKOFF_SECONDS * 2 ** (tries - 1), _MAX_BACKOFF_SECONDS) * jitter
 
 
 class RetryBudget:
     """Allows retries in proportion to successes, so that they never multiply an overload."""
 
     def __init__(self) -> None:
-        self._tokens = _MOST
+        self._tokens = _MAX_TOKENS
         self._lock = threading.Lock()
 
     @property
@@ -40,12 +40,12 @@
         """Retries that may be made now."""
         return self._tokens
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Earn a part of a retry."""
         with self._lock:
-            self._tokens = min(_MOST, self._tokens + _RATIO)
+            self._tokens = min(_MAX_TOKENS, self._tokens + _TOKENS_PER_SUCCESS)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend a retry, if there is one."""
         with self._lock:
             if self._tokens < 1:
--- a/src/snowdock/decisions/shares.py
+++ b/src/snowdock/decisions/shares.py
@@ -2,9 +2,9 @@
 
 import dataclasses
 
-from ..reducer import slots_of
+from ..reducer import count_minion_slots
 from ..state import MemberState, Minion, State, VmState
-from .ownership import owner_order
+from .ownership import rank_owners
 
 __all__ = ["MinionView", "target_share", "view_minions"]
 
@@ -23,7 +23,7 @@
     address: str
     share: int
     target: int
-    unshared: int
+    unassigned: int
     is_live: bool
 
 
@@ -46,14 +46,18 @@
         One for each minion.
     """
     live = [m.name for m in state.members.values() if m.state == MemberState.LIVE]
-    return tuple(_view(state, minion, node, live, now_ms) for minion in state.minions.values())
+    return tuple(
+        _build_view(state, minion, node, live, now_ms) for minion in state.minions.values()
+    )
 
 
-def _view(state: State, minion: Minion, node: str, live: list[str], now_ms: int) -> MinionView:
-    slots = slots_of(state, minion)
+def _build_view(
+    state: State, minion: Minion, node: str, live: list[str], now_ms: int
+) -> MinionView:
+    slots = count_minion_slots(state, minion)
     cooling = sum(
         entry.slots
-        for entry in state.cooling
+        for entry in state.cooling_slots
         if entry.minion == minion.name and entry.until_ms > now_ms
     )
     return MinionView(
@@ -63,7 +67,7 @@
         address=minion.address,
         share=minion.shares.get(node, 0),
         target=target_share(minion.name, slots, node, live),
-        unshared=slots - cooling - sum(minion.shares.values()),
+        unassigned=slots - cooling - sum(minion.shares.values()),
         is_live=minion.state == VmState.LIVE,
     )
 
@@ -92,5 +96,5 @@
     """
     if node not in nodes:
         return 0
-    place = owner_order(f"minion/{minion}", nodes).index(node)
-    return slots // len(nodes) + (place < slots % len(nodes))
+    rank = rank_owners(f"minion/{minion}", nodes).index(node)
+    return slots // len(nodes) + (rank < slots % len(nodes))
--- a/src/snowdock/decisions/worker_reports.py
+++ b/src/snowdock/decisions/worker_reports.py
@@ -3,14 +3,14 @@
 from ..declarations import Size
 from ..platform.workers import SyncAnswer
 from ..records import AttemptEnded, AttemptStarted, Record, WorkerSeen
-from ..state import State, TaskState, find_named_attempt
+from ..state import State, TaskState, find_attempt_by_id
 
-__all__ = ["judge_answer"]
+__all__ = ["derive_records"]
 
 _RUNNING = "running"
 
 
-def judge_answer(state: State, name: str, answer: SyncAnswer) -> list[Record]:
+def derive_records(state: State, name: str, answer: SyncAnswer) -> list[Record]:
     """Work out what is to be recorded of a worker's answer.
 
     Parameters
@@ -34,15 +34,15 @@
     if answer.boot != worker.boot:
         capacity = Size(answer.cpu, answer.memory, answer.accelerators)
         return [WorkerSeen(name, answer.boot, capacity, worker.rack, worker.hall, worker.address)]
-    records = (_judge(state, attempt, r.state) for attempt, r in answer.attempts.items())
+    records = (_derive_record(state, attempt, r.state) for attempt, r in answer.attempts.items())
     return [record for record in records if record is not None]
 
 
-def _judge(state: State, name: str, told: str) -> Record | None:
-    found = find_named_attempt(state, name)
+def _derive_record(state: State, name: str, reported_state: str) -> Record | None:
+    found = find_attempt_by_id(state, name)
     if found is None or not found.is_current:
         return None
-    ids = (found.work.number, found.number, found.count)
-    if told != _RUNNING:
-        return AttemptEnded(*ids, told)
+    ids = (found.work.number, found.task_number, found.attempt_number)
+    if reported_state != _RUNNING:
+        return AttemptEnded(*ids, reported_state)
     return AttemptStarted(*ids) if found.task.state == TaskState.PLACED else None
--- a/src/snowdock/declarations.py
+++ b/src/snowdock/declarations.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from .errors import DeclarationError, DeclarationErrors
-from .programs import shipped_programs
+from .programs import builtin_programs
 
 __all__ = [
     "KINDS",
@@ -379,7 +379,7 @@
         section = f"policy {kind}"
         if kind not in KINDS:
             errors.append(_reference(section, "", f"unknown kind of work; known: {KINDS}"))
-        if policy.program not in {**shipped_programs(), **declarations.programs}:
+        if policy.program not in {**builtin_programs(), **declarations.programs}:
             errors.append(_reference(section, "program", f"no file {policy.program}"))
     for name, service in declarations.services.items():
         if service.team not in declarations.teams:
--- a/src/snowdock/effects.py
+++ b/src/snowdock/effects.py
@@ -10,14 +10,14 @@
     "Accepted",
     "AttemptAssigned",
     "AttemptClosed",
-    "BatchJudged",
+    "BatchApplied",
     "ConfigurationInForce",
     "Effect",
     "MembersChanged",
+    "Rejected",
     "SharesChanged",
-    "StopWanted",
+    "StopRequired",
     "Verdict",
-    "Void",
     "WorkFinished",
     "WorkQueued",
     "WorkerAdded",
@@ -33,17 +33,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Void:
+class Rejected:
     """A record was found invalid at its offset and changed nothing."""
 
     reason: str
 
 
-Verdict = Accepted | Void
+Verdict = Accepted | Rejected
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BatchJudged:
+class BatchApplied:
     """The verdicts on one batch, a verdict for each record."""
 
     node: str
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StopWanted:
+class StopRequired:
     """An attempt is to be ended; ``how`` is ``checkpoint`` or ``stop``."""
 
     work: int
@@ -133,13 +133,13 @@
 
 
 Effect = (
-    BatchJudged
+    BatchApplied
     | ConfigurationInForce
     | WorkQueued
     | WorkFinished
     | AttemptAssigned
     | AttemptClosed
-    | StopWanted
+    | StopRequired
     | WorkerAdded
     | WorkerWithdrawn
     | MembersChanged
--- a/src/snowdock/jobs/policy.py
+++ b/src/snowdock/jobs/policy.py
@@ -5,7 +5,7 @@
 
 from ..declarations import Declarations
 from ..declarations import Policy as PolicyChoice
-from ..policies import Alarm, PolicyBook
+from ..policies import PolicyFailure, PolicySet
 from .cell import Cell, Policy
 from .parts import Step
 from .shares import share_used
@@ -26,7 +26,7 @@
 """Slowness is rounded to a fifth, for the same reason."""
 
 
-def make_policy(alarm: Callable[[Alarm], None], cell_of: Callable[[], Cell]) -> Policy:
+def make_policy(alarm: Callable[[PolicyFailure], None], cell_of: Callable[[], Cell]) -> Policy:
     """Make the decisions of a leader from the shipped programs.
 
     Parameters
@@ -37,7 +37,7 @@
         Gives the leader's state, for the terms of queues.
     """
     choice = PolicyChoice(_PROGRAM)
-    book = PolicyBook(alarm)
+    book = PolicySet(alarm)
     book.replace(Declarations(policies={"batch": choice, "gang": choice}))
 
     def rank(step: Step, now: float) -> float:
--- a/src/snowdock/node/api.py
+++ b/src/snowdock/node/api.py
@@ -9,7 +9,7 @@
 import pykka
 
 from ..clocks import steady_seconds
-from ..decisions.placements import describe, fits_nowhere
+from ..decisions.placements import describe_work, fits_nowhere
 from ..declarations import WorkSpec, parse_declarations, parse_work
 from ..effects import Accepted, Verdict
 from ..errors import (
@@ -29,9 +29,9 @@
     WorkImpossible,
 )
 from ..logs import log_error, log_event
-from ..policies import PolicyBook
+from ..policies import PolicySet
 from ..records import ConfigurationProposed, Record, WorkCancelled, WorkSubmitted
-from ..reducer import offset_of
+from ..reducer import submission_offset
 from . import reports
 from .calls import read_call, show_outcome
 from .http_models import HttpAnswer, HttpRequest, json_answer, problem_answer
@@ -236,7 +236,7 @@
             work = parts.state.works.get(int(number))
             return None if work is None else reports.work_report(parts, work, True)
 
-        self._catch_up(offset_of(int(number)))
+        self._catch_up(submission_offset(int(number)))
         found = self._view(show)
         if found is None:
             raise NotFound(f"no work {number}")
@@ -276,7 +276,7 @@
         except msgspec.MsgspecError as error:
             raise InvalidInput(f"the body does not fit: {error}") from error
         declarations = parse_declarations(change.files)
-        PolicyBook.check(declarations)
+        PolicySet.check(declarations)
         if request.option("dry_run") == "true":
             return json_answer(Changed(0))
         (verdict,) = self._propose(
@@ -324,7 +324,7 @@
             index = parts.scheduler.index
             if len(index) and fits_nowhere(index, spec.size):
                 return "no worker could ever hold one task"
-            admitted = parts.policies.call(spec.kind, "admit", describe(spec, 0))
+            admitted = parts.policies.call(spec.kind, "admit", describe_work(spec, 0))
             return "" if admitted is True else f"the policy does not admit it: {admitted}"
 
         problem = self._view(check)
--- a/src/snowdock/node/hints.py
+++ b/src/snowdock/node/hints.py
@@ -63,4 +63,4 @@
 
     def is_own(self, thing: str) -> bool:
         """Tell whether this node should act on a thing."""
-        return ownership.owner(thing, self._active) == self._name
+        return ownership.find_owner(thing, self._active) == self._name
--- a/src/snowdock/node/messages.py
+++ b/src/snowdock/node/messages.py
@@ -6,7 +6,7 @@
 import pykka
 
 from ..decisions.shares import MinionView
-from ..effects import BatchJudged
+from ..effects import BatchApplied
 from ..platform.logs import RawEntry
 from ..platform.workers import SyncAnswer
 from ..records import Record
@@ -60,7 +60,7 @@
 class BatchSeen:
     """A batch of this node was read back and judged."""
 
-    judged: BatchJudged
+    judged: BatchApplied
 
 
 @_message
--- a/src/snowdock/node/reports.py
+++ b/src/snowdock/node/reports.py
@@ -82,7 +82,7 @@
             worker.capacity,
             worker.used,
             len(worker.attempts),
-            worker.streak,
+            worker.failure_streak,
         )
         for worker in parts.state.workers.values()
     ]
--- a/src/snowdock/node/requests.py
+++ b/src/snowdock/node/requests.py
@@ -345,7 +345,7 @@
         """Decide after one try: the final outcome, or None for another try."""
         request = work.request
         if exchange.result == ExchangeResult.RAN:
-            self._budget.note_success()
+            self._budget.record_success()
             answer = exchange.answer
             return CallOutcome(
                 "ran", answer.status, answer.headers, answer.body, minion=slot.minion
@@ -360,7 +360,7 @@
         work.failed.add(slot.minion)
         pause = backoff_seconds(work.tries, secrets.SystemRandom().random())
         is_last = work.tries >= _MAX_TRIES or pause >= work.seconds_left
-        if is_last or not self._budget.take():
+        if is_last or not self._budget.try_spend():
             return _given_up(work, exchange.reason, _LOG_RETRY_SECONDS)
         self._metrics.count("retries_total", "Tries after the first one.")
         time.sleep(pause)
--- a/src/snowdock/node/router.py
+++ b/src/snowdock/node/router.py
@@ -7,7 +7,7 @@
 import pykka
 
 from ..clocks import steady_seconds
-from ..decisions.minion_choice import Health, choose, note_result
+from ..decisions.minion_choice import MinionHealth, choose_minion, record_result
 from ..decisions.shares import MinionView
 from ..records import SlotsReturned, SlotsTaken
 from .messages import (
@@ -44,7 +44,7 @@
     in_use: int = 0
     returning: int = 0
     taking_since: float = -_REPROPOSE_SECONDS
-    health: Health = dataclasses.field(default_factory=Health)
+    health: MinionHealth = dataclasses.field(default_factory=MinionHealth)
 
     @property
     def usable(self) -> int:
@@ -140,12 +140,12 @@
             for slots in self._by_group.get(message.group, ())
             if slots.idle > 0 and slots.view.name not in message.excluded
         )
-        found = choose(candidates, self._hall, message.wanted, now)
+        found = choose_minion(candidates, self._hall, message.wanted, now)
         if found is None:
             return False
         slots = self._slots[found.name]
         slots.in_use += 1
-        slots.health.on_probe = slots.health.failures > 0
+        slots.health.is_probing = slots.health.failures > 0
         message.slot.set(Granted(found.name, found.address))
         return True
 
@@ -200,7 +200,7 @@
         if slots is None:
             return
         now = steady_seconds()
-        note_result(slots.health, message.failed, now)
+        record_result(slots.health, message.failed, now)
         if message.hold_seconds:
             heapq.heappush(self._held, (now + message.hold_seconds, message.minion))
             return
@@ -270,7 +270,7 @@
             if giving > 0:
                 slots.returning += giving
                 records.append(SlotsReturned(view.name, giving))
-            wanted = min(-surplus, view.unshared)
+            wanted = min(-surplus, view.unassigned)
             if wanted > 0 and now - slots.taking_since > _REPROPOSE_SECONDS:
                 slots.taking_since = now
                 records.append(SlotsTaken(view.name, wanted))
--- a/src/snowdock/node/scheduler.py
+++ b/src/snowdock/node/scheduler.py
@@ -4,12 +4,12 @@
 import random
 
 from ..clocks import steady_seconds
-from ..decisions.placements import Waiting, describe, place
-from ..decisions.preemption import make_room
-from ..decisions.room import RoomIndex
+from ..decisions.capacity_index import CapacityIndex
+from ..decisions.placements import Unplaced, describe_work, place_tasks
+from ..decisions.preemption import choose_preemptions
 from ..declarations import ZERO, Size
 from ..effects import Accepted, Verdict
-from ..policies import PolicyBook
+from ..policies import PolicySet
 from ..records import StopRequested, TasksPlaced
 from ..state import State, Work
 
@@ -49,10 +49,10 @@
         Spreads the choices of several nodes.
     """
 
-    def __init__(self, policies: PolicyBook, random_source: random.Random) -> None:
+    def __init__(self, policies: PolicySet, random_source: random.Random) -> None:
         self._policies = policies
         self._random = random_source
-        self._index = RoomIndex(random_source)
+        self._index = CapacityIndex(random_source)
         self._queue: dict[int, _Queued] = {}
         self._proposed: dict[int, TasksPlaced] = {}
         self._reserved: dict[str, Size] = {}
@@ -60,7 +60,7 @@
         self._dirty = True
 
     @property
-    def index(self) -> RoomIndex:
+    def index(self) -> CapacityIndex:
         """Free room as this node sees it."""
         return self._index
 
@@ -94,7 +94,7 @@
 
     def delay(self, work: Work, failures: int) -> None:
         """Hold a work back after a failure, for as long as its policy says."""
-        described = describe(work.spec, 0)
+        described = describe_work(work.spec, 0)
         seconds = self._policies.call(work.spec.kind, "backoff_seconds", described, failures)
         entry = self._queue.get(work.number)
         if entry is not None:
@@ -108,7 +108,7 @@
         """Ask the policies for each queued work's rank."""
         for number, entry in self._queue.items():
             work = state.works[number]
-            described = describe(work.spec, max(0, state.now_ms - work.submitted_ms))
+            described = describe_work(work.spec, max(0, state.now_ms - work.submitted_ms))
             entry.rank = float(self._policies.call(work.spec.kind, "rank", described))
         self._dirty = True
 
@@ -131,7 +131,7 @@
         now = steady_seconds()
         result = Pass()
         records = result.placements
-        hopeless: dict[tuple, Waiting] = {}
+        hopeless: dict[tuple, Unplaced] = {}
         for entry in sorted(self._queue.values(), key=lambda e: (-e.rank, e.work)):
             if entry.work in self._proposed:
                 continue
@@ -141,17 +141,17 @@
             placed = self._place(state, entry.work, hopeless)
             if isinstance(placed, TasksPlaced):
                 records.append(placed)
-            elif placed.needs_room and entry.next_preemption <= now:
+            elif placed.needs_capacity and entry.next_preemption <= now:
                 # What is asked to end needs a while to do so.
                 entry.next_preemption = now + _PREEMPTION_SECONDS
                 work = state.works[entry.work]
-                result.stops += make_room(work, state, self._policies, self._random)
+                result.stops += choose_preemptions(work, state, self._policies, self._random)
             if len(records) >= _PASS_RECORDS:
                 self._dirty = True
                 break
         return result
 
-    def _place(self, state: State, number: int, hopeless: dict[tuple, Waiting]):
+    def _place(self, state: State, number: int, hopeless: dict[tuple, Unplaced]):
         work = state.works[number]
         spec = work.spec
         # One failed try stands for all works of the same shape in this pass.
@@ -160,8 +160,8 @@
             self._reasons[number] = hopeless[shape].reason
             return hopeless[shape]
         reserved = self._reserved.get(spec.team, ZERO)
-        result = place(work, state, self._index, self._policies, reserved)
-        if isinstance(result, Waiting):
+        result = place_tasks(work, state, self._index, self._policies, reserved)
+        if isinstance(result, Unplaced):
             hopeless[shape] = result
             self._reasons[number] = result.reason
             return result
--- a/src/snowdock/node/state_actor.py
+++ b/src/snowdock/node/state_actor.py
@@ -10,16 +10,16 @@
 from ..clocks import steady_seconds
 from ..decisions import ownership
 from ..decisions.shares import view_minions
-from ..decisions.worker_reports import judge_answer
+from ..decisions.worker_reports import derive_records
 from ..effects import (
     AttemptAssigned,
     AttemptClosed,
-    BatchJudged,
+    BatchApplied,
     ConfigurationInForce,
     MembersChanged,
+    Rejected,
     SharesChanged,
-    StopWanted,
-    Void,
+    StopRequired,
     WorkerAdded,
     WorkerWithdrawn,
     WorkFinished,
@@ -28,7 +28,7 @@
 from ..errors import InvalidInput
 from ..leases import earliest_loss_ms
 from ..logs import log_error, log_event
-from ..policies import Alarm, PolicyBook
+from ..policies import PolicyFailure, PolicySet
 from ..records import (
     AttemptLost,
     AttemptStarted,
@@ -86,7 +86,7 @@
     state: State
     active: tuple[str, ...]
     scheduler: Scheduler
-    policies: PolicyBook
+    policies: PolicySet
     serving: bool
     ready: bool
     log_end: int
@@ -109,7 +109,7 @@
         self._parts = parts
         self._metrics = metrics
         self._state = State()
-        self._policies = PolicyBook(self._raise_alarm)
+        self._policies = PolicySet(self._raise_alarm)
         self._scheduler = Scheduler(self._policies, random.Random())
         timing = parts.settings.timing
         self._hints = Hints(self._name, timing.silence_ms / 1000, lambda: parts.reaches_log)
@@ -135,13 +135,13 @@
             LogFailed: self._log_failed,
         }
         self._effect_handlers: dict[type, Callable] = {
-            BatchJudged: self._on_judged,
+            BatchApplied: self._on_judged,
             ConfigurationInForce: self._on_configuration,
             WorkQueued: self._on_queued,
             WorkFinished: self._on_finished,
             AttemptAssigned: self._on_assigned,
             AttemptClosed: self._on_closed,
-            StopWanted: self._on_stop_wanted,
+            StopRequired: self._on_stop_wanted,
             WorkerAdded: self._on_worker,
             WorkerWithdrawn: self._on_worker,
             MembersChanged: self._on_members,
@@ -220,8 +220,8 @@
 
     # -- effects ---------------------------------------------------------------------------
 
-    def _on_judged(self, effect: BatchJudged) -> None:
-        voids = [verdict for verdict in effect.verdicts if isinstance(verdict, Void)]
+    def _on_judged(self, effect: BatchApplied) -> None:
+        voids = [verdict for verdict in effect.verdicts if isinstance(verdict, Rejected)]
         if effect.incarnation != self._parts.incarnation:
             return
         if voids:
@@ -266,7 +266,7 @@
             self._scheduler.delay(work, work.tasks[effect.task].failures)
         self._scheduler.note_room()
 
-    def _on_stop_wanted(self, effect: StopWanted) -> None:
+    def _on_stop_wanted(self, effect: StopRequired) -> None:
         self._poke(effect.worker)
 
     def _on_worker(self, effect: WorkerAdded | WorkerWithdrawn) -> None:
@@ -302,7 +302,7 @@
             worker.name: worker.address
             for worker in self._state.workers.values()
             if worker.state != VmState.GONE
-            and ownership.owner(f"worker/{worker.name}", nodes) == self._name
+            and ownership.find_owner(f"worker/{worker.name}", nodes) == self._name
         }
         self._parts.driver.tell(AssignmentChanged(own))
 
@@ -314,7 +314,7 @@
             for number, work in self._state.works.items()
             if not work.finished_ms
             and work.queued
-            and ownership.owner(f"work/{number}", nodes) == self._name
+            and ownership.find_owner(f"work/{number}", nodes) == self._name
         }
         self._scheduler.keep_only(own)
         self._next_rerank = 0.0
@@ -337,7 +337,7 @@
             self._on_members(MembersChanged())
         self._declare_lost()
         self._maybe_snapshot()
-        if self._state.cooling and now >= self._next_cooling_look:
+        if self._state.cooling_slots and now >= self._next_cooling_look:
             self._next_cooling_look = now + _COOLING_LOOK_SECONDS
             self._refresh_minions()
         wake = self._scheduler.next_wake
@@ -441,7 +441,7 @@
         self._metrics.count("worker_sync_failures_total", "Calls to workers that failed.")
 
     def _sync_answered(self, message: SyncAnswered) -> None:
-        records = judge_answer(self._state, message.worker, message.answer)
+        records = derive_records(self._state, message.worker, message.answer)
         fresh = [record for record in records if self._repeats.may_pass(record)]
         for record in fresh:
             if isinstance(record, AttemptStarted) and record.attempt == 1:
@@ -472,6 +472,6 @@
             )
         )
 
-    def _raise_alarm(self, alarm: Alarm) -> None:
+    def _raise_alarm(self, alarm: PolicyFailure) -> None:
         log_error("policy_failed", alarm.problem, program=alarm.program, function=alarm.function)
         self._metrics.count("policy_failures_total", "Policy calls that failed.")
--- a/src/snowdock/node/vm_watcher.py
+++ b/src/snowdock/node/vm_watcher.py
@@ -55,7 +55,9 @@
             raise TypeError(type(message).__name__)
         name = self._parts.settings.node.name
         watches = self._parts.state.ask(
-            View(lambda parts: parts.ready and ownership.owner("vm-list", parts.active) == name)
+            View(
+                lambda parts: parts.ready and ownership.find_owner("vm-list", parts.active) == name
+            )
         )
         if not watches:
             return
--- a/src/snowdock/policies.py
+++ b/src/snowdock/policies.py
@@ -13,21 +13,21 @@
 
 from .declarations import KINDS, Declarations
 from .errors import DeclarationError, DeclarationErrors, PolicyError
-from .programs import shipped_programs
+from .programs import builtin_programs
 
-__all__ = ["Alarm", "PolicyBook", "Program", "compile_program"]
+__all__ = ["PolicyFailure", "PolicySet", "Program", "compile_program"]
 
-CALL_SECONDS = 0.01
+CALL_TIMEOUT_SECONDS = 0.01
 """The longest that one call may take; a call that takes longer fails."""
 
 _FUNCTIONS = ("admit", "rank", "score", "preempt", "backoff_seconds")
-_SHIPPED_FOR_KIND = {
+_BUILTIN_FOR_KIND = {
     "service": "service_spread.star",
     "batch": "waiting_first.star",
     "gang": "gang.star",
 }
-_PREEMPTIONS = ("", "checkpoint", "stop")
-_CACHE_ENTRIES = 50_000
+_PREEMPT_RESULTS = ("", "checkpoint", "stop")
+_MAX_CACHED_SCORES = 50_000
 
 _SAMPLE_WORK = {
     "kind": "batch",
@@ -71,13 +71,13 @@
     "admit": (lambda v: v is True or isinstance(v, str), "True or a reason"),
     "rank": (_is_number, "a number"),
     "score": (lambda v: v is None or _is_number(v), "a number, or None for unfit"),
-    "preempt": (lambda v: v in _PREEMPTIONS, "'', 'checkpoint' or 'stop'"),
+    "preempt": (lambda v: v in _PREEMPT_RESULTS, "'', 'checkpoint' or 'stop'"),
     "backoff_seconds": (lambda v: _is_number(v) and v >= 0, "a number that is not negative"),
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Alarm:
+class PolicyFailure:
     """A program failed at run time and a shipped one answered in its place."""
 
     program: str
@@ -105,22 +105,22 @@
         PolicyError
             If it fails, takes longer than `CALL_SECONDS`, or gives an unusable result.
         """
-        end = time.perf_counter() + CALL_SECONDS
-        options = starlark.EvalOptions(check_cancelled=lambda: time.perf_counter() > end)
+        deadline = time.perf_counter() + CALL_TIMEOUT_SECONDS
+        options = starlark.EvalOptions(check_cancelled=lambda: time.perf_counter() > deadline)
         try:
             value = self._module.call_with(options, function, *arguments).value
         except starlark.StarlarkError as error:
-            raise PolicyError(f"{self._name}: {function}: {_first_line(error)}") from error
-        is_good, expected = _RESULT_CHECKS[function]
-        if not is_good(value):
+            raise PolicyError(f"{self._name}: {function}: {_format_error(error)}") from error
+        is_valid, expected = _RESULT_CHECKS[function]
+        if not is_valid(value):
             raise PolicyError(f"{self._name}: {function} gave {value!r}, expected {expected}")
         return value
 
 
-def _first_line(error: Exception) -> str:
+def _format_error(error: Exception) -> str:
     lines = [line.strip() for line in str(error).splitlines()]
-    told = [line for line in lines if line.startswith(("error", "-->"))]
-    return " ".join(told) or " ".join(lines)
+    relevant = [line for line in lines if line.startswith(("error", "-->"))]
+    return " ".join(relevant) or " ".join(lines)
 
 
 def compile_program(name: str, text: str) -> Program:
@@ -144,13 +144,13 @@
         With the line, if it does not compile or fails on a sample.
     """
     module = starlark.Module()
-    end = time.perf_counter() + CALL_SECONDS
-    options = starlark.EvalOptions(check_cancelled=lambda: time.perf_counter() > end)
+    deadline = time.perf_counter() + CALL_TIMEOUT_SECONDS
+    options = starlark.EvalOptions(check_cancelled=lambda: time.perf_counter() > deadline)
     try:
         tree = starlark.parse(name, text)
         starlark.eval_with(options, module, tree, starlark.Globals.standard())
     except starlark.StarlarkError as error:
-        raise PolicyError(f"{name}: {_first_line(error)}") from error
+        raise PolicyError(f"{name}: {_format_error(error)}") from error
     program = Program(name, module.freeze())
     for function in _FUNCTIONS:
         for sample in _SAMPLES[function]:
@@ -158,7 +158,7 @@
     return program
 
 
-class PolicyBook:
+class PolicySet:
     """The programs in force, one for each kind of work.
 
     Parameters
@@ -167,26 +167,26 @@
         Told of each run-time failure; the shipped program answers in its place.
     """
 
-    def __init__(self, alarm: Callable[[Alarm], None]) -> None:
-        self._alarm = alarm
-        self._shipped = self._compile_for_kinds(Declarations())
-        self._current = dict(self._shipped)
+    def __init__(self, on_failure: Callable[[PolicyFailure], None]) -> None:
+        self._on_failure = on_failure
+        self._builtin = self._compile_for_kinds(Declarations())
+        self._current = dict(self._builtin)
         self._scores: dict[tuple, object] = {}
 
     @staticmethod
     def _compile_for_kinds(declarations: Declarations) -> dict[str, Program]:
-        texts = {**shipped_programs(), **declarations.programs}
-        made, errors = {}, []
+        texts = {**builtin_programs(), **declarations.programs}
+        compiled, errors = {}, []
         for kind in KINDS:
             policy = declarations.policies.get(kind)
-            name = policy.program if policy else _SHIPPED_FOR_KIND[kind]
+            name = policy.program if policy else _BUILTIN_FOR_KIND[kind]
             try:
-                made[kind] = compile_program(name, texts[name])
+                compiled[kind] = compile_program(name, texts[name])
             except PolicyError as error:
                 errors.append(DeclarationError(name, f"policy {kind}", "program", str(error)))
         if errors:
             raise DeclarationErrors("a policy program is not usable", errors)
-        return made
+        return compiled
 
     @classmethod
     def check(cls, declarations: Declarations) -> None:
@@ -210,15 +210,15 @@
             self._current = self._compile_for_kinds(declarations)
         except DeclarationErrors as errors:
             for error in errors.exceptions:
-                self._alarm(Alarm(error.file, "compile", error.problem))
+                self._on_failure(PolicyFailure(error.file, "compile", error.problem))
 
     def call(self, kind: str, function: str, *arguments: object) -> object:
         """Ask the program of a kind, or the shipped one where that fails."""
         try:
             return self._current[kind].call(function, *arguments)
         except PolicyError as error:
-            self._alarm(Alarm(self._current[kind].name, function, str(error)))
-            return self._shipped[kind].call(function, *arguments)
+            self._on_failure(PolicyFailure(self._current[kind].name, function, str(error)))
+            return self._builtin[kind].call(function, *arguments)
 
     def score(self, kind: str, work: Mapping, vm: Mapping) -> float | None:
         """Score a VM for a work; equal inputs are asked once.
@@ -228,7 +228,7 @@
         """
         key = (kind, work["name"], work["team"], *vm.values())
         if key not in self._scores:
-            if len(self._scores) >= _CACHE_ENTRIES:
+            if len(self._scores) >= _MAX_CACHED_SCORES:
                 self._scores.clear()
             self._scores[key] = self.call(kind, "score", work, vm)
         return self._scores[key]
--- a/src/snowdock/programs/__init__.py
+++ b/src/snowdock/programs/__init__.py
@@ -3,11 +3,11 @@
 import functools
 import importlib.resources
 
-__all__ = ["shipped_programs"]
+__all__ = ["builtin_programs"]
 
 
 @functools.cache
-def shipped_programs() -> dict[str, str]:
+def builtin_programs() -> dict[str, str]:
     """Give the texts of the shipped programs by file name."""
     folder = importlib.resources.files(__name__)
     return {
--- a/src/snowdock/records.py
+++ b/src/snowdock/records.py
@@ -283,11 +283,11 @@
     incarnation: str
     sequence: int
     read_offset: int
-    at_ms: int
+    sent_ms: int
     records: list[Record]
 
 
-class _Run(msgspec.Struct, array_like=True, frozen=True):
+class _ColumnRun(msgspec.Struct, array_like=True, frozen=True):
     """Records of one kind that follow each other, as columns."""
 
     tag: str
@@ -302,8 +302,8 @@
     incarnation: str
     sequence: int
     read_offset: int
-    at_ms: int
-    runs: list[_Run]
+    sent_ms: int
+    runs: list[_ColumnRun]
 
 
 _KINDS = {kind.__struct_config__.tag: kind for kind in typing.get_args(Record)}
@@ -332,9 +332,9 @@
     for kind, group in itertools.groupby(batch.records, type):
         records = list(group)
         tag = kind.__struct_config__.tag
-        runs.append(_Run(tag, len(records), to_columns(kind, records)))
+        runs.append(_ColumnRun(tag, len(records), to_columns(kind, records)))
     wire = _WireBatch(
-        batch.node, batch.incarnation, batch.sequence, batch.read_offset, batch.at_ms, runs
+        batch.node, batch.incarnation, batch.sequence, batch.read_offset, batch.sent_ms, runs
     )
     deflater = zlib.compressobj(zlib.Z_BEST_COMPRESSION, zlib.DEFLATED, _RAW_DEFLATE)
     return deflater.compress(_encoder.encode(wire)) + deflater.flush()
@@ -371,4 +371,6 @@
         if run.tag not in _KINDS or not 0 <= run.count <= _MAX_RECORDS - len(records):
             raise InvalidInput("an unknown kind of record, or too many records")
         records.extend(from_columns(_KINDS[run.tag], run.columns, run.count))
-    return Batch(wire.node, wire.incarnation, wire.sequence, wire.read_offset, wire.at_ms, records)
+    return Batch(
+        wire.node, wire.incarnation, wire.sequence, wire.read_offset, wire.sent_ms, records
+    )
--- a/src/snowdock/reducer/__init__.py
+++ b/src/snowdock/reducer/__init__.py
@@ -6,14 +6,14 @@
 
 import dataclasses
 
-from ..effects import BatchJudged, Effect, Verdict, Void
+from ..effects import BatchApplied, Effect, Rejected, Verdict
 from ..records import Batch, NodeJoined
 from ..state import State
 from . import _configurations, _members, _minions, _placements, _requests, _workers, _works
-from ._minions import slots_of
-from ._tools import RECORDS_PER_ENTRY, Context, InvalidRecord
+from ._common import RECORDS_PER_ENTRY, Context, InvalidRecord
+from ._minions import count_minion_slots
 
-__all__ = ["Entry", "offset_of", "reduce", "slots_of"]
+__all__ = ["Entry", "count_minion_slots", "reduce", "submission_offset"]
 
 _HANDLERS = {
     **_members.HANDLERS,
@@ -58,28 +58,29 @@
     state.offset = entry.offset
     effects: list[Effect] = []
     batch = entry.batch
-    if not _admit(state, entry):
+    if not _accepts_batch(state, entry):
         return effects
-    state.now_ms = max(state.now_ms, batch.at_ms)
-    _members.confirm_reading(state, batch)
-    _minions.release_cooled(state, effects)
+    state.now_ms = max(state.now_ms, batch.sent_ms)
+    _members.update_read_offset(state, batch)
+    _minions.release_expired_cooldowns(state, effects)
     verdicts = tuple(
-        _judge(state, effects, entry, index, record) for index, record in enumerate(batch.records)
+        _apply_record(state, effects, entry, index, record)
+        for index, record in enumerate(batch.records)
     )
     _members.fence_workers(state)
-    effects.append(BatchJudged(batch.node, batch.incarnation, batch.sequence, verdicts))
+    effects.append(BatchApplied(batch.node, batch.incarnation, batch.sequence, verdicts))
     return effects
 
 
-def offset_of(number: int) -> int:
+def submission_offset(number: int) -> int:
     """Tell at which offset a work was accepted, from its number."""
     return number // RECORDS_PER_ENTRY
 
 
-def _admit(state: State, entry: Entry) -> bool:
+def _accepts_batch(state: State, entry: Entry) -> bool:
     """Refuse repeated batches and batches of incarnations that were replaced or never joined."""
     batch = entry.batch
-    if batch.incarnation in state.retired:
+    if batch.incarnation in state.retired_incarnations:
         return False
     member = state.members.get(batch.node)
     if member is not None and member.incarnation == batch.incarnation:
@@ -89,10 +90,10 @@
     return bool(batch.records) and isinstance(batch.records[0], NodeJoined)
 
 
-def _judge(state: State, effects: list[Effect], entry: Entry, index: int, record) -> Verdict:
+def _apply_record(state: State, effects: list[Effect], entry: Entry, index: int, record) -> Verdict:
     context = Context(state, effects, entry.batch, entry.offset, index)
     handler = _HANDLERS[type(record)]
     try:
         return handler(context, record)
     except InvalidRecord as problem:
-        return Void(problem.reason)
+        return Rejected(problem.reason)
--- a/src/snowdock/reducer/_tools.py
+++ b/src/snowdock/reducer/_common.py
@@ -5,7 +5,7 @@
 from ..declarations import ZERO, Size
 from ..effects import AttemptClosed, Effect, WorkFinished
 from ..records import Batch
-from ..state import Outcome, State, Task, TaskState, Work, Worker, attempt_id
+from ..state import Outcome, State, Task, TaskState, Work, Worker, format_attempt_id
 
 __all__ = [
     "FINISHED_TASKS_KEPT",
@@ -13,11 +13,11 @@
     "RECORDS_PER_ENTRY",
     "Context",
     "InvalidRecord",
+    "assign_task",
     "close_attempt",
     "find_attempt",
-    "forget_old",
-    "hold_room",
-    "note_if_over",
+    "finish_work_if_done",
+    "remove_expired_works",
     "require",
     "set_task_state",
 ]
@@ -56,7 +56,7 @@
     index: int
 
     @property
-    def number(self) -> int:
+    def work_number(self) -> int:
         """A number that belongs to this record alone."""
         return self.offset * RECORDS_PER_ENTRY + self.index
 
@@ -73,19 +73,19 @@
     require(found is not None, "unknown work")
     require(0 <= task < len(found.tasks), "unknown task")
     entry = found.tasks[task]
-    require(entry.attempt == attempt and entry.holds_room, "the attempt is not current")
+    require(entry.attempt == attempt and entry.is_assigned, "the attempt is not current")
     return found, entry
 
 
 def set_task_state(state: State, work: Work, task: Task, value: TaskState) -> None:
     """Change a task's state and keep the counts of queued and of open tasks."""
     state.queued_tasks += (value == TaskState.QUEUED) - (task.state == TaskState.QUEUED)
-    was_over = task.is_over
+    was_over = task.is_finished
     task.state = value
-    work.open_tasks += was_over - task.is_over
+    work.open_tasks += was_over - task.is_finished
 
 
-def hold_room(state: State, work: Work, number: int, worker: Worker) -> int:
+def assign_task(state: State, work: Work, number: int, worker: Worker) -> int:
     """Give a task's next attempt room on a worker.
 
     Returns
@@ -99,22 +99,22 @@
     task.stopping = False
     set_task_state(state, work, task, TaskState.PLACED)
     size = work.spec.size
-    worker.attempts[attempt_id(work.number, number, task.attempt)] = size
+    worker.attempts[format_attempt_id(work.number, number, task.attempt)] = size
     worker.used = worker.used.plus(size)
     _add_usage(state, work.spec.team, size)
     return task.attempt
 
 
 def _add_usage(state: State, team: str, size: Size) -> None:
-    state.usage[team] = state.usage.get(team, ZERO).plus(size)
+    state.team_usage[team] = state.team_usage.get(team, ZERO).plus(size)
 
 
 def _subtract_usage(state: State, team: str, size: Size) -> None:
-    left = state.usage[team].minus(size)
+    left = state.team_usage[team].minus(size)
     if left == ZERO:
-        del state.usage[team]
+        del state.team_usage[team]
     else:
-        state.usage[team] = left
+        state.team_usage[team] = left
 
 
 def close_attempt(context: Context, work: Work, number: int, outcome: Outcome) -> None:
@@ -122,7 +122,7 @@
     state = context.state
     task = work.tasks[number]
     worker = state.workers[task.worker]
-    size = worker.attempts.pop(attempt_id(work.number, number, task.attempt))
+    size = worker.attempts.pop(format_attempt_id(work.number, number, task.attempt))
     worker.used = worker.used.minus(size)
     _subtract_usage(state, work.spec.team, size)
     context.effects.append(
@@ -130,30 +130,30 @@
     )
 
 
-def note_if_over(context: Context, work: Work) -> None:
+def finish_work_if_done(context: Context, work: Work) -> None:
     """Tell of the work's end, once, when its last task has ended."""
-    if work.finished_ms == 0 and work.is_over:
+    if work.finished_ms == 0 and work.is_finished:
         work.finished_ms = context.state.now_ms
         context.effects.append(WorkFinished(work.number))
-        _keep_finished(context.state, work)
+        _compact_finished(context.state, work)
 
 
-def _keep_finished(state: State, work: Work) -> None:
+def _compact_finished(state: State, work: Work) -> None:
     """Keep the tasks of the newest ended works, and fold those of older ones into counts."""
-    state.finished.append(work.number)
+    state.finished_works.append(work.number)
     state.finished_tasks += len(work.tasks)
-    while state.finished_tasks > FINISHED_TASKS_KEPT and len(state.finished) > 1:
-        oldest = state.works[state.finished.pop(0)]
+    while state.finished_tasks > FINISHED_TASKS_KEPT and len(state.finished_works) > 1:
+        oldest = state.works[state.finished_works.pop(0)]
         state.finished_tasks -= len(oldest.tasks)
-        oldest.folded = oldest.counts
+        oldest.final_counts = oldest.counts
         oldest.tasks = []
-        state.folded.append(oldest.number)
+        state.compacted_works.append(oldest.number)
 
 
-def forget_old(state: State) -> None:
+def remove_expired_works(state: State) -> None:
     """Forget folded works, and their keys, once no caller asks again for the same work."""
     horizon = state.now_ms - KEY_WINDOW_MS
-    while state.folded and state.works[state.folded[0]].finished_ms < horizon:
-        work = state.works.pop(state.folded.pop(0))
-        if state.keys.get(work.key) == work.number:
-            del state.keys[work.key]
+    while state.compacted_works and state.works[state.compacted_works[0]].finished_ms < horizon:
+        work = state.works.pop(state.compacted_works.pop(0))
+        if state.work_keys.get(work.key) == work.number:
+            del state.work_keys[work.key]
--- a/src/snowdock/reducer/_configurations.py
+++ b/src/snowdock/reducer/_configurations.py
@@ -5,14 +5,14 @@
 from ..records import ConfigurationProposed
 from ..state import Configuration
 from . import _works
-from ._tools import Context, require
+from ._common import Context, require
 
 __all__ = ["HANDLERS"]
 
 _SERVICE_KEY = "service:"
 
 
-def _proposed(context: Context, record: ConfigurationProposed) -> Verdict:
+def _apply_configuration_proposed(context: Context, record: ConfigurationProposed) -> Verdict:
     state = context.state
     current = state.configuration.version
     require(record.base == current, f"made from version {record.base}, current is {current}")
@@ -38,15 +38,15 @@
         _SERVICE_KEY + name: service_spec(name, service)
         for name, service in state.configuration.declarations.services.items()
     }
-    running = {key: n for key, n in state.keys.items() if key.startswith(_SERVICE_KEY)}
+    running = {key: n for key, n in state.work_keys.items() if key.startswith(_SERVICE_KEY)}
     for key, number in sorted(running.items()):
         if declared.get(key) == state.works[number].spec:
             del declared[key]
             continue
         _works.cancel(context, state.works[number])
-        del state.keys[key]
+        del state.work_keys[key]
     for index, (key, spec) in enumerate(sorted(declared.items())):
         _works.create(context, _works.service_number(context, index), key, spec)
 
 
-HANDLERS = {ConfigurationProposed: _proposed}
+HANDLERS = {ConfigurationProposed: _apply_configuration_proposed}
--- a/src/snowdock/reducer/_members.py
+++ b/src/snowdock/reducer/_members.py
@@ -5,12 +5,12 @@
 from ..records import Batch, NodeDraining, NodeGone, NodeJoined, NodeLeft
 from ..state import Member, MemberState, State
 from . import _minions
-from ._tools import Context, require
+from ._common import Context, require
 
-__all__ = ["HANDLERS", "confirm_reading", "fence_workers"]
+__all__ = ["HANDLERS", "fence_workers", "update_read_offset"]
 
 
-def confirm_reading(state: State, batch: Batch) -> None:
+def update_read_offset(state: State, batch: Batch) -> None:
     """Take over what a known sender says of its own progress."""
     member = state.members.get(batch.node)
     if member is not None and member.incarnation == batch.incarnation:
@@ -24,17 +24,17 @@
     A member confirms by any batch with a high enough read offset. One that joined later
     counts as having confirmed: it acts only after reading its own joining.
     """
-    if not state.unfenced:
+    if not state.unfenced_workers:
         return
     slowest = min((member.read_offset for member in state.members.values()), default=-1)
-    for name in list(state.unfenced):
+    for name in list(state.unfenced_workers):
         worker = state.workers[name]
         if slowest >= worker.gone_offset:
             worker.fenced_ms = state.now_ms
-            state.unfenced.remove(name)
+            state.unfenced_workers.remove(name)
 
 
-def _joined(context: Context, record: NodeJoined) -> Verdict:
+def _apply_node_joined(context: Context, record: NodeJoined) -> Verdict:
     state, batch = context.state, context.batch
     require(record.node == batch.node, "a node joins only for itself")
     require(record.incarnation == batch.incarnation, "a node joins only for itself")
@@ -55,24 +55,24 @@
     return _Accepted(context.offset)
 
 
-def _draining(context: Context, record: NodeDraining) -> Verdict:
+def _apply_node_draining(context: Context, record: NodeDraining) -> Verdict:
     require(record.node == context.batch.node, "a node drains only itself")
     context.state.members[record.node].state = MemberState.DRAINING
     context.effects.append(MembersChanged())
     return _Accepted()
 
 
-def _left(context: Context, record: NodeLeft) -> Verdict:
+def _apply_node_left(context: Context, record: NodeLeft) -> Verdict:
     state = context.state
     require(record.node == context.batch.node, "a node leaves only for itself")
     member = state.members.pop(record.node)
-    _minions.return_all(context, record.node)
-    state.retired[member.incarnation] = state.now_ms
+    _minions.release_slots(context, record.node)
+    state.retired_incarnations[member.incarnation] = state.now_ms
     context.effects.append(MembersChanged())
     return _Accepted()
 
 
-def _gone(context: Context, record: NodeGone) -> Verdict:
+def _apply_node_gone(context: Context, record: NodeGone) -> Verdict:
     state = context.state
     member = state.members.get(record.node)
     require(member is not None, "unknown node")
@@ -84,13 +84,13 @@
 
 
 def _retire(context: Context, member: Member) -> None:
-    context.state.retired[member.incarnation] = context.state.now_ms
-    _minions.cool_all(context, member.name)
+    context.state.retired_incarnations[member.incarnation] = context.state.now_ms
+    _minions.start_cooldown(context, member.name)
 
 
 HANDLERS = {
-    NodeJoined: _joined,
-    NodeDraining: _draining,
-    NodeLeft: _left,
-    NodeGone: _gone,
+    NodeJoined: _apply_node_joined,
+    NodeDraining: _apply_node_draining,
+    NodeLeft: _apply_node_left,
+    NodeGone: _apply_node_gone,
 }
--- a/src/snowdock/reducer/_minions.py
+++ b/src/snowdock/reducer/_minions.py
@@ -2,15 +2,21 @@
 
 from ..effects import Accepted, Effect, SharesChanged, Verdict
 from ..records import MinionGone, MinionLeaving, MinionSeen, SlotsReturned, SlotsTaken
-from ..state import Cooling, Minion, State, VmState
-from ._tools import Context, require
+from ..state import CoolingSlots, Minion, State, VmState
+from ._common import Context, require
 
-__all__ = ["HANDLERS", "cool_all", "release_cooled", "return_all", "slots_of"]
+__all__ = [
+    "HANDLERS",
+    "count_minion_slots",
+    "release_expired_cooldowns",
+    "release_slots",
+    "start_cooldown",
+]
 
 _DEFAULT_DEADLINE_MS = 5000
 
 
-def slots_of(state: State, minion: Minion) -> int:
+def count_minion_slots(state: State, minion: Minion) -> int:
     """Slots that the declared endpoints allow on a minion: the smallest one counts."""
     endpoints = state.configuration.declarations.endpoints.values()
     return min((e.slots for e in endpoints if e.minions == minion.group), default=0)
@@ -21,19 +27,19 @@
     return max((e.deadline_ms for e in endpoints), default=_DEFAULT_DEADLINE_MS)
 
 
-def _seen(context: Context, record: MinionSeen) -> Verdict:
+def _apply_minion_seen(context: Context, record: MinionSeen) -> Verdict:
     minions = context.state.minions
     known = minions.get(record.minion)
     require(known is None or known.address != record.address, "known already")
-    made = Minion(record.minion, record.group, record.hall, record.address)
+    minion = Minion(record.minion, record.group, record.hall, record.address)
     if known is not None:
-        made.shares = known.shares
-    minions[record.minion] = made
+        minion.shares = known.shares
+    minions[record.minion] = minion
     context.effects.append(SharesChanged(record.minion))
     return Accepted()
 
 
-def _leaving(context: Context, record: MinionLeaving) -> Verdict:
+def _apply_minion_leaving(context: Context, record: MinionLeaving) -> Verdict:
     minion = context.state.minions.get(record.minion)
     require(minion is not None, "unknown minion")
     require(minion.state == VmState.LIVE, "not live")
@@ -42,29 +48,31 @@
     return Accepted()
 
 
-def _gone(context: Context, record: MinionGone) -> Verdict:
+def _apply_minion_gone(context: Context, record: MinionGone) -> Verdict:
     state = context.state
     require(record.minion in state.minions, "unknown minion")
     del state.minions[record.minion]
-    state.cooling = [entry for entry in state.cooling if entry.minion != record.minion]
+    state.cooling_slots = [entry for entry in state.cooling_slots if entry.minion != record.minion]
     context.effects.append(SharesChanged(record.minion))
     return Accepted()
 
 
-def _taken(context: Context, record: SlotsTaken) -> Verdict:
+def _apply_slots_taken(context: Context, record: SlotsTaken) -> Verdict:
     state, node = context.state, context.batch.node
     minion = state.minions.get(record.minion)
     require(minion is not None and minion.state == VmState.LIVE, "the minion is not live")
     require(record.slots > 0, "no slots")
-    cooling = sum(entry.slots for entry in state.cooling if entry.minion == record.minion)
-    given = sum(minion.shares.values()) + cooling
-    require(given + record.slots <= slots_of(state, minion), "not so many slots are free")
+    cooling = sum(entry.slots for entry in state.cooling_slots if entry.minion == record.minion)
+    allocated = sum(minion.shares.values()) + cooling
+    require(
+        allocated + record.slots <= count_minion_slots(state, minion), "not so many slots are free"
+    )
     minion.shares[node] = minion.shares.get(node, 0) + record.slots
     context.effects.append(SharesChanged(record.minion))
     return Accepted()
 
 
-def _returned(context: Context, record: SlotsReturned) -> Verdict:
+def _apply_slots_returned(context: Context, record: SlotsReturned) -> Verdict:
     node = context.batch.node
     minion = context.state.minions.get(record.minion)
     require(minion is not None, "unknown minion")
@@ -82,37 +90,39 @@
         minion.shares.pop(node, None)
 
 
-def return_all(context: Context, node: str) -> None:
+def release_slots(context: Context, node: str) -> None:
     """Free the slots of a node that ended in good order: nothing of it runs any more."""
     for minion in context.state.minions.values():
         if minion.shares.pop(node, 0):
             context.effects.append(SharesChanged(minion.name))
 
 
-def cool_all(context: Context, node: str) -> None:
+def start_cooldown(context: Context, node: str) -> None:
     """Set aside the slots of a node that vanished, until its last request must be over."""
     state = context.state
     until = state.now_ms + _longest_deadline_ms(state)
     for minion in state.minions.values():
         slots = minion.shares.pop(node, 0)
         if slots:
-            state.cooling.append(Cooling(minion.name, slots, until))
+            state.cooling_slots.append(CoolingSlots(minion.name, slots, until))
 
 
-def release_cooled(state: State, effects: list[Effect]) -> None:
+def release_expired_cooldowns(state: State, effects: list[Effect]) -> None:
     """Free slots whose waiting time is over."""
-    if not state.cooling:
+    if not state.cooling_slots:
         return
-    over = [entry for entry in state.cooling if entry.until_ms <= state.now_ms]
-    if over:
-        state.cooling = [entry for entry in state.cooling if entry.until_ms > state.now_ms]
-        effects.extend(SharesChanged(entry.minion) for entry in over)
+    expired = [entry for entry in state.cooling_slots if entry.until_ms <= state.now_ms]
+    if expired:
+        state.cooling_slots = [
+            entry for entry in state.cooling_slots if entry.until_ms > state.now_ms
+        ]
+        effects.extend(SharesChanged(entry.minion) for entry in expired)
 
 
 HANDLERS = {
-    MinionSeen: _seen,
-    MinionLeaving: _leaving,
-    MinionGone: _gone,
-    SlotsTaken: _taken,
-    SlotsReturned: _returned,
+    MinionSeen: _apply_minion_seen,
+    MinionLeaving: _apply_minion_leaving,
+    MinionGone: _apply_minion_gone,
+    SlotsTaken: _apply_slots_taken,
+    SlotsReturned: _apply_slots_returned,
 }
--- a/src/snowdock/reducer/_placements.py
+++ b/src/snowdock/reducer/_placements.py
@@ -4,21 +4,21 @@
 from ..effects import Accepted, AttemptAssigned, Verdict
 from ..records import TasksPlaced
 from ..state import State, VmState, Work
-from ._tools import Context, hold_room, require
+from ._common import Context, assign_task, require
 
 __all__ = ["HANDLERS"]
 
 
-def _placed(context: Context, record: TasksPlaced) -> Verdict:
+def _apply_tasks_placed(context: Context, record: TasksPlaced) -> Verdict:
     state = context.state
     work = state.works.get(record.work)
     require(work is not None and not work.cancelled, "no such work to place")
     _check_tasks(work, record)
-    _check_room(state, work, record)
+    _check_capacity(state, work, record)
     _check_quota(state, work, len(record.placements))
     for placement in record.placements:
         worker = state.workers[placement.worker]
-        attempt = hold_room(state, work, placement.task, worker)
+        attempt = assign_task(state, work, placement.task, worker)
         context.effects.append(
             AttemptAssigned(work.number, placement.task, attempt, placement.worker)
         )
@@ -33,10 +33,10 @@
     require(queued.issuperset(numbers), "a task is not queued")
     if work.spec.kind == "gang":
         require(len(numbers) == len(queued), "a gang is placed as a whole")
-        require(not any(task.holds_room for task in work.tasks), "the gang is not stopped yet")
+        require(not any(task.is_assigned for task in work.tasks), "the gang is not stopped yet")
 
 
-def _check_room(state: State, work: Work, record: TasksPlaced) -> None:
+def _check_capacity(state: State, work: Work, record: TasksPlaced) -> None:
     free = {}
     for placement in record.placements:
         worker = state.workers.get(placement.worker)
@@ -49,10 +49,10 @@
 def _check_quota(state: State, work: Work, count: int) -> None:
     team = state.configuration.declarations.teams.get(work.spec.team)
     require(team is not None, "the team is no longer declared")
-    wanted = state.usage.get(work.spec.team, ZERO)
+    wanted = state.team_usage.get(work.spec.team, ZERO)
     for _ in range(count):
         wanted = wanted.plus(work.spec.size)
     require(team.quota.holds(wanted), "over the team's quota")
 
 
-HANDLERS = {TasksPlaced: _placed}
+HANDLERS = {TasksPlaced: _apply_tasks_placed}
--- a/src/snowdock/reducer/_requests.py
+++ b/src/snowdock/reducer/_requests.py
@@ -4,41 +4,41 @@
 from ..records import RequestEnded, RequestIntended, SnapshotPart
 from ..request_ids import request_time_ms
 from ..state import Request, State
-from ._tools import Context, require
+from ._common import Context, require
 
 __all__ = ["HANDLERS"]
 
-_PRUNE_AT = 1024
+_PRUNE_INTERVAL = 1024
 _OUTCOMES = ("ran", "not_run", "unknown")
 
 
-def _intended(context: Context, record: RequestIntended) -> Verdict:
+def _apply_request_intended(context: Context, record: RequestIntended) -> Verdict:
     state = context.state
     window = state.configuration.declarations.limits.request_window_ms
     require(record.request not in state.requests, "an intent for this id is on the log")
-    born = request_time_ms(record.request)
-    require(born is not None, "not a request id")
+    created_ms = request_time_ms(record.request)
+    require(created_ms is not None, "not a request id")
     # The record of an id is kept for twice the window, so an id young enough to be taken
     # here cannot have been forgotten.
-    require(born >= state.now_ms - window, "the id is older than the window")
-    require(born <= state.now_ms + window, "the id is from the future")
+    require(created_ms >= state.now_ms - window, "the id is older than the window")
+    require(created_ms <= state.now_ms + window, "the id is from the future")
     _prune(state, window)
     state.requests[record.request] = Request(
-        context.batch.node, context.batch.incarnation, record.minion, born
+        context.batch.node, context.batch.incarnation, record.minion, created_ms
     )
     return Accepted()
 
 
 def _prune(state: State, window: int) -> None:
-    if len(state.requests) % _PRUNE_AT != _PRUNE_AT - 1:
+    if len(state.requests) % _PRUNE_INTERVAL != _PRUNE_INTERVAL - 1:
         return
     horizon = state.now_ms - 2 * window
     state.requests = {
-        name: request for name, request in state.requests.items() if request.at_ms >= horizon
+        name: request for name, request in state.requests.items() if request.created_ms >= horizon
     }
 
 
-def _ended(context: Context, record: RequestEnded) -> Verdict:
+def _apply_request_ended(context: Context, record: RequestEnded) -> Verdict:
     request = context.state.requests.get(record.request)
     require(request is not None, "no intent for this id")
     require(request.incarnation == context.batch.incarnation, "another node's request")
@@ -48,13 +48,13 @@
     return Accepted()
 
 
-def _snapshot_part(context: Context, record: SnapshotPart) -> Verdict:
+def _apply_snapshot_part(context: Context, record: SnapshotPart) -> Verdict:
     """Snapshots are read by starting nodes; they change nothing."""
     return Accepted(record.offset)
 
 
 HANDLERS = {
-    RequestIntended: _intended,
-    RequestEnded: _ended,
-    SnapshotPart: _snapshot_part,
+    RequestIntended: _apply_request_intended,
+    RequestEnded: _apply_request_ended,
+    SnapshotPart: _apply_snapshot_part,
 }
--- a/src/snowdock/reducer/_workers.py
+++ b/src/snowdock/reducer/_workers.py
@@ -1,14 +1,14 @@
 """Workers as the VM list and their own answers show them."""
 
-from ..effects import Accepted, StopWanted, Verdict, WorkerAdded, WorkerWithdrawn
+from ..effects import Accepted, StopRequired, Verdict, WorkerAdded, WorkerWithdrawn
 from ..records import WorkerGone, WorkerLeaving, WorkerSeen
 from ..state import VmState, Worker, parse_attempt_id
-from ._tools import Context, require
+from ._common import Context, require
 
 __all__ = ["HANDLERS"]
 
 
-def _seen(context: Context, record: WorkerSeen) -> Verdict:
+def _apply_worker_seen(context: Context, record: WorkerSeen) -> Verdict:
     workers = context.state.workers
     known = workers.get(record.worker)
     require(known is None or known.boot != record.boot, "known already")
@@ -16,7 +16,7 @@
     # boot answers for them that they are absent.
     attempts = {} if known is None else known.attempts
     require(known is None or known.state != VmState.GONE or not attempts, "attempts are open")
-    made = Worker(
+    worker = Worker(
         name=record.worker,
         boot=record.boot,
         capacity=record.capacity,
@@ -26,15 +26,15 @@
         attempts=attempts,
     )
     for size in attempts.values():
-        made.used = made.used.plus(size)
-    workers[record.worker] = made
-    if record.worker in context.state.unfenced:
-        context.state.unfenced.remove(record.worker)
+        worker.used = worker.used.plus(size)
+    workers[record.worker] = worker
+    if record.worker in context.state.unfenced_workers:
+        context.state.unfenced_workers.remove(record.worker)
     context.effects.append(WorkerAdded(record.worker))
     return Accepted()
 
 
-def _leaving(context: Context, record: WorkerLeaving) -> Verdict:
+def _apply_worker_leaving(context: Context, record: WorkerLeaving) -> Verdict:
     worker = context.state.workers.get(record.worker)
     require(worker is not None, "unknown worker")
     require(worker.state == VmState.LIVE, "not live")
@@ -53,10 +53,10 @@
         return
     work.tasks[task].stopping = True
     worker = work.tasks[task].worker
-    context.effects.append(StopWanted(number, task, attempt, worker, "checkpoint"))
+    context.effects.append(StopRequired(number, task, attempt, worker, "checkpoint"))
 
 
-def _gone(context: Context, record: WorkerGone) -> Verdict:
+def _apply_worker_gone(context: Context, record: WorkerGone) -> Verdict:
     state = context.state
     worker = state.workers.get(record.worker)
     require(worker is not None, "unknown worker")
@@ -64,9 +64,13 @@
     require(worker.state != VmState.GONE, "gone already")
     worker.state = VmState.GONE
     worker.gone_offset = context.offset
-    state.unfenced.append(worker.name)
+    state.unfenced_workers.append(worker.name)
     context.effects.append(WorkerWithdrawn(worker.name, gone=True))
     return Accepted()
 
 
-HANDLERS = {WorkerSeen: _seen, WorkerLeaving: _leaving, WorkerGone: _gone}
+HANDLERS = {
+    WorkerSeen: _apply_worker_seen,
+    WorkerLeaving: _apply_worker_leaving,
+    WorkerGone: _apply_worker_gone,
+}
--- a/src/snowdock/reducer/_works.py
+++ b/src/snowdock/reducer/_works.py
@@ -1,7 +1,7 @@
 """Work: submission, cancellation, and what the end of an attempt means for its task."""
 
 from ..declarations import WorkSpec
-from ..effects import Accepted, StopWanted, Verdict, WorkQueued
+from ..effects import Accepted, StopRequired, Verdict, WorkQueued
 from ..leases import earliest_loss_ms
 from ..records import (
     AttemptEnded,
@@ -12,13 +12,13 @@
     WorkSubmitted,
 )
 from ..state import Outcome, Task, TaskState, VmState, Work
-from ._tools import (
+from ._common import (
     RECORDS_PER_ENTRY,
     Context,
     close_attempt,
     find_attempt,
-    forget_old,
-    note_if_over,
+    finish_work_if_done,
+    remove_expired_works,
     require,
     set_task_state,
 )
@@ -26,11 +26,11 @@
 __all__ = ["HANDLERS", "cancel", "create", "service_number"]
 
 
-_MOST_LOSSES = 5
+_MAX_LOSSES = 5
 """Running attempts that may be lost with their worker before their task is given up: a task may be
 what ends each worker that starts it, and would take one after the other for ever."""
 
-_LOSSES = frozenset((Outcome.ABSENT, Outcome.LOST))
+_LOSS_OUTCOMES = frozenset((Outcome.ABSENT, Outcome.LOST))
 
 
 def service_number(context: Context, index: int) -> int:
@@ -43,14 +43,14 @@
     state = context.state
     tasks = [Task() for _ in range(spec.tasks)]
     state.works[number] = Work(number, key, spec, tasks, state.now_ms, open_tasks=spec.tasks)
-    state.keys[key] = number
+    state.work_keys[key] = number
     state.queued_tasks += spec.tasks
     context.effects.append(WorkQueued(number))
 
 
-def _submitted(context: Context, record: WorkSubmitted) -> Verdict:
+def _apply_work_submitted(context: Context, record: WorkSubmitted) -> Verdict:
     state = context.state
-    known = state.keys.get(record.key)
+    known = state.work_keys.get(record.key)
     if known is not None:
         # The same submission again, after a lost answer: the same work.
         require(state.works[known].spec == record.spec, "the key names other work")
@@ -60,12 +60,12 @@
     require(spec.team in declarations.teams, f"unknown team {spec.team}")
     limit = declarations.limits.queued_tasks
     require(state.queued_tasks + spec.tasks <= limit, "too many tasks are queued")
-    forget_old(state)
-    create(context, context.number, record.key, spec)
-    return Accepted(context.number)
+    remove_expired_works(state)
+    create(context, context.work_number, record.key, spec)
+    return Accepted(context.work_number)
 
 
-def _cancelled(context: Context, record: WorkCancelled) -> Verdict:
+def _apply_work_cancelled(context: Context, record: WorkCancelled) -> Verdict:
     work = context.state.works.get(record.work)
     require(work is not None, "unknown work")
     require(work.spec.kind != "service", "a declared service ends by a configuration")
@@ -75,26 +75,26 @@
 
 def cancel(context: Context, work: Work) -> None:
     """Give up a work; doing so twice, or after its end, changes nothing."""
-    if work.cancelled or work.is_over:
+    if work.cancelled or work.is_finished:
         return
     work.cancelled = True
     for number, task in enumerate(work.tasks):
         if task.state == TaskState.QUEUED:
             set_task_state(context.state, work, task, TaskState.CANCELLED)
-        elif task.holds_room:
-            _want_stop(context, work, number, "stop")
-    note_if_over(context, work)
+        elif task.is_assigned:
+            _require_stop(context, work, number, "stop")
+    finish_work_if_done(context, work)
 
 
-def _want_stop(context: Context, work: Work, number: int, how: str) -> None:
+def _require_stop(context: Context, work: Work, number: int, how: str) -> None:
     task = work.tasks[number]
     if task.stopping:
         return
     task.stopping = True
-    context.effects.append(StopWanted(work.number, number, task.attempt, task.worker, how))
+    context.effects.append(StopRequired(work.number, number, task.attempt, task.worker, how))
 
 
-def _started(context: Context, record: AttemptStarted) -> Verdict:
+def _apply_attempt_started(context: Context, record: AttemptStarted) -> Verdict:
     state = context.state
     work, task = find_attempt(state, record.work, record.task, record.attempt)
     require(task.state == TaskState.PLACED, "started already")
@@ -104,26 +104,26 @@
     return Accepted()
 
 
-def _stop_requested(context: Context, record: StopRequested) -> Verdict:
+def _apply_stop_requested(context: Context, record: StopRequested) -> Verdict:
     work, task = find_attempt(context.state, record.work, record.task, record.attempt)
     require(work.spec.preemptible, "the work may not be dropped")
     require(not task.stopping, "stopping already")
-    _want_stop(context, work, record.task, record.how)
+    _require_stop(context, work, record.task, record.how)
     return Accepted()
 
 
-def _ended(context: Context, record: AttemptEnded) -> Verdict:
+def _apply_attempt_ended(context: Context, record: AttemptEnded) -> Verdict:
     work, _ = find_attempt(context.state, record.work, record.task, record.attempt)
     try:
         outcome = Outcome(record.outcome)
     except ValueError:
         outcome = None
     require(outcome not in (None, Outcome.LOST), "not an outcome that a worker tells")
-    _end(context, work, record.task, outcome)
+    _end_attempt(context, work, record.task, outcome)
     return Accepted()
 
 
-def _lost(context: Context, record: AttemptLost) -> Verdict:
+def _apply_attempt_lost(context: Context, record: AttemptLost) -> Verdict:
     state = context.state
     work, task = find_attempt(state, record.work, record.task, record.attempt)
     worker = state.workers[task.worker]
@@ -131,28 +131,28 @@
     require(worker.fenced_ms > 0, "a member may still renew the lease")
     margin = state.configuration.declarations.limits.clock_margin_ms
     earliest = earliest_loss_ms(worker.fenced_ms, state.longest_lease_ms, margin)
-    require(context.batch.at_ms > earliest, "the lease may still hold")
-    _end(context, work, record.task, Outcome.LOST)
+    require(context.batch.sent_ms > earliest, "the lease may still hold")
+    _end_attempt(context, work, record.task, Outcome.LOST)
     return Accepted()
 
 
-def _end(context: Context, work: Work, number: int, outcome: Outcome) -> None:
+def _end_attempt(context: Context, work: Work, number: int, outcome: Outcome) -> None:
     state = context.state
     task = work.tasks[number]
     worker = state.workers[task.worker]
-    task.losses += task.state == TaskState.RUNNING and outcome in _LOSSES
+    task.losses += task.state == TaskState.RUNNING and outcome in _LOSS_OUTCOMES
     close_attempt(context, work, number, outcome)
     if outcome == Outcome.FAILED:
-        worker.streak += 1
+        worker.failure_streak += 1
         task.failures += 1
     elif outcome == Outcome.SUCCEEDED:
-        worker.streak = 0
+        worker.failure_streak = 0
     set_task_state(state, work, task, _next_state(work, task, outcome))
     if task.state == TaskState.FAILED and work.spec.kind == "gang":
         cancel(context, work)
     elif task.state == TaskState.QUEUED:
-        _requeued(context, work)
-    note_if_over(context, work)
+        _requeue(context, work)
+    finish_work_if_done(context, work)
 
 
 def _next_state(work: Work, task: Task, outcome: Outcome) -> TaskState:
@@ -161,27 +161,27 @@
         return TaskState.SUCCEEDED
     if work.cancelled:
         return TaskState.CANCELLED
-    is_used_up = outcome == Outcome.FAILED and task.failures > work.spec.retries
-    if not is_service and (is_used_up or task.losses >= _MOST_LOSSES):
+    are_retries_exhausted = outcome == Outcome.FAILED and task.failures > work.spec.retries
+    if not is_service and (are_retries_exhausted or task.losses >= _MAX_LOSSES):
         return TaskState.FAILED
     return TaskState.QUEUED
 
 
-def _requeued(context: Context, work: Work) -> None:
+def _requeue(context: Context, work: Work) -> None:
     """Queue again; the rest of a gang is stopped first, since it starts only as a whole."""
     if work.spec.kind == "gang":
         for number, task in enumerate(work.tasks):
-            if task.holds_room:
-                _want_stop(context, work, number, "checkpoint")
-    if not (work.spec.kind == "gang" and any(task.holds_room for task in work.tasks)):
+            if task.is_assigned:
+                _require_stop(context, work, number, "checkpoint")
+    if not (work.spec.kind == "gang" and any(task.is_assigned for task in work.tasks)):
         context.effects.append(WorkQueued(work.number))
 
 
 HANDLERS = {
-    WorkSubmitted: _submitted,
-    WorkCancelled: _cancelled,
-    AttemptStarted: _started,
-    AttemptEnded: _ended,
-    AttemptLost: _lost,
-    StopRequested: _stop_requested,
+    WorkSubmitted: _apply_work_submitted,
+    WorkCancelled: _apply_work_cancelled,
+    AttemptStarted: _apply_attempt_started,
+    AttemptEnded: _apply_attempt_ended,
+    AttemptLost: _apply_attempt_lost,
+    StopRequested: _apply_stop_requested,
 }
--- a/src/snowdock/state.py
+++ b/src/snowdock/state.py
@@ -13,12 +13,12 @@
 from .errors import InvalidInput
 
 __all__ = [
+    "AttemptReference",
     "Configuration",
-    "Cooling",
+    "CoolingSlots",
     "Member",
     "MemberState",
     "Minion",
-    "NamedAttempt",
     "Outcome",
     "Request",
     "State",
@@ -27,11 +27,11 @@
     "VmState",
     "Work",
     "Worker",
-    "attempt_id",
     "decode_state",
     "digest",
     "encode_state",
-    "find_named_attempt",
+    "find_attempt_by_id",
+    "format_attempt_id",
     "parse_attempt_id",
 ]
 
@@ -59,7 +59,7 @@
     LOST = "lost"
 
 
-_OVER = frozenset((TaskState.SUCCEEDED, TaskState.FAILED, TaskState.CANCELLED))
+_FINAL_STATES = frozenset((TaskState.SUCCEEDED, TaskState.FAILED, TaskState.CANCELLED))
 
 
 class VmState(StrEnum):
@@ -92,14 +92,14 @@
     losses: int = 0
 
     @property
-    def holds_room(self) -> bool:
+    def is_assigned(self) -> bool:
         """Whether an attempt holds room on a worker now."""
         return self.state in (TaskState.PLACED, TaskState.RUNNING)
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether nothing more will happen to the task."""
-        return self.state in _OVER
+        return self.state in _FINAL_STATES
 
 
 class Work(msgspec.Struct, array_like=True):
@@ -119,12 +119,12 @@
     finished_ms: int = 0
     cancelled: bool = False
     open_tasks: int = 0
-    folded: dict[str, int] = {}
+    final_counts: dict[str, int] = {}
 
     @property
     def counts(self) -> dict[str, int]:
         """How many tasks are in which state."""
-        return dict(self.folded) or dict(Counter(task.state.value for task in self.tasks))
+        return dict(self.final_counts) or dict(Counter(task.state.value for task in self.tasks))
 
     @property
     def queued(self) -> list[int]:
@@ -132,7 +132,7 @@
         return [n for n, task in enumerate(self.tasks) if task.state == TaskState.QUEUED]
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether all tasks have come to an end."""
         return self.open_tasks == 0
 
@@ -154,7 +154,7 @@
     state: VmState = VmState.LIVE
     used: Size = ZERO
     attempts: dict[str, Size] = {}
-    streak: int = 0
+    failure_streak: int = 0
     gone_offset: int = -1
     fenced_ms: int = 0
 
@@ -175,7 +175,7 @@
     shares: dict[str, int] = {}
 
 
-class Cooling(msgspec.Struct, array_like=True):
+class CoolingSlots(msgspec.Struct, array_like=True):
     """Slots of a node that ended without giving them back.
 
     Requests that it forwarded may still run at the minion until ``until_ms``.
@@ -205,7 +205,7 @@
     node: str
     incarnation: str
     minion: str
-    at_ms: int
+    created_ms: int
     outcome: str = ""
 
 
@@ -231,22 +231,22 @@
     configuration: Configuration = msgspec.field(default_factory=Configuration)
     longest_lease_ms: int = 0
     members: dict[str, Member] = msgspec.field(default_factory=dict)
-    retired: dict[str, int] = msgspec.field(default_factory=dict)
+    retired_incarnations: dict[str, int] = msgspec.field(default_factory=dict)
     workers: dict[str, Worker] = msgspec.field(default_factory=dict)
-    unfenced: list[str] = msgspec.field(default_factory=list)
+    unfenced_workers: list[str] = msgspec.field(default_factory=list)
     works: dict[int, Work] = msgspec.field(default_factory=dict)
-    keys: dict[str, int] = msgspec.field(default_factory=dict)
-    usage: dict[str, Size] = msgspec.field(default_factory=dict)
+    work_keys: dict[str, int] = msgspec.field(default_factory=dict)
+    team_usage: dict[str, Size] = msgspec.field(default_factory=dict)
     queued_tasks: int = 0
-    finished: list[int] = msgspec.field(default_factory=list)
+    finished_works: list[int] = msgspec.field(default_factory=list)
     finished_tasks: int = 0
-    folded: list[int] = msgspec.field(default_factory=list)
+    compacted_works: list[int] = msgspec.field(default_factory=list)
     minions: dict[str, Minion] = msgspec.field(default_factory=dict)
-    cooling: list[Cooling] = msgspec.field(default_factory=list)
+    cooling_slots: list[CoolingSlots] = msgspec.field(default_factory=list)
     requests: dict[str, Request] = msgspec.field(default_factory=dict)
 
 
-def attempt_id(work: int, task: int, attempt: int) -> str:
+def format_attempt_id(work: int, task: int, attempt: int) -> str:
     """Name an attempt for workers, logs and people."""
     return f"{work}.{task}.{attempt}"
 
@@ -266,26 +266,26 @@
     return work, task, attempt
 
 
-class NamedAttempt(msgspec.Struct, frozen=True):
+class AttemptReference(msgspec.Struct, frozen=True):
     """What an attempt's id stands for; ``count`` need not be the task's newest attempt."""
 
     work: Work
-    number: int
+    task_number: int
     task: Task
-    count: int
+    attempt_number: int
 
     @property
     def is_current(self) -> bool:
         """Whether this very attempt holds room now."""
-        return self.task.attempt == self.count and self.task.holds_room
+        return self.task.attempt == self.attempt_number and self.task.is_assigned
 
     @property
     def is_closed(self) -> bool:
         """Whether the attempt was surely closed, not just unknown to a state that lags."""
-        return self.task.attempt >= self.count and not self.is_current
+        return self.task.attempt >= self.attempt_number and not self.is_current
 
 
-def find_named_attempt(state: State, name: str) -> NamedAttempt | None:
+def find_attempt_by_id(state: State, name: str) -> AttemptReference | None:
     """Find an attempt by its id, or give None where the state knows no such task."""
     try:
         number, task_number, count = parse_attempt_id(name)
@@ -294,7 +294,7 @@
     work = state.works.get(number)
     if work is None or not 0 <= task_number < len(work.tasks):
         return None
-    return NamedAttempt(work, task_number, work.tasks[task_number], count)
+    return AttemptReference(work, task_number, work.tasks[task_number], count)
 
 
 # Dictionaries keep the order in which the log filled them, which is the same on every node.
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,25 +7,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from snowdock.decisions.minion_choice import Health, choose, note_result
-from snowdock.decisions.ownership import owner
-from snowdock.decisions.placements import Waiting, place
-from snowdock.decisions.preemption import make_room
+from snowdock.decisions.capacity_index import CapacityIndex
+from snowdock.decisions.minion_choice import MinionHealth, choose_minion, record_result
+from snowdock.decisions.ownership import find_owner
+from snowdock.decisions.placements import Unplaced, place_tasks
+from snowdock.decisions.preemption import choose_preemptions
 from snowdock.decisions.retries import RetryBudget, backoff_seconds
-from snowdock.decisions.room import RoomIndex
 from snowdock.decisions.shares import MinionView, target_share
 from snowdock.declarations import ZERO, Declarations, Size, Team, WorkSpec
-from snowdock.policies import PolicyBook
+from snowdock.policies import PolicySet
 from snowdock.records import StopRequested, TasksPlaced
 from snowdock.state import Configuration, State, Task, TaskState, Work, Worker
 
 NODES = ["a", "b", "c", "d"]
 
 
-def cluster(sizes: list[Size], quota: float = 1000) -> tuple[State, RoomIndex]:
+def make_cluster(sizes: list[Size], quota: float = 1000) -> tuple[State, CapacityIndex]:
     team = Team(cpu=quota, memory_gb=10_000, accelerators=1000)
     state = State(configuration=Configuration(1, "", Declarations(teams={"t": team})))
-    index = RoomIndex(random.Random(1))
+    index = CapacityIndex(random.Random(1))
     for n, size in enumerate(sizes):
         worker = Worker(f"w{n}", "b", size, f"r{n // 2}", f"h{n % 2}", "")
         state.workers[worker.name] = worker
@@ -33,7 +33,7 @@
     return state, index
 
 
-def work(kind: str, tasks: int, size: Size) -> Work:
+def make_work(kind: str, tasks: int, size: Size) -> Work:
     spec = WorkSpec(kind, "x", "t", tasks, size)
     return Work(1, "k", spec, [Task() for _ in range(tasks)], 0, open_tasks=tasks)
 
@@ -41,10 +41,10 @@
 class TestPlace(unittest.TestCase):
     def setUp(self) -> None:
         self.alarms: list = []
-        self.policies = PolicyBook(self.alarms.append)
+        self.policies = PolicySet(self.alarms.append)
 
     def place(self, state, index, made):
-        return place(made, state, index, self.policies, ZERO)
+        return place_tasks(made, state, index, self.policies, ZERO)
 
     @settings(max_examples=100, deadline=None)
     @given(
@@ -58,93 +58,97 @@
     )
     def test_finds_room_if_there_is_any(self, sizes: list, size: Size, tasks: int) -> None:
         """A task is placed exactly if some worker has room, and never where there is none."""
-        state, index = cluster([Size(s.cpu, s.memory, s.accelerators) for s in sizes])
-        result = self.place(state, index, work("batch", tasks, size))
+        state, index = make_cluster([Size(s.cpu, s.memory, s.accelerators) for s in sizes])
+        result = self.place(state, index, make_work("batch", tasks, size))
         fits = [s for s in sizes if s.holds(size)]
         self.assertEqual(isinstance(result, TasksPlaced), bool(fits))
         for name in state.workers:
             free = index.free(name)
             self.assertTrue(min(free.cpu, free.memory, free.accelerators) >= 0)
 
-    def test_gang_is_whole_or_nothing(self) -> None:
+    def test_gang_is_placed_completely_or_not_at_all(self) -> None:
         """A gang that does not fit as a whole reserves nothing."""
-        state, index = cluster([Size(4, 4)] * 3)
-        result = self.place(state, index, work("gang", 4, Size(3, 3)))
-        self.assertEqual(result, Waiting("no room for all 4 tasks at once", needs_room=True))
+        state, index = make_cluster([Size(4, 4)] * 3)
+        result = self.place(state, index, make_work("gang", 4, Size(3, 3)))
+        self.assertEqual(result, Unplaced("no room for all 4 tasks at once", needs_capacity=True))
         self.assertEqual([index.free(name) for name in state.workers], [Size(4, 4)] * 3)
-        result = self.place(state, index, work("gang", 3, Size(3, 3)))
+        result = self.place(state, index, make_work("gang", 3, Size(3, 3)))
         self.assertEqual(len(result.placements), 3)
 
     def test_service_is_spread(self) -> None:
         """A service's tasks go to different data halls and racks first."""
-        state, index = cluster([Size(16, 16)] * 8)
-        result = self.place(state, index, work("service", 4, Size(1, 1)))
+        state, index = make_cluster([Size(16, 16)] * 8)
+        result = self.place(state, index, make_work("service", 4, Size(1, 1)))
         chosen = [state.workers[p.worker] for p in result.placements]
         self.assertEqual(len({w.name for w in chosen}), 4)
         self.assertEqual(sum(w.hall == "h0" for w in chosen), 2)
 
-    def test_accelerators_are_kept_for_those_that_need_them(self) -> None:
+    def test_accelerators_are_reserved_for_tasks_that_need_them(self) -> None:
         """Work without accelerators goes to workers without, while there is room."""
-        state, index = cluster([Size(4, 4, 8), Size(4, 4, 0)])
-        result = self.place(state, index, work("batch", 4, Size(1, 1)))
+        state, index = make_cluster([Size(4, 4, 8), Size(4, 4, 0)])
+        result = self.place(state, index, make_work("batch", 4, Size(1, 1)))
         self.assertNotIn("w0", {p.worker for p in result.placements[:1]})
 
-    def test_reasons(self) -> None:
+    def test_unplaced_work_has_a_reason(self) -> None:
         """Waiting work says why: quota, no room, or never any room."""
-        state, index = cluster([Size(4000, 4)], quota=0.001)
-        made = work("batch", 1, Size(2, 1))
-        self.assertEqual(self.place(state, index, made), Waiting("team t is at its quota"))
-        state, index = cluster([Size(4, 4)])
-        made = work("batch", 1, Size(5, 1))
+        state, index = make_cluster([Size(4000, 4)], quota=0.001)
+        made = make_work("batch", 1, Size(2, 1))
+        self.assertEqual(self.place(state, index, made), Unplaced("team t is at its quota"))
+        state, index = make_cluster([Size(4, 4)])
+        made = make_work("batch", 1, Size(5, 1))
         self.assertEqual(
-            self.place(state, index, made), Waiting("no worker could ever hold one task")
+            self.place(state, index, made), Unplaced("no worker could ever hold one task")
         )
 
     def test_failing_worker_gets_one_task_at_a_time(self) -> None:
         """A worker with a long record of failures is only probed."""
-        state, index = cluster([Size(8, 8)])
-        state.workers["w0"].streak = 9
+        state, index = make_cluster([Size(8, 8)])
+        state.workers["w0"].failure_streak = 9
         index.update(state.workers["w0"])
-        result = self.place(state, index, work("batch", 4, Size(1, 1)))
+        result = self.place(state, index, make_work("batch", 4, Size(1, 1)))
         self.assertEqual(len(result.placements), 1)
 
 
 class TestFailingWorks(unittest.TestCase):
     """Works that always fail give all workers a long record of failures; others still run."""
 
-    def failing_cluster(self, workers: int) -> tuple[State, RoomIndex]:
-        state, index = cluster([Size(8, 8)] * workers)
+    def failing_cluster(self, workers: int) -> tuple[State, CapacityIndex]:
+        state, index = make_cluster([Size(8, 8)] * workers)
         for worker in state.workers.values():
-            worker.streak = 9
+            worker.failure_streak = 9
             worker.attempts = {"1.0.1": Size(1, 1)}
             worker.used = Size(1, 1)
             index.update(worker)
         return state, index
 
-    def test_most_workers_are_never_closed(self) -> None:
+    def test_majority_of_workers_is_never_on_probation(self) -> None:
         """Where more than half of the workers fail, it is for what they are given."""
         state, index = self.failing_cluster(4)
-        found = place(work("batch", 4, Size(2, 2)), state, index, PolicyBook([].append), ZERO)
+        found = place_tasks(
+            make_work("batch", 4, Size(2, 2)), state, index, PolicySet([].append), ZERO
+        )
         self.assertEqual(len(found.placements), 4)
 
-    def test_few_workers_that_fail_are_probed(self) -> None:
+    def test_minority_of_failing_workers_is_probed(self) -> None:
         """Where others do well, those that fail have one task at a time."""
         state, index = self.failing_cluster(4)
         for name in ("w1", "w2", "w3"):
-            state.workers[name].streak = 0
+            state.workers[name].failure_streak = 0
             index.update(state.workers[name])
-        found = place(work("batch", 12, Size(2, 2)), state, index, PolicyBook([].append), ZERO)
+        found = place_tasks(
+            make_work("batch", 12, Size(2, 2)), state, index, PolicySet([].append), ZERO
+        )
         self.assertNotIn("w0", {placed.worker for placed in found.placements})
 
 
-class TestMakeRoom(unittest.TestCase):
+class TestPreemption(unittest.TestCase):
     def setUp(self) -> None:
         self.alarms: list = []
-        self.state, _ = cluster([Size(4, 4)] * 2)
-        self.urgent = work("batch", 1, Size(3, 3))
+        self.state, _ = make_cluster([Size(4, 4)] * 2)
+        self.urgent = make_work("batch", 1, Size(3, 3))
         self.urgent.spec = msgspec.structs.replace(self.urgent.spec, priority=90)
 
-    def run_on(self, number: int, worker: str, size: Size, **fields) -> None:
+    def add_running_attempt(self, number: int, worker: str, size: Size, **fields) -> None:
         spec = msgspec.structs.replace(WorkSpec("batch", "v", "t", 1, size), **fields)
         task = Task(TaskState.RUNNING, 1, worker)
         self.state.works[number] = Work(number, f"k{number}", spec, [task], 0, open_tasks=1)
@@ -152,43 +156,43 @@
         found.attempts = {**found.attempts, f"{number}.0.1": size}
         found.used = found.used.plus(size)
 
-    def make_room(self) -> list:
-        policies = PolicyBook(self.alarms.append)
-        return make_room(self.urgent, self.state, policies, random.Random(1))
+    def choose_preemptions(self) -> list:
+        policies = PolicySet(self.alarms.append)
+        return choose_preemptions(self.urgent, self.state, policies, random.Random(1))
 
-    def test_lowest_priority_ends_first_and_no_more_than_needed(self) -> None:
+    def test_fewest_lowest_priority_attempts_are_preempted(self) -> None:
         """The fewest attempts of lower priority are ended, by checkpoint."""
         for number, priority in ((11, 10), (12, 20)):
-            self.run_on(number, "w0", Size(2, 2), priority=priority)
-        self.run_on(13, "w1", Size(4, 4), priority=95)
+            self.add_running_attempt(number, "w0", Size(2, 2), priority=priority)
+        self.add_running_attempt(13, "w1", Size(4, 4), priority=95)
         self.assertEqual(
-            self.make_room(),
+            self.choose_preemptions(),
             [StopRequested(11, 0, 1, "checkpoint"), StopRequested(12, 0, 1, "checkpoint")],
         )
 
-    def test_what_may_not_be_dropped_stays(self) -> None:
+    def test_non_preemptible_and_higher_priority_work_stays(self) -> None:
         """Nothing is ended where only such work, or work of higher priority, runs."""
-        self.run_on(11, "w0", Size(4, 4), priority=0, preemptible=False)
-        self.run_on(12, "w1", Size(4, 4), priority=90)
-        self.assertEqual(self.make_room(), [])
+        self.add_running_attempt(11, "w0", Size(4, 4), priority=0, preemptible=False)
+        self.add_running_attempt(12, "w1", Size(4, 4), priority=90)
+        self.assertEqual(self.choose_preemptions(), [])
 
-    def test_what_ends_already_is_counted(self) -> None:
+    def test_stopping_attempts_are_counted(self) -> None:
         """While enough is on its way out, nothing more is ended on that worker."""
-        self.run_on(11, "w0", Size(4, 4), priority=1)
-        self.run_on(12, "w1", Size(4, 4), priority=99)
+        self.add_running_attempt(11, "w0", Size(4, 4), priority=1)
+        self.add_running_attempt(12, "w1", Size(4, 4), priority=99)
         self.state.works[11].tasks[0].stopping = True
-        self.assertEqual(self.make_room(), [])
+        self.assertEqual(self.choose_preemptions(), [])
 
 
 class TestOwnership(unittest.TestCase):
     @given(st.text(max_size=20), st.permutations(NODES))
-    def test_all_agree_and_few_move(self, thing: str, nodes: list) -> None:
+    def test_owner_is_consistent_and_stable(self, thing: str, nodes: list) -> None:
         """The order of the nodes is all the same, and only a leaver's things move."""
-        first = owner(thing, nodes)
-        self.assertEqual(first, owner(thing, NODES))
+        first = find_owner(thing, nodes)
+        self.assertEqual(first, find_owner(thing, NODES))
         left = [node for node in NODES if node != "a"]
         if first != "a":
-            self.assertEqual(owner(thing, left), first)
+            self.assertEqual(find_owner(thing, left), first)
 
     @given(st.text(max_size=20), st.integers(0, 64), st.integers(1, 4))
     def test_targets_add_up(self, minion: str, slots: int, count: int) -> None:
@@ -203,38 +207,38 @@
     def view(name: str, hall: str) -> MinionView:
         return MinionView(name, "g", hall, "", 8, 8, 0, True)
 
-    def test_near_ones_go_first(self) -> None:
+    def test_minion_in_own_hall_is_preferred(self) -> None:
         """A minion of the own data hall is chosen although another has more idle slots."""
         near, far = self.view("n", "h1"), self.view("f", "h2")
-        candidates = [(near, 1, Health()), (far, 8, Health())]
-        self.assertEqual(choose(candidates, "h1", "", 0.0), near)
+        candidates = [(near, 1, MinionHealth()), (far, 8, MinionHealth())]
+        self.assertEqual(choose_minion(candidates, "h1", "", 0.0), near)
 
-    def test_failing_one_is_set_aside_and_probed(self) -> None:
+    def test_failing_minion_is_excluded_and_probed(self) -> None:
         """After failures in a row a minion rests, then gets one request as a probe."""
-        health = Health()
+        health = MinionHealth()
         for _ in range(3):
-            note_result(health, True, 0.0)
+            record_result(health, True, 0.0)
         minion = self.view("n", "h1")
-        self.assertIsNone(choose([(minion, 8, health)], "h1", "", 0.0))
-        self.assertEqual(choose([(minion, 8, health)], "h1", "", 60.0), minion)
-        health.on_probe = True
-        self.assertIsNone(choose([(minion, 8, health)], "h1", "", 60.0))
-        note_result(health, False, 60.0)
-        self.assertEqual(choose([(minion, 8, health)], "h1", "", 60.0), minion)
+        self.assertIsNone(choose_minion([(minion, 8, health)], "h1", "", 0.0))
+        self.assertEqual(choose_minion([(minion, 8, health)], "h1", "", 60.0), minion)
+        health.is_probing = True
+        self.assertIsNone(choose_minion([(minion, 8, health)], "h1", "", 60.0))
+        record_result(health, False, 60.0)
+        self.assertEqual(choose_minion([(minion, 8, health)], "h1", "", 60.0), minion)
 
 
 class TestRetries(unittest.TestCase):
     def test_budget_is_spent_and_earned(self) -> None:
         """Retries stop when the budget is spent, and come back with successes."""
         budget = RetryBudget()
-        while budget.take():
+        while budget.try_spend():
             pass
         for _ in range(9):
-            budget.note_success()
-        self.assertFalse(budget.take())
+            budget.record_success()
+        self.assertFalse(budget.try_spend())
         for _ in range(2):
-            budget.note_success()
-        self.assertTrue(budget.take())
+            budget.record_success()
+        self.assertTrue(budget.try_spend())
 
     @given(st.integers(1, 50), st.floats(0, 1))
     def test_backoff_is_bounded(self, tries: int, fraction: float) -> None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -3,7 +3,7 @@
 import unittest
 
 from snowdock.decisions.orders import build_order
-from snowdock.decisions.worker_reports import judge_answer
+from snowdock.decisions.worker_reports import derive_records
 from snowdock.declarations import Size, WorkSpec
 from snowdock.platform.workers import AttemptReport, StopOrder, SyncAnswer
 from snowdock.records import AttemptEnded, AttemptStarted, WorkerSeen
@@ -12,7 +12,7 @@
 SIZE = Size(1000, 1024)
 
 
-def answer(boot: str = "b", **attempts: str) -> SyncAnswer:
+def make_answer(boot: str = "b", **attempts: str) -> SyncAnswer:
     named = {name.strip("_").replace("_", "."): AttemptReport(t) for name, t in attempts.items()}
     return SyncAnswer("w", boot, 4000, 4096, 0, named)
 
@@ -34,7 +34,7 @@
 
 
 class TestBuildOrder(OrderCase):
-    def test_each_attempt_gets_its_order(self) -> None:
+    def test_order_starts_renews_and_stops_attempts(self) -> None:
         """Placed attempts are started, running ones renewed, unwanted ones ended."""
         order = build_order(self.state, "w", {}, 5).order
         self.assertEqual([start.attempt for start in order.start], ["7.0.1"])
@@ -47,7 +47,7 @@
         self.state.workers["w"].state = VmState.GONE
         self.assertIsNone(build_order(self.state, "w", {}, 5))
 
-    def test_only_what_is_surely_closed_is_stopped(self) -> None:
+    def test_only_closed_attempts_are_stopped(self) -> None:
         """A lagging node leaves attempts alone that it has not read of yet."""
         running = AttemptReport("running")
         reports = {"7.3.3": running, "7.3.4": running, "9.0.1": running, "junk": running}
@@ -57,24 +57,26 @@
         self.assertEqual(order.forget, ["7.3.2"])
 
 
-class TestJudgeAnswer(OrderCase):
-    def judge(self, told: SyncAnswer) -> list:
-        return judge_answer(self.state, "w", told)
+class TestDeriveRecords(OrderCase):
+    def derive(self, sync_answer: SyncAnswer) -> list:
+        return derive_records(self.state, "w", sync_answer)
 
     def test_starts_and_ends_are_recorded_once(self) -> None:
         """Only what the state does not show yet becomes a record."""
-        told = answer(_7_0_1="running", _7_1_2="running", _7_2_1="stopped", _7_3_3="succeeded")
+        told = make_answer(_7_0_1="running", _7_1_2="running", _7_2_1="stopped", _7_3_3="succeeded")
         self.assertEqual(
-            self.judge(told), [AttemptStarted(7, 0, 1), AttemptEnded(7, 2, 1, "stopped")]
+            self.derive(told), [AttemptStarted(7, 0, 1), AttemptEnded(7, 2, 1, "stopped")]
         )
 
-    def test_an_answer_of_another_boot_says_nothing_of_attempts(self) -> None:
+    def test_answer_of_another_boot_records_only_the_boot(self) -> None:
         """Of a worker that started again only the new boot is recorded."""
-        told = answer("c", _7_1_2="absent")
+        told = make_answer("c", _7_1_2="absent")
         seen = WorkerSeen("w", "c", Size(4000, 4096, 0), "r", "h", "http://w")
-        self.assertEqual(self.judge(told), [seen])
+        self.assertEqual(self.derive(told), [seen])
 
-    def test_nonsense_is_passed_over(self) -> None:
+    def test_unknown_attempts_are_ignored(self) -> None:
         """Unknown works, tasks and ids bring nothing."""
-        self.assertEqual(self.judge(answer(_9_0_1="failed", _7_9_1="failed", junk="failed")), [])
-        self.assertEqual(judge_answer(self.state, "unknown", answer()), [])
+        self.assertEqual(
+            self.derive(make_answer(_9_0_1="failed", _7_9_1="failed", junk="failed")), []
+        )
+        self.assertEqual(derive_records(self.state, "unknown", make_answer()), [])
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -7,33 +7,33 @@
 
 from snowdock.declarations import Declarations, Policy
 from snowdock.errors import DeclarationErrors, PolicyError
-from snowdock.policies import PolicyBook, compile_program
-from snowdock.programs import shipped_programs
+from snowdock.policies import PolicySet, compile_program
+from snowdock.programs import builtin_programs
 
-GOOD = shipped_programs()["waiting_first.star"]
+VALID_PROGRAM = builtin_programs()["waiting_first.star"]
 WORK = {"name": "x", "team": "t", "priority": 1, "waited_seconds": 0, "urgent": False}
 
 
-def declare(text: str) -> Declarations:
+def make_declarations(text: str) -> Declarations:
     return Declarations(policies={"batch": Policy("mine.star")}, programs={"mine.star": text})
 
 
 class TestCompile(unittest.TestCase):
-    def test_shipped_programs_are_good(self) -> None:
+    def test_builtin_programs_compile(self) -> None:
         """Each shipped program passes its own trial."""
-        for name, text in shipped_programs().items():
+        for name, text in builtin_programs().items():
             with self.subTest(name):
                 self.assertEqual(compile_program(name, text).name, name)
 
-    def test_mistakes_are_told_with_their_line(self) -> None:
+    def test_errors_name_the_line(self) -> None:
         """Syntax errors, missing functions, wrong results and endless loops are refused."""
         endless = "def admit(work):\n    for i in range(1000000000):\n        pass\n"
         cases = {
-            GOOD + "\ndef broken(:\n": "mine.star:",
-            GOOD.replace("def rank", "def rink"): "rank",
-            GOOD.replace("return True", "return 7"): "admit gave 7",
-            GOOD.replace('work["priority"]', 'work["nothing"]'): "rank",
-            GOOD.replace("def admit(work):\n    return True\n", endless): "cancelled",
+            VALID_PROGRAM + "\ndef broken(:\n": "mine.star:",
+            VALID_PROGRAM.replace("def rank", "def rink"): "rank",
+            VALID_PROGRAM.replace("return True", "return 7"): "admit gave 7",
+            VALID_PROGRAM.replace('work["priority"]', 'work["nothing"]'): "rank",
+            VALID_PROGRAM.replace("def admit(work):\n    return True\n", endless): "cancelled",
         }
         for text, told in cases.items():
             with self.subTest(told), self.assertRaises(PolicyError) as caught:
@@ -41,40 +41,42 @@
             self.assertIn(told, str(caught.exception))
 
     @given(st.text(max_size=300))
-    def test_any_text_is_taken_or_refused_by_type(self, text: str) -> None:
+    def test_invalid_text_raises_policy_error(self, text: str) -> None:
         """No text brings anything but the typed failure."""
         with self.assertRaises(PolicyError):
             compile_program("mine.star", text)
 
 
-class TestPolicyBook(unittest.TestCase):
+class TestPolicySet(unittest.TestCase):
     def setUp(self) -> None:
         self.alarms: list = []
-        self.book = PolicyBook(self.alarms.append)
+        self.book = PolicySet(self.alarms.append)
 
-    def test_a_failure_at_run_time_is_answered_by_the_shipped_program(self) -> None:
+    def test_runtime_failure_falls_back_to_builtin_program(self) -> None:
         """A program that passes its trial and fails later stops nothing and raises an alarm."""
-        text = GOOD.replace(
+        text = VALID_PROGRAM.replace(
             "return urgent", 'fail("no") if work["name"] == "x" else 0\n    return urgent'
         )
         text = text.replace(
             'fail("no") if work["name"] == "x" else 0',
             'if work["name"] == "x":\n        fail("no")',
         )
-        self.book.replace(declare(text))
+        self.book.replace(make_declarations(text))
         self.assertEqual(self.book.call("batch", "rank", WORK), 1)
         self.assertEqual(self.alarms[0].function, "rank")
 
-    def test_an_unusable_text_leaves_the_old_program(self) -> None:
+    def test_invalid_program_keeps_previous_one(self) -> None:
         """A text that does not compile here leaves the accepted one in force."""
-        self.book.replace(declare(GOOD.replace('work["priority"]', '7 * work["priority"]')))
+        self.book.replace(
+            make_declarations(VALID_PROGRAM.replace('work["priority"]', '7 * work["priority"]'))
+        )
         self.assertEqual(self.book.call("batch", "rank", WORK), 7)
-        self.book.replace(declare("nonsense("))
+        self.book.replace(make_declarations("nonsense("))
         self.assertEqual(self.book.call("batch", "rank", WORK), 7)
         self.assertEqual(len(self.alarms), 1)
 
     def test_check_names_the_program(self) -> None:
         """A bad program is named before it is published."""
         with self.assertRaises(DeclarationErrors) as caught:
-            PolicyBook.check(declare("nonsense("))
+            PolicySet.check(make_declarations("nonsense("))
         self.assertEqual(caught.exception.exceptions[0].file, "mine.star")
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -33,39 +33,39 @@
 )
 
 
-def batch(records: list) -> Batch:
+def make_batch(records: list) -> Batch:
     return Batch("n", "i", 1, 2, 3, records)
 
 
 class TestBatchCodec(unittest.TestCase):
     @given(st.lists(RECORDS, max_size=12))
-    def test_what_is_encoded_is_decoded(self, records: list) -> None:
+    def test_round_trip(self, records: list) -> None:
         """Any mixture of records, in any order, comes back as it was."""
-        self.assertEqual(decode_batch(encode_batch(batch(records))), batch(records))
+        self.assertEqual(decode_batch(encode_batch(make_batch(records))), make_batch(records))
 
-    def test_a_configuration_is_decoded(self) -> None:
+    def test_configuration_round_trip(self) -> None:
         """A record with nested models comes back as it was."""
         declarations = Declarations(teams={"t": Team(cpu=1, memory_gb=2)}, programs={"a": "b\n"})
-        made = batch([ConfigurationProposed(3, declarations, "me")])
+        made = make_batch([ConfigurationProposed(3, declarations, "me")])
         self.assertEqual(decode_batch(encode_batch(made)), made)
 
     @given(st.binary(max_size=200), st.integers(0, 60))
-    def test_garbage_is_refused_by_type(self, noise: bytes, at: int) -> None:
+    def test_damaged_batch_raises_invalid_input(self, noise: bytes, at: int) -> None:
         """Foreign bytes and damaged batches bring a batch or the typed failure, nothing else."""
-        good = encode_batch(batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
+        good = encode_batch(make_batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
         for data in (noise, good[:at], good[:at] + noise + good[at:]):
             try:
                 decode_batch(data)
             except InvalidInput:
                 continue
 
-    def test_a_bomb_is_refused(self) -> None:
+    def test_oversized_batch_is_rejected(self) -> None:
         """Bytes that would expand beyond the bound are refused."""
         part = SnapshotPart(0, 0, 1, bytes(20 * 1024 * 1024))
         with self.assertRaises(InvalidInput):
-            decode_batch(encode_batch(batch([part])))
+            decode_batch(encode_batch(make_batch([part])))
 
-    def test_snapshot_bytes_survive(self) -> None:
+    def test_snapshot_data_round_trip(self) -> None:
         """Binary data of snapshots is kept to the byte."""
         part = SnapshotPart(5, 0, 1, os.urandom(1000))
-        self.assertEqual(decode_batch(encode_batch(batch([part]))).records, [part])
+        self.assertEqual(decode_batch(encode_batch(make_batch([part]))).records, [part])
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -7,7 +7,7 @@
 
 
 class TestEncoding(unittest.TestCase):
-    def test_a_state_with_work_survives(self) -> None:
+    def test_state_with_work_round_trip(self) -> None:
         """A state whose maps have numbers as keys is encoded and read back (issue 4)."""
         spec = WorkSpec("batch", "x", "t", 1, Size(1, 1))
         state = State(works={7: Work(7, "k", spec, [Task()], 1)})
