--- a/specs/election_model.py
+++ b/specs/election_model.py
@@ -9,7 +9,7 @@
 
 from minicheck import Protocol
 
-from snowdock.entry.turnover import next_turnover, patience_factor
+from snowdock.entry.turnover import next_turnover, timeout_factor
 
 from .tools import Rules, make_protocol, replaced
 
@@ -115,7 +115,7 @@
     def _wait(self, state: State) -> float:
         if not self._holds("growing_patience"):
             return USUAL_WAIT
-        return USUAL_WAIT * patience_factor(state.turnover, 0.0)
+        return USUAL_WAIT * timeout_factor(state.turnover, 0.0)
 
     def _order(self, state: State, number: int, node: Node) -> list:
         if not node.own_epoch or len(state.orders) >= self._bounds.orders:
--- a/src/snowdock/entry/advisers.py
+++ b/src/snowdock/entry/advice_dispatcher.py
@@ -20,14 +20,14 @@
 from ..node.peers import Peers
 from ..platform.advice import AdviceClient
 from ..threads import ServiceThread
-from .messages import AdviceAsked, AdviceReply
+from .messages import AdviceReply, AdviceRequest
 
-__all__ = ["Advisers", "LocalAdviser"]
+__all__ = ["AdviceDispatcher", "LocalAdviceClient"]
 
-_ASKERS = 64
+_MAX_THREADS = 64
 """Threads that wait for answers; at most one for each node is busy."""
 
-_SLACK_SECONDS = 2.5
+_ANSWER_SLACK_SECONDS = 2.5
 """How much longer than told an answer may take before it counts as lost. The service goes on
 with a question that nobody waits for any more, and the node's next one queues behind it: an
 impatient caller would lose each answer in turn."""
@@ -35,38 +35,38 @@
 _PEER_SLACK_SECONDS = 0.3
 """How much longer than the peer itself waits: the way there and back."""
 
-_LATE_FACTOR = 2.0
-_LATE_SECONDS = 0.15
+_HEDGE_DELAY_FACTOR = 2.0
+_HEDGE_DELAY_SECONDS = 0.15
 """A question without an answer after so many times what it takes, and so much more, is asked by
 another node as well: the node that asks may be gone, and what it says would come seconds later."""
 
-_WATCH_SECONDS = 0.05
+_HEDGE_CHECK_SECONDS = 0.05
 """Time between looks for such questions."""
 
-_LONG_SHARE = 0.67
+_MAX_LONG_SHARE = 0.67
 """The most of the nodes that long questions may occupy at a time, so that a short one, for a
 job with a person waiting, always finds a node soon."""
 
 
-class LocalAdviser:
+class LocalAdviceClient:
     """Asks the service for this node, one question at a time."""
 
     def __init__(self, address: str) -> None:
         self._client = AdviceClient(address)
         self._lock = threading.Lock()
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Ask at another address from now on."""
         self._client = AdviceClient(address)
 
-    def ask(self, wanted: AdviceWanted, seconds: float) -> AdviceGiven:
+    def ask(self, request: AdviceWanted, seconds: float) -> AdviceGiven:
         """Ask, waiting for questions before it."""
         with self._lock:
-            return self._client.ask(wanted, seconds)
+            return self._client.ask(request, seconds)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Open:
+class _PendingQuestion:
     """A question that is not answered yet.
 
     ``late_at`` is when another node is to ask it too, in steady seconds; None while it waits for
@@ -74,15 +74,15 @@
     """
 
     question: AskAdvice
-    late_at: float | None = None
-    tries: int = 0
+    hedge_at: float | None = None
+    open_attempts: int = 0
 
     @property
     def is_long(self) -> bool:
         return self.question.expected_ms > LONG_QUESTION_MS
 
 
-class Advisers:
+class AdviceDispatcher:
     """Gives each question to a free node; one question a node at a time.
 
     Parameters
@@ -104,130 +104,149 @@
     def __init__(
         self,
         own_node: str,
-        local: LocalAdviser,
+        local_client: LocalAdviceClient,
         peers: Peers,
         live_nodes: Callable[[], list[str]],
         post: Callable[[Event], None],
         metrics: Metrics,
     ) -> None:
         self._own_node = own_node
-        self._local = local
+        self._local_client = local_client
         self._peers = peers
         self._live_nodes = live_nodes
         self._post = post
         self._metrics = metrics
-        self._short: collections.deque[_Open] = collections.deque()
-        self._long: collections.deque[_Open] = collections.deque()
-        self._open: dict[AdviceWanted, _Open] = {}
-        self._busy: dict[str, _Open] = {}
+        self._short_questions: collections.deque[_PendingQuestion] = collections.deque()
+        self._long_questions: collections.deque[_PendingQuestion] = collections.deque()
+        self._pending: dict[AdviceWanted, _PendingQuestion] = {}
+        self._in_progress: dict[str, _PendingQuestion] = {}
         self._stopped = threading.Event()
         self._lock = threading.Lock()
-        self._pool = concurrent.futures.ThreadPoolExecutor(_ASKERS, "adviser")
-        ServiceThread(self._watch, "advisers", self._stopped.is_set).start()
+        self._pool = concurrent.futures.ThreadPoolExecutor(_MAX_THREADS, "adviser")
+        ServiceThread(self._hedge_late_questions, "advisers", self._stopped.is_set).start()
 
     def ask(self, question: AskAdvice) -> None:
         """Have a question asked by some node."""
-        opened = _Open(question)
+        pending = _PendingQuestion(question)
         with self._lock:
-            self._open[question.wanted] = opened
-            (self._long if opened.is_long else self._short).append(opened)
+            self._pending[question.wanted] = pending
+            (self._long_questions if pending.is_long else self._short_questions).append(pending)
         self._dispatch()
 
     def stop(self) -> None:
         """Ask nothing more."""
         self._stopped.set()
         with self._lock:
-            self._open.clear()
-            self._short.clear()
-            self._long.clear()
+            self._pending.clear()
+            self._short_questions.clear()
+            self._long_questions.clear()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def _dispatch(self) -> None:
         nodes = [*sorted(self._live_nodes()), self._own_node]
         with self._lock:
-            idle = [node for node in nodes if node not in self._busy]
-            long_ones = sum(each.is_long for each in self._busy.values())
-            most_long = max(1, int(len(nodes) * _LONG_SHARE))
-            while idle and (self._short or (self._long and long_ones < most_long)):
-                opened = (self._short or self._long).popleft()
-                long_ones += opened.is_long
+            idle = [node for node in nodes if node not in self._in_progress]
+            long_count = sum(each.is_long for each in self._in_progress.values())
+            max_long = max(1, int(len(nodes) * _MAX_LONG_SHARE))
+            while idle and (
+                self._short_questions or (self._long_questions and long_count < max_long)
+            ):
+                pending = (self._short_questions or self._long_questions).popleft()
+                long_count += pending.is_long
                 node = idle.pop()
-                self._busy[node] = opened
-                self._note_asked(opened)
-                self._pool.submit(self._ask, opened, node)
+                self._in_progress[node] = pending
+                self._record_attempt(pending)
+                self._pool.submit(self._ask, pending, node)
 
     @staticmethod
-    def _note_asked(opened: _Open) -> None:
-        opened.tries += 1
-        if opened.tries == 1:
-            patience = opened.question.expected_ms / 1000 * _LATE_FACTOR + _LATE_SECONDS
-            opened.late_at = steady_seconds() + patience
+    def _record_attempt(pending: _PendingQuestion) -> None:
+        pending.open_attempts += 1
+        if pending.open_attempts == 1:
+            hedge_delay_s = (
+                pending.question.expected_ms / 1000 * _HEDGE_DELAY_FACTOR + _HEDGE_DELAY_SECONDS
+            )
+            pending.hedge_at = steady_seconds() + hedge_delay_s
 
-    def _watch(self) -> None:
+    def _hedge_late_questions(self) -> None:
         """Have questions that are late asked by another node, too."""
-        while not self._stopped.wait(_WATCH_SECONDS):
+        while not self._stopped.wait(_HEDGE_CHECK_SECONDS):
             now = steady_seconds()
             with self._lock:
-                late = [each for each in self._open.values() if each.late_at and each.late_at < now]
+                late = [
+                    each for each in self._pending.values() if each.hedge_at and each.hedge_at < now
+                ]
                 for each in late:
-                    each.late_at = None
-                    (self._long if each.is_long else self._short).appendleft(each)
+                    each.hedge_at = None
+                    (self._long_questions if each.is_long else self._short_questions).appendleft(
+                        each
+                    )
             for each in late:
-                log_event("advice_late", job=each.question.wanted.job, tries=each.tries)
+                log_event("advice_late", job=each.question.wanted.job, tries=each.open_attempts)
             if late:
                 self._dispatch()
 
-    def _ask(self, opened: _Open, node: str) -> None:
-        question = opened.question
-        wanted = question.wanted
-        seconds = question.expected_ms / 1000 + _SLACK_SECONDS
-        began = steady_seconds()
+    def _ask(self, pending: _PendingQuestion, node: str) -> None:
+        question = pending.question
+        request = question.wanted
+        seconds = question.expected_ms / 1000 + _ANSWER_SLACK_SECONDS
+        started_at = steady_seconds()
         try:
             if node == self._own_node:
-                tickets = self._local.ask(wanted, seconds).tickets
+                tickets = self._local_client.ask(request, seconds).tickets
             else:
                 tickets = self._ask_peer(node, question, seconds)
         except PlatformError as error:
-            log_event("advice_unanswered", job=wanted.job, by=node, reason=str(error))
+            log_event("advice_unanswered", job=request.job, by=node, reason=str(error))
             tickets = None
         except Exception as error:
             # The node stays usable, and the step is asked about again.
-            log_error("adviser_failed", error, job=wanted.job, by=node)
+            log_error("adviser_failed", error, job=request.job, by=node)
             tickets = None
         self._metrics.time(
-            "advice_seconds", "Time until advice was there.", steady_seconds() - began
+            "advice_seconds", "Time until advice was there.", steady_seconds() - started_at
         )
-        self._take(opened, node, tickets)
+        self._finish_attempt(pending, node, tickets)
         self._dispatch()
 
-    def _take(self, opened: _Open, node: str, tickets: dict[str, str] | None) -> None:
+    def _finish_attempt(
+        self, pending: _PendingQuestion, node: str, tickets: dict[str, str] | None
+    ) -> None:
         """Tell of a question's first answer, or that all who asked it had none."""
-        wanted = opened.question.wanted
+        request = pending.question.wanted
         with self._lock:
-            del self._busy[node]
-            is_first = self._open.get(wanted) is opened
-            opened.tries -= 1
-            is_last = not opened.tries and opened not in self._short and opened not in self._long
+            del self._in_progress[node]
+            is_first = self._pending.get(request) is pending
+            pending.open_attempts -= 1
+            is_last = (
+                not pending.open_attempts
+                and pending not in self._short_questions
+                and pending not in self._long_questions
+            )
             if is_first and (tickets is not None or is_last):
-                del self._open[wanted]
-                self._drop_waiting(opened)
+                del self._pending[request]
+                self._remove_from_queues(pending)
         if is_first and tickets is not None:
-            self._post(AdviceAnswered(AdviceGiven(wanted, tickets)))
+            self._post(AdviceAnswered(AdviceGiven(request, tickets)))
         elif is_first and is_last:
-            self._post(AdviceFailed(wanted))
+            self._post(AdviceFailed(request))
 
-    def _drop_waiting(self, opened: _Open) -> None:
-        for waiting in (self._short, self._long):
+    def _remove_from_queues(self, pending: _PendingQuestion) -> None:
+        for question_queue in (self._short_questions, self._long_questions):
             with contextlib.suppress(ValueError):
-                waiting.remove(opened)
+                question_queue.remove(pending)
 
     def _ask_peer(self, node: str, question: AskAdvice, seconds: float) -> dict[str, str] | None:
-        wanted = question.wanted
-
-        def make(number: int) -> AdviceAsked:
-            return AdviceAsked(
-                number, wanted.job, wanted.repetition, wanted.step, list(wanted.workers), seconds
+        request = question.wanted
+
+        def build_request(number: int) -> AdviceRequest:
+            return AdviceRequest(
+                number,
+                request.job,
+                request.repetition,
+                request.step,
+                list(request.workers),
+                seconds,
             )
 
-        reply = self._peers.ask(node, make, seconds + _PEER_SLACK_SECONDS)
+        reply = self._peers.ask(node, build_request, seconds + _PEER_SLACK_SECONDS)
         return reply.tickets if isinstance(reply, AdviceReply) else None
--- a/src/snowdock/entry/intake.py
+++ b/src/snowdock/entry/caller_api.py
@@ -33,32 +33,32 @@
     is_job_id,
 )
 from ..platform.store import KeyedRecord
-from .messages import Recording
+from .messages import RecordOutcome
 from .recorder import Recorder
 
-__all__ = ["Intake", "IntakeParts", "JobGone"]
+__all__ = ["CallerApi", "CallerApiDependencies", "JobGone"]
 
 _JSON = "application/json"
 
-_STATUS_SECONDS = 2.0
+_DEFAULT_WAIT_SECONDS = 2.0
 """How long a caller is taken to wait for an answer where it does not tell."""
 
-_USABLE_SHARE = 0.8
+_USABLE_WAIT_SHARE = 0.8
 """Share of a caller's wait that is used; the rest is for the way back."""
 
-_RECORDING_SHARE = 0.7
-_RECORDING_SECONDS = 2.1
+_RECORDING_WAIT_SHARE = 0.7
+_MAX_RECORDING_SECONDS = 2.1
 """Share of a caller's wait, and the most, that is spent on putting its job on record. On a store
 that is slow, waiting for an append serves more callers than having them try another node."""
 
-_LEAST_SECONDS = 0.1
+_MIN_WAIT_SECONDS = 0.1
 """An answer is waited for so long at least, however little of the caller's wait is left."""
 
 _RETRY_AFTER_SECONDS = 1.0
 """When a caller that was turned away is told to come back."""
 
 
-_CERTAIN_SECONDS = 1.7
+_MAX_CONFIGURATION_AGE_SECONDS = 1.7
 """A key that is not known is refused for good only where the configuration was surely the newest
 so lately: a read of it waits for a second, and a new key is to be good within two or three."""
 
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class IntakeParts:
+class CallerApiDependencies:
     """What the intake needs of its node.
 
     Attributes
@@ -104,16 +104,16 @@
     key_trust_s: float
     find_status: Callable[[JobId, str, float], JobStatus]
     count_waiting: Callable[[str, float], int]
-    leader_finds_store_slow: Callable[[], bool]
-    relay: Callable[[JobId, KeyedRecord, float], Recording]
-    note: Callable[[KeyedRecord], None]
+    leader_reports_slow_store: Callable[[], bool]
+    relay_record: Callable[[JobId, KeyedRecord, float], RecordOutcome]
+    notify_leader: Callable[[KeyedRecord], None]
     metrics: Metrics
 
 
-class Intake:
+class CallerApi:
     """The WSGI application that callers talk to."""
 
-    def __init__(self, parts: IntakeParts) -> None:
+    def __init__(self, parts: CallerApiDependencies) -> None:
         self._parts = parts
         self._in_flight = InFlight()
 
@@ -124,7 +124,7 @@
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
         """Answer one request."""
-        began = steady_seconds()
+        started_at = steady_seconds()
         with self._in_flight.one_more():
             answer = self._answer(environ)
         headers = {
@@ -136,7 +136,7 @@
         self._parts.metrics.time(
             "request_seconds",
             "Time of a caller's request.",
-            steady_seconds() - began,
+            steady_seconds() - started_at,
             method=method if method in ("GET", "POST", "DELETE") else "other",
             status=str(answer.status),
         )
@@ -162,31 +162,35 @@
             return problem_answer(SnowdockError("an unexpected failure; see the node's log"))
 
     def _dispatch(self, environ: dict, path: str) -> HttpAnswer:
-        began = steady_seconds()
+        started_at = steady_seconds()
         configuration = self._parts.configuration()
         if configuration is None:
             raise Starting("this node has no configuration yet; nothing was taken")
-        host = environ.get("HTTP_HOST", "").rpartition(":")
-        name = host[0] if host[1] and host[2].isdigit() else environ.get("HTTP_HOST", "")
-        queue = configuration.find_queue(name.lower(), path)
+        host_parts = environ.get("HTTP_HOST", "").rpartition(":")
+        host_name = (
+            host_parts[0]
+            if host_parts[1] and host_parts[2].isdigit()
+            else environ.get("HTTP_HOST", "")
+        )
+        queue = configuration.find_queue(host_name.lower(), path)
         if queue is None:
             raise NotFound("no queue at this host and path")
         team = self._find_team(environ, configuration, queue)
         method = environ["REQUEST_METHOD"]
         job = path[len(queue.path_prefix) :]
         if not job and method == "GET":
-            waiting = self._parts.count_waiting(queue.name, _seconds_left(environ, began))
+            waiting = self._parts.count_waiting(queue.name, _remaining_seconds(environ, started_at))
             return HttpAnswer(200, encode_waiting(waiting), _JSON)
         if not is_job_id(job):
             raise NotFound("no such job")
         if method == "POST":
-            return self._submit(environ, configuration, queue, team, job, began)
+            return self._submit(environ, configuration, queue, team, job, started_at)
         if method == "GET":
-            status = self._parts.find_status(job, team, _seconds_left(environ, began))
+            status = self._parts.find_status(job, team, _remaining_seconds(environ, started_at))
             return HttpAnswer(200, encode_status(status), _JSON)
         if method == "DELETE":
             record = KeyedRecord(cancel_key(record_name(job, team)), b"1")
-            self._record(job, record, _recording_seconds(environ, began))
+            self._record(job, record, _recording_seconds(environ, started_at))
             log_event("job_cancel_recorded", job=job, queue=queue.name, team=team)
             return HttpAnswer(200, b"{}", _JSON)
         raise MethodNotAllowed("GET, POST and DELETE are allowed here")
@@ -208,7 +212,7 @@
             raise Unauthorized(f"a key is needed (configuration {configuration.version})")
         age_s = self._parts.configuration_age()
         team = configuration.teams.of_key(key.encode("latin-1", "replace"))
-        if team is None and age_s <= _CERTAIN_SECONDS:
+        if team is None and age_s <= _MAX_CONFIGURATION_AGE_SECONDS:
             raise Unauthorized(f"no such key (configuration {configuration.version})")
         if team is None or age_s > self._parts.key_trust_s:
             raise Starting("whether this key is good cannot be told now; nothing was taken")
@@ -221,15 +225,15 @@
         queue: Queue,
         team: str,
         job: JobId,
-        began: float,
+        started_at: float,
     ) -> HttpAnswer:
-        given = environ.get("CONTENT_TYPE", "").partition(";")[0].strip().lower()
-        if given and given != _JSON:
-            raise UnsupportedMedia(f"content type {_JSON} is needed, not {given[:60]!r}")
+        content_type = environ.get("CONTENT_TYPE", "").partition(";")[0].strip().lower()
+        if content_type and content_type != _JSON:
+            raise UnsupportedMedia(f"content type {_JSON} is needed, not {content_type[:60]!r}")
         body = environ["wsgi.input"].read()
-        limit = configuration.limits.max_body_bytes
-        if limit and len(body) > limit:
-            raise BodyTooLarge(f"the body is larger than {limit} bytes")
+        max_body_bytes = configuration.limits.max_body_bytes
+        if max_body_bytes and len(body) > max_body_bytes:
+            raise BodyTooLarge(f"the body is larger than {max_body_bytes} bytes")
         spec = decode_job(queue.name, body)
         accepted = AcceptedJob(
             spec,
@@ -240,14 +244,14 @@
             team,
         )
         record = KeyedRecord(record_name(job, team), encode(accepted))
-        self._record(job, record, _recording_seconds(environ, began))
+        self._record(job, record, _recording_seconds(environ, started_at))
         log_event(
             "job_accepted",
             job=job,
             queue=queue.name,
             team=team,
             configuration=configuration.version,
-            ms=(steady_seconds() - began) * 1000,
+            ms=(steady_seconds() - started_at) * 1000,
         )
         return HttpAnswer(200, b"{}", _JSON)
 
@@ -262,53 +266,53 @@
             If it may be, or may still get there.
         """
         recorder = self._parts.recorder
-        by_leader = recorder.avoids_appends() or self._parts.leader_finds_store_slow()
-        if by_leader:
+        leader_first = recorder.prefers_relay() or self._parts.leader_reports_slow_store()
+        if leader_first:
             # The leader puts the records of all nodes on a slow store in few appends.
-            ways = (self._parts.relay, recorder.record)
+            writers = (self._parts.relay_record, recorder.record)
         else:
-            ways = (recorder.record, self._parts.relay)
+            writers = (recorder.record, self._parts.relay_record)
         outcomes = []
-        end = steady_seconds() + seconds
-        for way in ways:
-            left = end - steady_seconds()
-            if outcomes and left < _LEAST_SECONDS:
+        deadline = steady_seconds() + seconds
+        for write in writers:
+            remaining_s = deadline - steady_seconds()
+            if outcomes and remaining_s < _MIN_WAIT_SECONDS:
                 # One way is gone at least, however little time the caller leaves.
                 break
-            outcomes.append(way(job, record, max(_LEAST_SECONDS, left)))
-            if outcomes[-1] is Recording.DONE:
-                self._parts.note(record)
+            outcomes.append(write(job, record, max(_MIN_WAIT_SECONDS, remaining_s)))
+            if outcomes[-1] is RecordOutcome.DONE:
+                self._parts.notify_leader(record)
                 return
-            if outcomes[-1] is Recording.UNKNOWN and (by_leader or recorder.is_slow):
+            if outcomes[-1] is RecordOutcome.UNKNOWN and (leader_first or recorder.is_slow):
                 # It is on its way; a second append would only take another turn of its partition.
                 break
         log_event(
             "record_given_up",
             job=job,
-            leader_first=by_leader,
+            leader_first=leader_first,
             outcomes=[outcome.name.lower() for outcome in outcomes],
         )
-        if max(outcomes) is Recording.NOT_DONE:
+        if max(outcomes) is RecordOutcome.NOT_DONE:
             raise LogUnavailable("the store is away; nothing was recorded", _RETRY_AFTER_SECONDS)
         raise VerdictUnknown("it may be on record; send it again")
 
 
-def _seconds_left(environ: dict, began: float) -> float:
+def _remaining_seconds(environ: dict, started_at: float) -> float:
     """Give how long the caller still waits, with a little left for the way back."""
-    usable = min(_given_seconds(environ) * _USABLE_SHARE, _STATUS_SECONDS)
-    return max(_LEAST_SECONDS, usable - (steady_seconds() - began))
+    usable = min(_caller_wait_seconds(environ) * _USABLE_WAIT_SHARE, _DEFAULT_WAIT_SECONDS)
+    return max(_MIN_WAIT_SECONDS, usable - (steady_seconds() - started_at))
 
 
-def _recording_seconds(environ: dict, began: float) -> float:
+def _recording_seconds(environ: dict, started_at: float) -> float:
     """Give how long putting a caller's job on record may take."""
-    usable = min(_given_seconds(environ) * _RECORDING_SHARE, _RECORDING_SECONDS)
-    return max(_LEAST_SECONDS, usable - (steady_seconds() - began))
+    usable = min(_caller_wait_seconds(environ) * _RECORDING_WAIT_SHARE, _MAX_RECORDING_SECONDS)
+    return max(_MIN_WAIT_SECONDS, usable - (steady_seconds() - started_at))
 
 
-def _given_seconds(environ: dict) -> float:
+def _caller_wait_seconds(environ: dict) -> float:
     """Give how long the caller waits, as far as it tells."""
     try:
-        given = float(environ.get(DEADLINE_HEADER, "")) / 1000
+        seconds = float(environ.get(DEADLINE_HEADER, "")) / 1000
     except ValueError:
-        return _STATUS_SECONDS
-    return given if math.isfinite(given) else _STATUS_SECONDS
+        return _DEFAULT_WAIT_SECONDS
+    return seconds if math.isfinite(seconds) else _DEFAULT_WAIT_SECONDS
--- a/src/snowdock/entry/configurations.py
+++ b/src/snowdock/entry/configuration_watcher.py
@@ -14,25 +14,25 @@
 from ..logs import log_error, log_event
 from ..platform.configuration import CONFIGURATION_KEY, OPERATOR_TOPIC, decode_configuration
 from ..platform.store import KeyedRecord, StoreClient
-from .messages import Beat, ConfigurationTold
+from .messages import ConfigurationNotice, Heartbeat
 from .tails import Tail
-from .topics import PART
+from .topics import DEFAULT_PARTITION
 
-__all__ = ["Configurations"]
+__all__ = ["ConfigurationWatcher"]
 
-_WAIT_SECONDS = 1.0
+_READ_WAIT_SECONDS = 1.0
 """How long one read of the configuration waits; a change is to be in force within two seconds
 even where the store's answer to a read is lost."""
 
-_PASS_ON_AFTER_SECONDS = 0.5
+_FORWARD_DELAY_SECONDS = 0.5
 """A version is passed on to peers that lack it after so long: most read it themselves at once."""
 
-_PASS_ON_PAUSE_SECONDS = 1.0
+_FORWARD_INTERVAL_SECONDS = 1.0
 """Pause before it is passed on to the same peer again: it may have been lost, and one may have
 100 KB, a sixth of a second on the narrowest links."""
 
 
-class Configurations:
+class ConfigurationWatcher:
     """Follows the configuration.
 
     Parameters
@@ -48,18 +48,24 @@
     def __init__(
         self,
         store: StoreClient,
-        tell: Callable[[str, ConfigurationTold], None],
-        took: Callable[[Configuration], None],
+        send: Callable[[str, ConfigurationNotice], None],
+        on_change: Callable[[Configuration], None],
     ) -> None:
-        self._tell = tell
-        self._took = took
+        self._send = send
+        self._on_change = on_change
         self._current: Configuration | None = None
-        self._data = b""
-        self._took_at = 0.0
+        self._encoded = b""
+        self._changed_at = 0.0
         self._confirmed_at = 0.0
-        self._passed_on: dict[str, float] = {}
+        self._forwarded_at: dict[str, float] = {}
         self._tail = Tail(
-            store, OPERATOR_TOPIC, PART, _WAIT_SECONDS, 0.0, self._take_record, self._take_records
+            store,
+            OPERATOR_TOPIC,
+            DEFAULT_PARTITION,
+            _READ_WAIT_SECONDS,
+            0.0,
+            self._handle_record,
+            self._handle_records,
         )
 
     @property
@@ -83,58 +89,61 @@
         return self._tail.failing_seconds
 
     @property
-    def is_steady(self) -> bool:
+    def is_store_stable(self) -> bool:
         """Whether reads of the store are answered, and have been for a while."""
-        return self._tail.is_steady
+        return self._tail.is_stable
 
     def start(self) -> None:
         """Start reading."""
         self._tail.start()
 
-    def hear(self, beat: Beat) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take over which version a peer has, and pass the own one on where that is older."""
         now = steady_seconds()
-        if beat.configuration == self.version and beat.reaches_store:
+        if heartbeat.configuration == self.version and heartbeat.reaches_store:
             self._confirmed_at = now
-        if beat.configuration >= self.version or now - self._took_at < _PASS_ON_AFTER_SECONDS:
+        if (
+            heartbeat.configuration >= self.version
+            or now - self._changed_at < _FORWARD_DELAY_SECONDS
+        ):
             return
-        if now - self._passed_on.get(beat.node, 0.0) < _PASS_ON_PAUSE_SECONDS:
+        if now - self._forwarded_at.get(heartbeat.node, 0.0) < _FORWARD_INTERVAL_SECONDS:
             return
-        self._passed_on[beat.node] = now
-        log_event("configuration_passed_on", peer=beat.node, version=self.version)
-        self._tell(beat.node, ConfigurationTold(self._data))
+        self._forwarded_at[heartbeat.node] = now
+        log_event("configuration_passed_on", peer=heartbeat.node, version=self.version)
+        self._send(heartbeat.node, ConfigurationNotice(self._encoded))
 
-    def take_told(self, data: bytes) -> None:
+    def apply_from_peer(self, data: bytes) -> None:
         """Take over a configuration that a peer has told of."""
-        self._take(data, "peer")
+        self._apply(data, "peer")
 
-    def _take_records(self, records: list[KeyedRecord]) -> None:
+    def _handle_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
-            self._take_record(record)
+            self._handle_record(record)
 
-    def _take_record(self, record: KeyedRecord) -> None:
+    def _handle_record(self, record: KeyedRecord) -> None:
         if record.key == CONFIGURATION_KEY and record.value is not None:
-            self._take(record.value, "store")
+            self._apply(record.value, "store")
 
-    def _take(self, data: bytes, source: str) -> None:
+    def _apply(self, data: bytes, source: str) -> None:
         try:
-            found = decode_configuration(data)
+            configuration = decode_configuration(data)
         except PlatformError as error:
             log_error("configuration_unusable", error)
             return
-        before = self.version
-        if found.version <= before:
+        previous_version = self.version
+        if configuration.version <= previous_version:
             return
-        self._data = data
-        self._took_at = steady_seconds()
-        self._passed_on = {}
-        self._current = found
+        self._encoded = data
+        self._changed_at = steady_seconds()
+        self._forwarded_at = {}
+        self._current = configuration
         log_event(
             "configuration_in_force",
-            version=found.version,
-            before=before,
+            version=configuration.version,
+            before=previous_version,
             source=source,
-            queues=len(found.queues),
-            teams=len(found.teams),
+            queues=len(configuration.queues),
+            teams=len(configuration.teams),
         )
-        self._took(found)
+        self._on_change(configuration)
--- a/src/snowdock/entry/daemon.py
+++ b/src/snowdock/entry/daemon.py
@@ -20,33 +20,33 @@
 from ..platform.node_settings import NodeEnvironment, read_node_environment
 from ..platform.store import StoreClient
 from ..threads import ServiceThread, on_lost_thread
-from .advisers import Advisers, LocalAdviser
-from .configurations import Configurations
+from .advice_dispatcher import AdviceDispatcher, LocalAdviceClient
+from .caller_api import CallerApi, CallerApiDependencies
+from .configuration_watcher import ConfigurationWatcher
 from .election import Election
-from .front import bound_front, make_front
-from .intake import Intake, IntakeParts
 from .leader import LeaderContext
 from .leader_queries import LeaderQueries
-from .leader_record import Identity, LeaderRecord
-from .leader_terms import cell_settings, claim_delay
+from .leader_record import LeaderRecord, NodeIdentity
+from .leader_settings import cell_settings, claim_delay_seconds
 from .leadership import Leadership
-from .messages import ENTRY_MESSAGES, Beat
-from .peer_answers import make_peer_answers
-from .peer_book import PeerBook
-from .probes import Probes
+from .listener import apply_limits, create_listener
+from .messages import ENTRY_MESSAGES, Heartbeat
+from .peer_directory import PeerDirectory
+from .peer_requests import make_request_handler
+from .probe_server import ProbeServer
 from .recorder import Recorder
-from .settings_watch import SettingsWatch
+from .settings_watcher import SettingsWatcher
 
 __all__ = ["EntryNode", "main"]
 
-_BEAT_SECONDS = 0.2
+_HEARTBEAT_SECONDS = 0.2
 """Time between a leader's heartbeats to those that would take its place."""
 
-_SELDOM_BEATS = 3
+_INFREQUENT_HEARTBEAT_FACTOR = 3
 """All others get each third one, and so does a leader from them: a leader of 97 nodes sends and
 receives some 400 a second, where it would be 960."""
 
-_WATCHERS = 12
+_FREQUENT_PEERS = 12
 """How many peers watch a leader closely: of so many, some outlive whatever it dies of."""
 
 _NOT_READY_SECONDS = 0.5
@@ -55,20 +55,20 @@
 _STORE_CONNECTIONS = 24
 """Connections to the store that are kept: one for each of the front's 20 threads, and a few."""
 
-_STOP_SERVING_SECONDS = 2.5
+_DRAIN_SECONDS = 2.5
 """How long a stopping node goes on taking requests: the balancer needs two failed probes, one
 a second, to send no new connections."""
 
-_STOP_LEFT_SECONDS = 1.0
+_SHUTDOWN_RESERVE_SECONDS = 1.0
 """What is left of the time to stop when requests are waited for no longer."""
 
-_STOP_LEAST_SECONDS = 1.0
+_MIN_DRAIN_SECONDS = 1.0
 """Requests are waited for so long at least, however short the time to stop."""
 
-_LOST_THREAD_STATUS = 70
+_LOST_THREAD_EXIT_STATUS = 70
 """The exit status of a daemon that has lost a thread: an internal error, as `sysexits.h` has it."""
 
-_STOP_POLL_SECONDS = 0.02
+_DRAIN_POLL_SECONDS = 0.02
 """Time between looks whether the last request is answered."""
 
 
@@ -80,76 +80,79 @@
         self._metrics = Metrics()
         self._stopping = threading.Event()
         self._lost_thread = ""
-        self._peer_book = PeerBook()
+        self._peer_book = PeerDirectory()
         self._store = StoreClient(environment.store.address, _STORE_CONNECTIONS, environment.node)
-        self._adviser = LocalAdviser(environment.advice_address)
-        identity = Identity(environment.node, secrets.token_hex(4), environment.peer_address)
+        self._advice_client = LocalAdviceClient(environment.advice_address)
+        identity = NodeIdentity(environment.node, secrets.token_hex(4), environment.peer_address)
         self._identity = identity
         # Each part is made before the parts that call it are started.
         self._election = Election(
             self._store,
             identity,
-            claim_delay(environment),
-            lambda: self._configurations.is_steady,
+            claim_delay_seconds(environment),
+            lambda: self._configuration_watcher.is_store_stable,
             lambda epoch: self._leadership.begin(epoch),
-            lambda reason: self._take_deposed(reason),
-            self._follow,
+            lambda reason: self._handle_deposition(reason),
+            self._connect_to_leader,
         )
         self._peers = Peers(
             PeerOptions(
                 environment.peer_address,
-                _BEAT_SECONDS,
-                plan=BeatPlan(_SELDOM_BEATS, self._watchers),
+                _HEARTBEAT_SECONDS,
+                plan=BeatPlan(_INFREQUENT_HEARTBEAT_FACTOR, self._frequent_peers),
                 confirms_links=True,
             ),
             ENTRY_MESSAGES,
             lambda question: self._answer_peer(question),
-            self._hear,
-            self._make_beat,
+            self._handle_heartbeat,
+            self._make_heartbeat,
         )
         self._leadership = Leadership(
             self._election,
-            lambda: self._configurations.current,
-            self._leader_context,
+            lambda: self._configuration_watcher.current,
+            self._make_leader_context,
             self._connect_peers,
             self._metrics,
         )
         queries = LeaderQueries(environment.node, self._election, self._leadership, self._peers)
-        self._configurations = Configurations(
-            self._store, self._peers.tell, self._take_configuration
+        self._configuration_watcher = ConfigurationWatcher(
+            self._store, self._peers.tell, self._apply_configuration
         )
         self._recorder = recorder = Recorder(self._store, environment.store.parts, self._metrics)
-        self._intake = Intake(
-            IntakeParts(
+        self._caller_api = CallerApi(
+            CallerApiDependencies(
                 recorder,
-                lambda: self._configurations.current,
-                lambda: self._configurations.age_s,
+                lambda: self._configuration_watcher.current,
+                lambda: self._configuration_watcher.age_s,
                 environment.key_trust_s,
                 queries.find_status,
                 queries.count_waiting,
-                queries.finds_store_slow,
+                queries.leader_finds_store_slow,
                 queries.relay_record,
-                queries.note_record,
+                queries.notify_leader,
                 self._metrics,
             )
         )
-        self._answer_peer = make_peer_answers(
-            queries, self._adviser, recorder.record, self._configurations.take_told
+        self._answer_peer = make_request_handler(
+            queries,
+            self._advice_client,
+            recorder.record,
+            self._configuration_watcher.apply_from_peer,
         )
-        self._probes = Probes(environment.ready_address, self._is_ready, self._metrics)
-        self._front = make_front(self._intake, environment, self._metrics)
-        self._settings = SettingsWatch(self._take_environment)
+        self._probe_server = ProbeServer(environment.ready_address, self._is_ready, self._metrics)
+        self._listener = create_listener(self._caller_api, environment, self._metrics)
+        self._settings_watcher = SettingsWatcher(self._apply_environment)
 
     def run(self) -> int:
         """Serve until told to stop, or until a thread is lost; give the exit status."""
-        on_lost_thread(self._take_lost_thread)
+        on_lost_thread(self._handle_lost_thread)
         self._peers.start()
-        self._configurations.start()
+        self._configuration_watcher.start()
         self._election.start()
-        self._probes.start()
-        ServiceThread(self._front.run, "front").start()
+        self._probe_server.start()
+        ServiceThread(self._listener.run, "front").start()
         self._leadership.start()
-        self._settings.start()
+        self._settings_watcher.start()
         environment = self._environment
         log_event(
             "started",
@@ -159,13 +162,13 @@
             store=environment.store.address,
         )
         self._stopping.wait()
-        return self._stop()
+        return self._shut_down()
 
     def stop(self) -> None:
         """Ask for a planned stop."""
         self._stopping.set()
 
-    def _take_lost_thread(self, name: str) -> None:
+    def _handle_lost_thread(self, name: str) -> None:
         """Stop: what the thread did is done by nobody here any more."""
         self._lost_thread = self._lost_thread or name
         self._metrics.count("threads_lost_total", "Threads that ended unasked.", thread=name)
@@ -173,77 +176,81 @@
 
     def reload(self) -> None:
         """Read the settings file again."""
-        self._settings.read_again()
+        self._settings_watcher.request_reload()
 
     def _is_ready(self) -> bool:
-        if self._configurations.current is None or self._stopping.is_set():
+        if self._configuration_watcher.current is None or self._stopping.is_set():
             return False
-        return self._configurations.failing_seconds < _NOT_READY_SECONDS
+        return self._configuration_watcher.failing_seconds < _NOT_READY_SECONDS
 
     # -- configuration ---------------------------------------------------------------------
 
-    def _take_configuration(self, found: Configuration) -> None:
-        bound_front(self._front, found.limits)
+    def _apply_configuration(self, configuration: Configuration) -> None:
+        apply_limits(self._listener, configuration.limits)
         leader = self._leadership.handle
         if leader is not None:
-            leader.configure(found)
+            leader.configure(configuration)
 
-    def _take_environment(self, found: NodeEnvironment) -> None:
-        before, self._environment = self._environment, found
-        if found.store.address != before.store.address:
-            self._store.move(found.store.address)
-        if found.advice_address != before.advice_address:
-            self._adviser.move(found.advice_address)
-        log_event("settings_reloaded", changed=found != before)
+    def _apply_environment(self, environment: NodeEnvironment) -> None:
+        previous, self._environment = self._environment, environment
+        if environment.store.address != previous.store.address:
+            self._store.move(environment.store.address)
+        if environment.advice_address != previous.advice_address:
+            self._advice_client.set_address(environment.advice_address)
+        log_event("settings_reloaded", changed=environment != previous)
 
     # -- leadership and peers --------------------------------------------------------------
 
-    def _leader_context(self, epoch: int) -> LeaderContext:
+    def _make_leader_context(self, epoch: int) -> LeaderContext:
         environment = self._environment
-        live = self._peer_book.live
+        live_peers = self._peer_book.live_peers
         return LeaderContext(
             store=self._store,
             parts=environment.store.parts,
             claimed_at=steady_seconds(),
             epoch=epoch,
             settings=cell_settings(environment),
-            make_advisers=lambda post: Advisers(
-                environment.node, self._adviser, self._peers, live, post, self._metrics
+            make_advisers=lambda post: AdviceDispatcher(
+                environment.node, self._advice_client, self._peers, live_peers, post, self._metrics
             ),
-            count_askers=lambda: len(live()) + 1,
-            configuration=lambda: self._configurations.current,
-            may_order=lambda: self._leadership.leads_in(epoch) and not self._election.is_isolated,
-            step_down=self._election.abandon,
+            count_advisers=lambda: len(live_peers()) + 1,
+            configuration=lambda: self._configuration_watcher.current,
+            may_send_orders=lambda: (
+                self._leadership.leads_in(epoch) and not self._election.is_isolated
+            ),
+            step_down=self._election.step_down,
             metrics=self._metrics,
         )
 
-    def _take_deposed(self, reason: str) -> None:
+    def _handle_deposition(self, reason: str) -> None:
         self._leadership.depose(reason)
         # Whom it followed follows another; its links to all would be made anew again and again.
         self._peers.set_addresses({})
 
-    def _follow(self, leader: LeaderRecord) -> None:
+    def _connect_to_leader(self, leader: LeaderRecord) -> None:
         if leader.node != self._identity.node:
             self._peers.set_addresses({leader.node: leader.address})
 
-    def _make_beat(self, due_s: float, heard_s: float | None) -> Beat:
-        beat = self._election.make_beat(due_s, heard_s)
+    def _make_heartbeat(self, due_s: float, heard_s: float | None) -> Heartbeat:
+        heartbeat = self._election.make_heartbeat(due_s, heard_s)
         return msgspec.structs.replace(
-            beat,
-            configuration=self._configurations.version,
+            heartbeat,
+            configuration=self._configuration_watcher.version,
             store_is_slow=self._recorder.is_slow,
         )
 
-    def _hear(self, beat: Beat) -> None:
-        self._election.hear(beat)
-        self._configurations.hear(beat)
-        is_new = self._peer_book.note(beat)
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self._election.handle_heartbeat(heartbeat)
+        self._configuration_watcher.handle_heartbeat(heartbeat)
+        is_new = self._peer_book.record_heartbeat(heartbeat)
         if self._election.own_epoch and is_new:
             self._connect_peers()
 
-    def _watchers(self) -> set[str]:
+    def _frequent_peers(self) -> set[str]:
         """Give the peers that get each heartbeat of a leader."""
-        return self._peer_book.strongest(_WATCHERS) if self._election.own_epoch else set()
+        return (
+            self._peer_book.strongest_peers(_FREQUENT_PEERS) if self._election.own_epoch else set()
+        )
 
     def _connect_peers(self) -> None:
         """Connect to all peers that were heard of; only a leader asks them anything."""
@@ -251,28 +258,28 @@
 
     # -- the end ---------------------------------------------------------------------------
 
-    def _stop(self) -> int:
-        began = steady_seconds()
-        wait_s = max(_STOP_LEAST_SECONDS, self._environment.grace_s - _STOP_LEFT_SECONDS)
+    def _shut_down(self) -> int:
+        started_at = steady_seconds()
+        drain_s = max(_MIN_DRAIN_SECONDS, self._environment.grace_s - _SHUTDOWN_RESERVE_SECONDS)
         if self._lost_thread:
             # Nobody may be there to finish what is in flight.
-            wait_s = _STOP_LEAST_SECONDS
-        end = began + wait_s
+            drain_s = _MIN_DRAIN_SECONDS
+        deadline = started_at + drain_s
         log_event("draining", leads=bool(self._election.own_epoch))
-        self._settings.stop()
+        self._settings_watcher.stop()
         self._leadership.stop()
         self._election.resign()
-        while steady_seconds() < end:
-            quiet = (
-                steady_seconds() - began > min(_STOP_SERVING_SECONDS, wait_s)
-                and not self._intake.in_flight
+        while steady_seconds() < deadline:
+            is_idle = (
+                steady_seconds() - started_at > min(_DRAIN_SECONDS, drain_s)
+                and not self._caller_api.in_flight
             )
-            if quiet:
+            if is_idle:
                 break
-            time.sleep(_STOP_POLL_SECONDS)
+            time.sleep(_DRAIN_POLL_SECONDS)
         self._election.stop()
-        log_event("stopped", seconds=steady_seconds() - began, lost_thread=self._lost_thread)
-        return _LOST_THREAD_STATUS if self._lost_thread else 0
+        log_event("stopped", seconds=steady_seconds() - started_at, lost_thread=self._lost_thread)
+        return _LOST_THREAD_EXIT_STATUS if self._lost_thread else 0
 
 
 def main() -> None:
@@ -290,8 +297,8 @@
         return
     log_sink = start_logging(environment.node, sys.stdout)
     node = EntryNode(environment)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: node.stop())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: node.stop())
     signal.signal(signal.SIGHUP, lambda *_: node.reload())
     status = node.run()
     log_sink.close()
--- a/src/snowdock/entry/leader.py
+++ b/src/snowdock/entry/leader.py
@@ -39,10 +39,10 @@
 from ..node.metrics import Metrics
 from ..platform.call_loop import CallLoop
 from ..platform.store import StoreClient
-from .advisers import Advisers
+from .advice_dispatcher import AdviceDispatcher
+from .job_status_table import JobStatusTable
 from .progress_writer import ProgressWriter
 from .record_cleaner import RecordCleaner
-from .statuses import StatusBook
 from .worker_link import WorkerLink
 
 __all__ = ["Leader", "LeaderContext"]
@@ -81,10 +81,10 @@
     claimed_at: float
     epoch: int
     settings: CellSettings
-    make_advisers: Callable[[Callable[[Event], None]], Advisers]
-    count_askers: Callable[[], int]
+    make_advisers: Callable[[Callable[[Event], None]], AdviceDispatcher]
+    count_advisers: Callable[[], int]
     configuration: Callable[[], Configuration]
-    may_order: Callable[[], bool]
+    may_send_orders: Callable[[], bool]
     step_down: Callable[[str], None]
     metrics: Metrics
 
@@ -103,7 +103,7 @@
     """
 
     def __init__(
-        self, context: LeaderContext, statuses: StatusBook, recorded: RecordedJobs
+        self, context: LeaderContext, statuses: JobStatusTable, recorded: RecordedJobs
     ) -> None:
         super().__init__()
         self._context = context
@@ -111,7 +111,7 @@
         self._links: dict[str, WorkerLink] = {}
         self._calls = CallLoop("worker-calls")
         self._stepped_down = False
-        self._ticked_at = 0.0
+        self._last_tick_at = 0.0
         post = self._post
         self._writer = ProgressWriter(
             context.store, context.epoch, post, self._step_down, context.metrics
@@ -119,11 +119,11 @@
         self._cleaner = RecordCleaner(context.store, context.parts)
         self._advisers = context.make_advisers(post)
         now = steady_seconds()
-        policy = make_policy(self._raise_alarm, lambda: self._cell)
+        policy = make_policy(self._log_policy_failure, lambda: self._cell)
         self._cell = Cell(context.settings, context.epoch, policy, now)
         self._cell.claimed_at = context.claimed_at
         self._cell.configuration = context.configuration()
-        statuses.note_unreadable(recorded.unreadable | recorded.unstartable)
+        statuses.add_unreadable(recorded.unreadable | recorded.unstartable)
         restored = restore(self._cell, recorded, now, _wall_ms())
         self._handlers: dict[type, Callable] = {
             Persist: self._writer.write,
@@ -131,16 +131,16 @@
             SendStop: self._send_order,
             SendRenew: self._send_renew,
             AskAdvice: self._advisers.ask,
-            OpenWorker: self._open,
-            CloseWorker: self._close,
+            OpenWorker: self._open_worker,
+            CloseWorker: self._close_worker,
             PublishStatus: self._statuses.publish,
-            DropJobs: self._drop,
+            DropJobs: self._drop_jobs,
             ForgetAccepted: self._cleaner.clean,
             StepDown: lambda effect: self._step_down(effect.reason),
-            Decided: self._note_decision,
+            Decided: self._record_decision,
         }
         # Before anybody asks this node as the leader, it knows all jobs on record.
-        self._carry_out(restored)
+        self._apply_effects(restored)
 
     def on_start(self) -> None:
         """Start writing and calling."""
@@ -161,28 +161,28 @@
         """Take one event."""
         if self._stepped_down:
             return
-        began = steady_seconds()
+        started_at = steady_seconds()
         if isinstance(message, Ticked):
-            self._statuses.take_until(message.sent_at)
+            self._statuses.mark_processed_until(message.sent_at)
             self._context.metrics.time(
                 "leader_lag_seconds",
                 "Time that an event waited for a leader that was behind.",
-                began - message.sent_at,
+                started_at - message.sent_at,
             )
-            if began - self._ticked_at < TICK_SECONDS / 2:
+            if started_at - self._last_tick_at < TICK_SECONDS / 2:
                 # They have come together, since the leader is behind: one tells as much.
                 return
-            self._ticked_at = began
+            self._last_tick_at = started_at
         is_last = self.actor_inbox.empty()
-        self._carry_out(reduce(self._cell, message, began, _wall_ms(), is_last))
+        self._apply_effects(reduce(self._cell, message, started_at, _wall_ms(), is_last))
         self._context.metrics.count(
             "leader_seconds_total",
             "Seconds that the leader's thread spent on events, placing included.",
-            steady_seconds() - began,
+            steady_seconds() - started_at,
             event=type(message).__name__,
         )
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _apply_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             self._handlers[type(effect)](effect)
         if effects:
@@ -199,12 +199,12 @@
         with contextlib.suppress(pykka.ActorDeadError):
             self.actor_ref.tell(event)
 
-    def _raise_alarm(self, alarm) -> None:
+    def _log_policy_failure(self, alarm) -> None:
         log_event(
             "policy_failed", program=alarm.program, function=alarm.function, problem=alarm.problem
         )
 
-    def _note_decision(self, effect: Decided) -> None:
+    def _record_decision(self, effect: Decided) -> None:
         fields = dict(effect.fields)
         log_event(effect.decision, subject=effect.subject, **fields)
         metrics = self._context.metrics
@@ -214,7 +214,7 @@
                 "placing_wait_seconds", "From taking in to a placement.", fields["waited_s"]
             )
         elif effect.decision == "team_use":
-            self._note_team(effect.subject, fields)
+            self._record_team_use(effect.subject, fields)
         elif effect.decision in ("worker_set_aside", "worker_back"):
             metrics.set(
                 "workers_aside",
@@ -226,7 +226,7 @@
         elif effect.decision == "job_ended":
             metrics.time("job_seconds", "From taking in to the end.", fields["seconds"])
 
-    def _note_team(self, team: str, fields: dict[str, object]) -> None:
+    def _record_team_use(self, team: str, fields: dict[str, object]) -> None:
         metrics = self._context.metrics
         metrics.set(
             "team_quota_used", "Part of a team's quota in use.", fields["of_quota"], team=team
@@ -244,7 +244,7 @@
             self._stepped_down = True
             self._context.step_down(reason)
 
-    def _open(self, effect: OpenWorker) -> None:
+    def _open_worker(self, effect: OpenWorker) -> None:
         self._links[effect.life] = WorkerLink(
             self._calls,
             effect.life,
@@ -254,7 +254,7 @@
             self._context.epoch,
         )
 
-    def _close(self, effect: CloseWorker) -> None:
+    def _close_worker(self, effect: CloseWorker) -> None:
         link = self._links.pop(effect.life, None)
         if link is not None:
             link.close()
@@ -262,7 +262,7 @@
     def _send_order(self, effect: SendStart | SendStop) -> None:
         link = self._links.get(effect.life)
         order = effect.order
-        if link is not None and self._context.may_order():
+        if link is not None and self._context.may_send_orders():
             link.order(order)
         elif isinstance(effect, SendStart):
             result = StartResult(Refusal.UNREACHED)
@@ -274,12 +274,12 @@
         link = self._links.get(effect.life)
         if link is None:
             return
-        if self._context.may_order():
+        if self._context.may_send_orders():
             link.renew(effect.order)
         else:
             self._post(RenewAnswered(effect.life, effect.order, None))
 
-    def _drop(self, effect: DropJobs) -> None:
+    def _drop_jobs(self, effect: DropJobs) -> None:
         self._statuses.forget(effect.jobs)
         self._cleaner.clean(effect)
 
--- a/src/snowdock/entry/leader_handle.py
+++ b/src/snowdock/entry/leader_handle.py
@@ -22,14 +22,14 @@
 from ..platform.store import KeyedRecord
 from ..platform.worker_list import WORKER_TOPIC, decode_worker_entry
 from ..threads import ServiceThread
+from .job_status_table import JobStatusTable
 from .leader import LeaderContext
-from .statuses import StatusBook
 from .tails import Tail
-from .topics import JOBS_TOPIC, PART
+from .topics import DEFAULT_PARTITION, JOBS_TOPIC
 
 __all__ = ["LeaderHandle"]
 
-_KEY_TOLD = 60
+_MAX_LOGGED_KEY_CHARS = 60
 """How much of an unusable entry's key is logged."""
 
 _JOBS_WAIT_SECONDS = 1.0
@@ -41,7 +41,7 @@
 _WORKERS_PAUSE_SECONDS = 0.2
 """Entries change often and together; a few tenths later is early enough."""
 
-_LAPSE_SECONDS = 4.0
+_RELISTING_GRACE_SECONDS = 4.0
 """After the store was away, entries that lapsed with it may show as gone for so long: they are
 back in about two seconds, and a read of the list may be two behind."""
 
@@ -59,38 +59,40 @@
         What callers are shown.
     """
 
-    def __init__(self, context: LeaderContext, actor: pykka.ActorRef, statuses: StatusBook) -> None:
+    def __init__(
+        self, context: LeaderContext, actor: pykka.ActorRef, statuses: JobStatusTable
+    ) -> None:
         self._context = context
         self._actor = actor
         self._statuses = statuses
         # By worker's id: the life that its newest usable entry names, and that entry's offset.
-        self._listed: dict[str, str] = {}
-        self._taken: dict[str, int] = {}
+        self._listed_lives: dict[str, str] = {}
+        self._applied_offsets: dict[str, int] = {}
         self._stopped = threading.Event()
-        self._jobs = [
+        self._job_tails = [
             Tail(
                 context.store,
                 JOBS_TOPIC,
                 part,
                 _JOBS_WAIT_SECONDS,
                 0.0,
-                self.take_job,
-                self._take_jobs,
+                self.apply_job_record,
+                self._apply_job_records,
             )
             for part in range(context.parts)
         ]
-        self._workers = Tail(
+        self._worker_tail = Tail(
             context.store,
             WORKER_TOPIC,
-            PART,
+            DEFAULT_PARTITION,
             _WORKERS_WAIT_SECONDS,
             _WORKERS_PAUSE_SECONDS,
-            self._take_worker,
-            self._take_all_workers,
+            self._apply_worker_record,
+            self._replace_workers,
         )
 
     @property
-    def statuses(self) -> StatusBook:
+    def statuses(self) -> JobStatusTable:
         """What callers are shown."""
         return self._statuses
 
@@ -100,43 +102,43 @@
 
         What was read but waits to be taken over by a leader that is behind is not known.
         """
-        read_at = min(tail.read_at for tail in self._jobs)
-        return min(read_at, self._statuses.taken_until)
+        read_at = min(tail.read_at for tail in self._job_tails)
+        return min(read_at, self._statuses.processed_until)
 
     def start(self, job_offsets: list[int]) -> None:
         """Start feeding the actor; jobs of each partition from an offset on."""
-        self._workers.start()
-        for tail, offset in zip(self._jobs, job_offsets, strict=True):
+        self._worker_tail.start()
+        for tail, offset in zip(self._job_tails, job_offsets, strict=True):
             tail.start(offset)
         ServiceThread(self._tick, "leader-ticks", self._stopped.is_set).start()
 
     def configure(self, configuration: Configuration) -> None:
         """Tell of a newer configuration."""
-        self._tell(ConfigurationChanged(configuration))
+        self._post(ConfigurationChanged(configuration))
 
-    def take_job(self, record: KeyedRecord) -> None:
+    def apply_job_record(self, record: KeyedRecord) -> None:
         """Take over a job's record, or its cancelling; what is known already changes nothing."""
         if record.value is None:
             return
         if record.key.startswith(CANCEL_PREFIX):
-            self._tell(JobCancelled(record.key.removeprefix(CANCEL_PREFIX)))
+            self._post(JobCancelled(record.key.removeprefix(CANCEL_PREFIX)))
             return
         try:
             accepted = decode_accepted(record.value)
-            self._tell(JobAccepted(job_of_record(record.key), accepted))
+            self._post(JobAccepted(job_of_record(record.key), accepted))
         except InvalidInput as error:
             log_error("job_record_unusable", error, job=record.key)
-            self._statuses.note_unreadable([job_of_record(record.key)])
+            self._statuses.add_unreadable([job_of_record(record.key)])
 
     def stop(self) -> None:
         """Stop leading."""
         self._stopped.set()
-        for tail in self._jobs:
+        for tail in self._job_tails:
             tail.stop()
-        self._workers.stop()
+        self._worker_tail.stop()
         self._actor.stop(block=False)
 
-    def _tell(self, event: Event) -> None:
+    def _post(self, event: Event) -> None:
         try:
             self._actor.tell(event)
         except pykka.ActorDeadError:
@@ -144,46 +146,46 @@
 
     def _tick(self) -> None:
         while not self._stopped.wait(TICK_SECONDS):
-            self._tell(Ticked(self._context.count_askers(), steady_seconds()))
+            self._post(Ticked(self._context.count_advisers(), steady_seconds()))
 
-    def _take_jobs(self, records: list[KeyedRecord]) -> None:
+    def _apply_job_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
-            self.take_job(record)
+            self.apply_job_record(record)
 
-    def _take_worker(self, record: KeyedRecord) -> None:
-        if record.offset < self._taken.get(record.key, record.offset):
+    def _apply_worker_record(self, record: KeyedRecord) -> None:
+        if record.offset < self._applied_offsets.get(record.key, record.offset):
             # Read again after a later one: it may speak of a life before.
             return
-        self._taken[record.key] = record.offset
+        self._applied_offsets[record.key] = record.offset
         if record.value is None:
             self._delist(record.key, self._may_return())
             return
         try:
             entry = decode_worker_entry(record.key, record.value)
         except PlatformError as error:
-            self._let_go(record, error)
+            self._delist_unusable(record, error)
             return
-        self._listed[record.key] = entry.life
-        self._tell(WorkerListed(entry))
+        self._listed_lives[record.key] = entry.life
+        self._post(WorkerListed(entry))
 
     def _delist(self, worker: str, may_return: bool) -> None:
-        life = self._listed.pop(worker, None)
+        life = self._listed_lives.pop(worker, None)
         if life is not None:
-            self._tell(WorkerDelisted(life, may_return))
+            self._post(WorkerDelisted(life, may_return))
 
-    def _let_go(self, record: KeyedRecord, error: PlatformError) -> None:
+    def _delist_unusable(self, record: KeyedRecord, error: PlatformError) -> None:
         """Use a worker no more whose entry cannot be used; what runs there is watched."""
-        log_error("worker_entry_unusable", error, worker=record.key[:_KEY_TOLD])
+        log_error("worker_entry_unusable", error, worker=record.key[:_MAX_LOGGED_KEY_CHARS])
         self._context.metrics.count(
             "entries_unusable_total", "Entries of others that cannot be used.", table="workers"
         )
         self._delist(record.key, may_return=False)
 
     def _may_return(self) -> bool:
-        return self._workers.seconds_since_failure < _LAPSE_SECONDS
+        return self._worker_tail.seconds_since_failure < _RELISTING_GRACE_SECONDS
 
-    def _take_all_workers(self, records: list[KeyedRecord]) -> None:
-        for worker in self._listed.keys() - {record.key for record in records}:
+    def _replace_workers(self, records: list[KeyedRecord]) -> None:
+        for worker in self._listed_lives.keys() - {record.key for record in records}:
             self._delist(worker, self._may_return())
         for record in records:
-            self._take_worker(record)
+            self._apply_worker_record(record)
--- a/src/snowdock/entry/leader_record.py
+++ b/src/snowdock/entry/leader_record.py
@@ -7,7 +7,7 @@
 from ..errors import UNREADABLE, PlatformError
 from ..platform.store import KeyedRecord
 
-__all__ = ["Identity", "LeaderRecord", "decode_leader", "encode_leader"]
+__all__ = ["LeaderRecord", "NodeIdentity", "decode_leader_record", "encode_leader_record"]
 
 
 class LeaderRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -27,14 +27,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Identity:
+class NodeIdentity:
     """A node, one start of its process, and where its peers connect."""
 
     node: str
     incarnation: str
     address: str
 
-    def lead(
+    def make_record(
         self, epoch: int, resigned: bool = False, successor: str = "", turnover: int = 0
     ) -> LeaderRecord:
         """Make the record that this node leads, or has resigned."""
@@ -43,12 +43,12 @@
         )
 
 
-def encode_leader(record: LeaderRecord) -> bytes:
+def encode_leader_record(record: LeaderRecord) -> bytes:
     """Encode a leader's record."""
     return msgspec.msgpack.encode(record)
 
 
-def decode_leader(record: KeyedRecord) -> LeaderRecord:
+def decode_leader_record(record: KeyedRecord) -> LeaderRecord:
     """Decode a leader's record as it was read from the store.
 
     Raises
--- a/src/snowdock/entry/leader_terms.py
+++ b/src/snowdock/entry/leader_settings.py
@@ -4,7 +4,7 @@
 from ..jobs.times import LEASE_SECONDS, RETENTION_FACTOR, takeover_lapse_seconds
 from ..platform.node_settings import NodeEnvironment
 
-__all__ = ["cell_settings", "claim_delay"]
+__all__ = ["cell_settings", "claim_delay_seconds"]
 
 _LEADER_CORES = 1.5
 """What a leader of a large deployment needs, bursts included."""
@@ -12,7 +12,7 @@
 _LEADER_MBPS = 50.0
 """What a leader of a large deployment sends and receives at its peak, with room."""
 
-_CLAIM_DELAY_SECONDS = 0.4
+_MAX_CLAIM_DELAY_SECONDS = 0.4
 """The longest that a weak node lets others claim first; a claim takes some 10 ms."""
 
 
@@ -30,9 +30,9 @@
     )
 
 
-def claim_delay(environment: NodeEnvironment) -> float:
+def claim_delay_seconds(environment: NodeEnvironment) -> float:
     """Give how long a node that is weak for a leader lets others claim first, in seconds."""
-    lacking_cores = 1 - environment.cpu_cores / _LEADER_CORES
-    lacking_link = 1 - environment.link_mbps / _LEADER_MBPS
-    weakness = max(lacking_cores, lacking_link, 0.0)
-    return weakness * _CLAIM_DELAY_SECONDS
+    core_shortfall = 1 - environment.cpu_cores / _LEADER_CORES
+    link_shortfall = 1 - environment.link_mbps / _LEADER_MBPS
+    shortfall = max(core_shortfall, link_shortfall, 0.0)
+    return shortfall * _MAX_CLAIM_DELAY_SECONDS
--- a/src/snowdock/entry/leader_signs.py
+++ b/src/snowdock/entry/leader_signs.py
@@ -4,53 +4,53 @@
 from collections.abc import Callable
 
 from ..clocks import steady_seconds
-from .leader_record import Identity, LeaderRecord
-from .messages import Beat
-from .turnover import MOST_PATIENCE
+from .leader_record import LeaderRecord, NodeIdentity
+from .messages import Heartbeat
+from .turnover import MAX_TIMEOUT_FACTOR
 
-__all__ = ["LeaderSigns", "find_evidence"]
+__all__ = ["LeaderLiveness", "find_end_evidence"]
 
-_DUE_SECONDS = 0.2
+_DEFAULT_HEARTBEAT_SECONDS = 0.2
 """When a leader's next heartbeat is due where it does not tell."""
 
-_SILENT_BEATS = 2.0
+_SILENCE_HEARTBEATS = 2.0
 """Where so many heartbeats that are due have not come, the leader may be gone."""
 
-_MISSED_BEATS = 1.5
+_MISSED_HEARTBEAT_FACTOR = 1.5
 """After this, one heartbeat is missing: it is worth a look whether the leader's process is there at
 all, which takes a millisecond."""
 
-_STALE_RENEWAL_SECONDS = 0.7
+_MAX_RENEWAL_AGE_SECONDS = 0.7
 """A leader whose own renewal is this old may have lost the store: two are due meanwhile."""
 
 _GAP_FACTOR = 1.5
 """A leader that has been late and came back is waited for so many times as long again."""
 
-_GAP_FADING = 0.1
+_GAP_DECAY_PER_SECOND = 0.1
 """By how many seconds a second such a gap is forgotten."""
 
-_CONNECT_SECONDS = 0.2
+_CONNECT_TIMEOUT_SECONDS = 0.2
 """How long the look for the leader's process may take."""
 
 
-class _WorstGap:
+class _DecayingMaximum:
     """The longest gap lately after which a sign did come; it fades."""
 
     def __init__(self) -> None:
         self._seconds = 0.0
-        self._noted_at = 0.0
+        self._recorded_at = 0.0
 
-    def note(self, seconds: float, now: float) -> None:
+    def record(self, seconds: float, now: float) -> None:
         """Take over a gap that is over."""
-        self._seconds = max(seconds, self.at(now))
-        self._noted_at = now
+        self._seconds = max(seconds, self.value_at(now))
+        self._recorded_at = now
 
-    def at(self, now: float) -> float:
+    def value_at(self, now: float) -> float:
         """Give the gap, in seconds."""
-        return max(0.0, self._seconds - _GAP_FADING * (now - self._noted_at))
+        return max(0.0, self._seconds - _GAP_DECAY_PER_SECOND * (now - self._recorded_at))
 
 
-class LeaderSigns:
+class LeaderLiveness:
     """The newest signs of a leader; written by the thread that hears, read by the election's.
 
     How late they may be follows from how late the leader's own have come: one on a busy node is
@@ -58,97 +58,99 @@
     """
 
     def __init__(self) -> None:
-        self._heard_at = 0.0
-        self._renewed_s = 0.0
-        self._due_s = _DUE_SECONDS
-        self._is_turned_away = False
-        self._finds_store_slow = False
-        self._silence = _WorstGap()
-        self._staleness = _WorstGap()
-
-    def is_heard(self, factor: float = 1.0) -> bool:
+        self._last_heartbeat_at = 0.0
+        self._renewal_age_s = 0.0
+        self._due_s = _DEFAULT_HEARTBEAT_SECONDS
+        self._renewals_rejected = False
+        self._store_is_slow = False
+        self._longest_heartbeat_gap = _DecayingMaximum()
+        self._longest_renewal_gap = _DecayingMaximum()
+
+    def is_alive(self, factor: float = 1.0) -> bool:
         """Tell whether the leader has been heard of lately, and reaches the store.
 
         ``factor`` is how many times longer than usual it is waited for.
         """
         now = steady_seconds()
         return (
-            now - self._heard_at < self._longest_silence(now, factor)
-            and self._renewed_s < self._oldest_renewal(now, factor)
-            and not self._is_turned_away
+            now - self._last_heartbeat_at < self._silence_limit(now, factor)
+            and self._renewal_age_s < self._renewal_age_limit(now, factor)
+            and not self._renewals_rejected
         )
 
-    def lateness(self) -> float:
+    def delay_factor(self) -> float:
         """Give how many times longer than usual the leader's signs have taken lately."""
         now = steady_seconds()
         return max(
-            self._longest_silence(now, 1.0) / self._usual_silence,
-            self._oldest_renewal(now, 1.0) / _STALE_RENEWAL_SECONDS,
+            self._silence_limit(now, 1.0) / self._base_silence_limit,
+            self._renewal_age_limit(now, 1.0) / _MAX_RENEWAL_AGE_SECONDS,
         )
 
-    def _longest_silence(self, now: float, factor: float) -> float:
-        usual = self._usual_silence
-        learned = _GAP_FACTOR * self._silence.at(now) / usual
-        return usual * max(factor, min(learned, MOST_PATIENCE))
+    def _silence_limit(self, now: float, factor: float) -> float:
+        base_limit = self._base_silence_limit
+        adaptive_factor = _GAP_FACTOR * self._longest_heartbeat_gap.value_at(now) / base_limit
+        return base_limit * max(factor, min(adaptive_factor, MAX_TIMEOUT_FACTOR))
 
     @property
-    def _usual_silence(self) -> float:
-        return _SILENT_BEATS * self._due_s
+    def _base_silence_limit(self) -> float:
+        return _SILENCE_HEARTBEATS * self._due_s
 
-    def _oldest_renewal(self, now: float, factor: float) -> float:
-        learned = _GAP_FACTOR * self._staleness.at(now) / _STALE_RENEWAL_SECONDS
-        return _STALE_RENEWAL_SECONDS * max(factor, min(learned, MOST_PATIENCE))
+    def _renewal_age_limit(self, now: float, factor: float) -> float:
+        adaptive_factor = (
+            _GAP_FACTOR * self._longest_renewal_gap.value_at(now) / _MAX_RENEWAL_AGE_SECONDS
+        )
+        return _MAX_RENEWAL_AGE_SECONDS * max(factor, min(adaptive_factor, MAX_TIMEOUT_FACTOR))
 
     @property
-    def finds_store_slow(self) -> bool:
+    def store_is_slow(self) -> bool:
         """Whether the leader has told with its last heartbeat that its appends take long."""
-        return self._finds_store_slow
+        return self._store_is_slow
 
     @property
-    def is_turned_away(self) -> bool:
+    def renewals_rejected(self) -> bool:
         """Whether the leader has told lately that the store turns it away."""
-        recently = steady_seconds() - self._heard_at < self._usual_silence
-        return recently and self._is_turned_away
+        recently = steady_seconds() - self._last_heartbeat_at < self._base_silence_limit
+        return recently and self._renewals_rejected
 
     @property
-    def has_missed_a_beat(self) -> bool:
+    def has_missed_heartbeat(self) -> bool:
         """Whether a heartbeat is missing."""
-        return steady_seconds() - self._heard_at > _MISSED_BEATS * self._due_s
+        return steady_seconds() - self._last_heartbeat_at > _MISSED_HEARTBEAT_FACTOR * self._due_s
 
-    def hear(self, beat: Beat) -> None:
+    def record_heartbeat(self, beat: Heartbeat) -> None:
         """Take a heartbeat of the leader over."""
         now = steady_seconds()
-        if self._heard_at:
-            self._silence.note(now - self._heard_at, now)
-        if beat.renewed_s < self._renewed_s and not self._is_turned_away:
+        if self._last_heartbeat_at:
+            self._longest_heartbeat_gap.record(now - self._last_heartbeat_at, now)
+        if beat.renewal_age_s < self._renewal_age_s and not self._renewals_rejected:
             # It has renewed meanwhile, this late.
-            self._staleness.note(self._renewed_s, now)
-        self._heard_at = now
+            self._longest_renewal_gap.record(self._renewal_age_s, now)
+        self._last_heartbeat_at = now
         self._due_s = beat.due_s
-        self._renewed_s = beat.renewed_s
-        self._is_turned_away = beat.turned_away
-        self._finds_store_slow = beat.store_is_slow
+        self._renewal_age_s = beat.renewal_age_s
+        self._renewals_rejected = beat.renewals_rejected
+        self._store_is_slow = beat.store_is_slow
 
-    def expect(self) -> None:
+    def start_term(self) -> None:
         """Give a leader that was just elected the time for its first heartbeat."""
-        self._silence = _WorstGap()
-        self._staleness = _WorstGap()
-        self._heard_at = steady_seconds()
-        self._renewed_s = 0.0
-        self._is_turned_away = False
-        self._finds_store_slow = False
-
-    def forget(self) -> None:
+        self._longest_heartbeat_gap = _DecayingMaximum()
+        self._longest_renewal_gap = _DecayingMaximum()
+        self._last_heartbeat_at = steady_seconds()
+        self._renewal_age_s = 0.0
+        self._renewals_rejected = False
+        self._store_is_slow = False
+
+    def mark_silent(self) -> None:
         """Take the leader as not heard: it has resigned, or what is known of it may be old."""
-        self._heard_at = 0.0
-        self._renewed_s = 0.0
-        self._is_turned_away = False
+        self._last_heartbeat_at = 0.0
+        self._renewal_age_s = 0.0
+        self._renewals_rejected = False
 
 
-def find_evidence(
+def find_end_evidence(
     leader: LeaderRecord,
-    identity: Identity,
-    signs: LeaderSigns,
+    identity: NodeIdentity,
+    signs: LeaderLiveness,
     reaches_store: Callable[[], bool],
 ) -> str | None:
     """Tell by what it is evident that a leader leads no more; None where by nothing.
@@ -168,9 +170,9 @@
         return None
     if leader.node == identity.node:
         return "its process on this node has been replaced"
-    if signs.is_turned_away and reaches_store():
+    if signs.renewals_rejected and reaches_store():
         return "the store turns it away"
-    if signs.has_missed_a_beat and _refuses_connections(leader):
+    if signs.has_missed_heartbeat and _refuses_connections(leader):
         return "no process listens at its address"
     return None
 
@@ -179,7 +181,7 @@
     """Tell whether no process listens at a leader's address, though its machine is reached."""
     host, _, port = leader.address.rpartition(":")
     try:
-        with socket.create_connection((host, int(port)), _CONNECT_SECONDS):
+        with socket.create_connection((host, int(port)), _CONNECT_TIMEOUT_SECONDS):
             return False
     except ConnectionRefusedError:
         return True
--- a/src/snowdock/entry/leader_watch.py
+++ b/src/snowdock/entry/leader_watch.py
@@ -6,7 +6,7 @@
 from .known_leader import KnownLeader
 from .leader_log import LeaderLog
 from .leader_record import LeaderRecord
-from .renewals import CALL_SECONDS
+from .renewals import MAX_CALL_SECONDS
 
 __all__ = ["LeaderWatch"]
 
@@ -30,52 +30,52 @@
     """
 
     def __init__(
-        self, log: LeaderLog, known: KnownLeader, take: Callable[[list[LeaderRecord]], None]
+        self, log: LeaderLog, known: KnownLeader, on_records: Callable[[list[LeaderRecord]], None]
     ) -> None:
         self._log = log
         self._known = known
-        self._take = take
+        self._on_records = on_records
 
     def read_newest(self) -> None:
         """Read the newest record, which may be old."""
-        self._take(self._log.read_newest(CALL_SECONDS))
-        self._known.doubt()
+        self._on_records(self._log.read_newest(MAX_CALL_SECONDS))
+        self._known.mark_unconfirmed()
 
-    def read_on(self, seconds: float) -> bool:
+    def read_new(self, seconds: float) -> bool:
         """Read the records since the last look; tell whether there were any, or may have been."""
-        found = self._log.read_on(seconds)
+        found = self._log.read_new(seconds)
         if found is None:
             return True
-        self._take(found)
+        self._on_records(found)
         return bool(found)
 
     def wait_for_leader(self, seconds: float | None = None) -> bool:
         """Wait for a record of a leader, as long as a renewal takes; tell whether there was one."""
-        was_read = self.read_on(_PROBE_SECONDS if seconds is None else seconds)
+        was_read = self.read_new(_PROBE_SECONDS if seconds is None else seconds)
         leader = self._known.record
         return was_read and not (leader and leader.resigned)
 
-    def finds_another(self) -> bool:
+    def read_other_leader(self) -> bool:
         """Read what the store holds by now; tell whether it names another leader."""
         before = self._known.record.incarnation
-        while self.read_on(0.0):
-            if not self._log.has_place:
+        while self.read_new(0.0):
+            if not self._log.has_position:
                 return True
             if self._known.record.incarnation != before:
                 return not self._known.record.resigned
         return False
 
-    def sees_renewal(self) -> bool:
+    def wait_for_renewal(self) -> bool:
         """Watch for a renewal of a leader that has not resigned; tell whether it leads on."""
         leader = self._known.record
         if leader is None or leader.resigned:
             return False
         began = steady_seconds()
         # What was appended before tells nothing; only news from now on does.
-        if self.finds_another():
+        if self.read_other_leader():
             return True
         if self._known.record.resigned:
             return False
         call_s = steady_seconds() - began
         watch_s = _PROBE_SECONDS * self._known.watch_factor + _PROBE_CALLS * call_s
-        return self.wait_for_leader(watch_s) or self._known.is_heard
+        return self.wait_for_leader(watch_s) or self._known.is_alive
--- a/src/snowdock/entry/leadership.py
+++ b/src/snowdock/entry/leadership.py
@@ -16,7 +16,7 @@
 
 __all__ = ["Leadership"]
 
-_POLL_SECONDS = 0.02
+_CONFIGURATION_POLL_SECONDS = 0.02
 """Time between looks for the first configuration, which one read of the store brings."""
 
 
@@ -72,7 +72,7 @@
 
     def depose(self, reason: str) -> None:
         """End the leadership: another node leads."""
-        handle = self._take_handle()
+        handle = self._detach_handle()
         log_event("deposed", reason=reason)
         self._metrics.count("depositions_total", "Leaderships of this node that ended.")
         if handle is not None:
@@ -80,7 +80,7 @@
 
     def stop(self) -> None:
         """End the leadership, if there is one, for a planned stop."""
-        handle = self._take_handle()
+        handle = self._detach_handle()
         if handle is not None:
             handle.stop()
 
@@ -88,7 +88,7 @@
         """Tell whether this node leads in an epoch."""
         return self._election.own_epoch == epoch
 
-    def _take_handle(self) -> LeaderHandle | None:
+    def _detach_handle(self) -> LeaderHandle | None:
         with self._lock:
             handle, self._handle = self._handle, None
         return handle
@@ -98,17 +98,17 @@
         while True:
             epoch = self._epochs.get()
             try:
-                self._lead(epoch)
+                self._start_leader(epoch)
             except Exception as error:
                 # Else this node would hold the leadership and do nothing with it.
                 log_error("leading_failed", error, epoch=epoch)
-                self._election.abandon(f"the leader could not start: {error}")
+                self._election.step_down(f"the leader could not start: {error}")
 
-    def _lead(self, epoch: int) -> None:
+    def _start_leader(self, epoch: int) -> None:
         # Those that took this node for the leader already have been heard before.
         self._connect_peers()
         while self._configuration() is None and self.leads_in(epoch):
-            time.sleep(_POLL_SECONDS)
+            time.sleep(_CONFIGURATION_POLL_SECONDS)
         handle = start_leader(self._make_context(epoch), lambda: self.leads_in(epoch))
         if handle is None:
             return
--- a/src/snowdock/entry/messages.py
+++ b/src/snowdock/entry/messages.py
@@ -10,19 +10,19 @@
 
 __all__ = [
     "ENTRY_MESSAGES",
-    "AdviceAsked",
     "AdviceReply",
-    "Beat",
-    "ConfigurationTold",
-    "CountAsked",
+    "AdviceRequest",
+    "ConfigurationNotice",
     "CountReply",
+    "CountRequest",
     "EntryMessage",
-    "RecordAsked",
-    "RecordNoted",
+    "Heartbeat",
+    "RecordNotice",
+    "RecordOutcome",
     "RecordReply",
-    "Recording",
-    "StatusAsked",
+    "RecordRequest",
     "StatusReply",
+    "StatusRequest",
 ]
 
 
@@ -30,7 +30,7 @@
     """Base of the messages; ``number`` ties a reply to its question."""
 
 
-class Beat(_EntryMessage, tag="b"):
+class Heartbeat(_EntryMessage, tag="b"):
     """A node is alive.
 
     Attributes
@@ -62,18 +62,18 @@
     node: str
     address: str
     epoch: int
-    renewed_s: float
+    renewal_age_s: float
     resigned: bool = False
     claim_delay_s: float = 0.0
     reaches_store: bool = True
-    turned_away: bool = False
+    renewals_rejected: bool = False
     due_s: float = 0.2
     heard_s: float | None = None
     configuration: int = 0
     store_is_slow: bool = False
 
 
-class StatusAsked(_EntryMessage, tag="s"):
+class StatusRequest(_EntryMessage, tag="s"):
     """Where does a team's job stand; no team where no key was needed."""
 
     number: int
@@ -89,7 +89,7 @@
     is_sure: bool
 
 
-class CountAsked(_EntryMessage, tag="c"):
+class CountRequest(_EntryMessage, tag="c"):
     """How many jobs of a queue wait."""
 
     number: int
@@ -104,7 +104,7 @@
     is_sure: bool
 
 
-class AdviceAsked(_EntryMessage, tag="a"):
+class AdviceRequest(_EntryMessage, tag="a"):
     """The leader has a node ask the advice service."""
 
     number: int
@@ -112,7 +112,7 @@
     repetition: int
     step: int
     workers: list[str]
-    seconds: float
+    timeout_s: float
 
 
 class AdviceReply(_EntryMessage, tag="A"):
@@ -122,20 +122,20 @@
     tickets: dict[str, str] | None
 
 
-class RecordNoted(_EntryMessage, tag="n"):
+class RecordNotice(_EntryMessage, tag="n"):
     """A job's record is on the store; the leader need not wait until it reads it there."""
 
     key: str
     value: bytes
 
 
-class ConfigurationTold(_EntryMessage, tag="v"):
+class ConfigurationNotice(_EntryMessage, tag="v"):
     """A configuration as the store holds it, for a node that has only an older one."""
 
     data: bytes
 
 
-class Recording(enum.IntEnum):
+class RecordOutcome(enum.IntEnum):
     """How putting a record on the store went."""
 
     DONE = 0
@@ -145,7 +145,7 @@
     """It may be on record, or may still get there."""
 
 
-class RecordAsked(_EntryMessage, tag="r"):
+class RecordRequest(_EntryMessage, tag="r"):
     """A node that does not reach the store asks another to put a job's record there.
 
     ``seconds`` is how long that may take.
@@ -155,28 +155,28 @@
     job: JobId
     key: str
     value: bytes
-    seconds: float
+    timeout_s: float
 
 
 class RecordReply(_EntryMessage, tag="R"):
     """How that went."""
 
     number: int
-    outcome: Recording
+    outcome: RecordOutcome
 
 
 EntryMessage = (
-    Beat
-    | StatusAsked
+    Heartbeat
+    | StatusRequest
     | StatusReply
-    | CountAsked
+    | CountRequest
     | CountReply
-    | AdviceAsked
+    | AdviceRequest
     | AdviceReply
-    | RecordAsked
-    | RecordNoted
+    | RecordRequest
+    | RecordNotice
     | RecordReply
-    | ConfigurationTold
+    | ConfigurationNotice
 )
 
 _encoder = msgspec.msgpack.Encoder()
@@ -193,14 +193,14 @@
 ENTRY_MESSAGES = PeerMessages(
     encode=_encoder.encode,
     decode=_decode,
-    heartbeat=Beat,
+    heartbeat=Heartbeat,
     questions=(
-        StatusAsked,
-        CountAsked,
-        AdviceAsked,
-        RecordAsked,
-        RecordNoted,
-        ConfigurationTold,
+        StatusRequest,
+        CountRequest,
+        AdviceRequest,
+        RecordRequest,
+        RecordNotice,
+        ConfigurationNotice,
     ),
     answers=(StatusReply, CountReply, AdviceReply, RecordReply),
 )
--- a/src/snowdock/entry/peer_book.py
+++ b/src/snowdock/entry/peer_directory.py
@@ -5,9 +5,9 @@
 import threading
 
 from ..clocks import steady_seconds
-from .messages import Beat
+from .messages import Heartbeat
 
-__all__ = ["PeerBook"]
+__all__ = ["PeerDirectory"]
 
 _LIVE_SECONDS = 1.3
 """A peer without a heartbeat for this long is given nothing to do; two are due."""
@@ -25,14 +25,14 @@
     claim_delay_s: float
 
 
-class PeerBook:
+class PeerDirectory:
     """The last heartbeat of each peer; read and written by many threads."""
 
     def __init__(self) -> None:
         self._peers: dict[str, _Peer] = {}
         self._lock = threading.Lock()
 
-    def note(self, beat: Beat) -> bool:
+    def record_heartbeat(self, beat: Heartbeat) -> bool:
         """Take a heartbeat over; tell whether the peer or its address is new."""
         with self._lock:
             known = self._peers.get(beat.node)
@@ -48,16 +48,18 @@
                     del self._peers[node]
             return {node: peer.address for node, peer in self._peers.items()}
 
-    def live(self) -> list[str]:
+    def live_peers(self) -> list[str]:
         """Give the names of the peers that can be given something to do."""
-        return [node for node, _ in self._live()]
+        return [node for node, _ in self._live_peer_delays()]
 
-    def strongest(self, most: int) -> set[str]:
+    def strongest_peers(self, max_count: int) -> set[str]:
         """Give the names of the live peers that would claim the lead first, so many at most."""
-        found = heapq.nsmallest(most, self._live(), key=lambda peer: (peer[1], peer[0]))
+        found = heapq.nsmallest(
+            max_count, self._live_peer_delays(), key=lambda peer: (peer[1], peer[0])
+        )
         return {node for node, _ in found}
 
-    def _live(self) -> list[tuple[str, float]]:
+    def _live_peer_delays(self) -> list[tuple[str, float]]:
         oldest = steady_seconds() - _LIVE_SECONDS
         with self._lock:
             return [
--- /dev/null
+++ b/src/snowdock/entry/peer_requests.py
@@ -0,0 +1,82 @@
+"""Answers to what other nodes ask this one."""
+
+from collections.abc import Callable
+
+from ..errors import PlatformError
+from ..jobs.model import JobId
+from ..jobs.orders import AdviceWanted
+from ..logs import log_event
+from ..platform.store import KeyedRecord
+from .advice_dispatcher import LocalAdviceClient
+from .leader_queries import LeaderQueries
+from .messages import (
+    AdviceReply,
+    AdviceRequest,
+    ConfigurationNotice,
+    CountReply,
+    CountRequest,
+    EntryMessage,
+    RecordNotice,
+    RecordOutcome,
+    RecordReply,
+    RecordRequest,
+    StatusReply,
+    StatusRequest,
+)
+
+__all__ = ["make_request_handler"]
+
+
+def make_request_handler(
+    queries: LeaderQueries,
+    adviser: LocalAdviceClient,
+    record_locally: Callable[[JobId, KeyedRecord, float], RecordOutcome],
+    apply_configuration: Callable[[bytes], None],
+) -> Callable[[EntryMessage], EntryMessage | None]:
+    """Make the function that answers questions of peers.
+
+    Parameters
+    ----------
+    queries
+        Knows what this node knows as the leader.
+    adviser
+        Asks the advice service from this node.
+    record_here
+        Puts a job's record on the store from this node.
+    take_configuration
+        Takes a configuration over that a peer has told of.
+
+    Returns
+    -------
+    Callable
+        Gives the answer to a question, or None for what is none.
+    """
+
+    def handle_request(request: EntryMessage) -> EntryMessage | None:
+        match request:
+            case StatusRequest(number, job, team):
+                return StatusReply(number, *queries.local_status(job, team))
+            case CountRequest(number, queue):
+                waiting = queries.local_count(queue)
+                return CountReply(number, waiting or 0, waiting is not None)
+            case AdviceRequest():
+                return _ask_advice(adviser, request)
+            case RecordRequest(number, job, key, value, seconds):
+                return RecordReply(number, record_locally(job, KeyedRecord(key, value), seconds))
+            case RecordNotice(key, value):
+                queries.apply_record(KeyedRecord(key, value))
+            case ConfigurationNotice(data):
+                apply_configuration(data)
+        return None
+
+    return handle_request
+
+
+def _ask_advice(adviser: LocalAdviceClient, request: AdviceRequest) -> AdviceReply:
+    wanted = AdviceWanted(request.job, request.repetition, request.step, tuple(request.workers))
+    try:
+        advice = adviser.ask(wanted, request.timeout_s)
+    except PlatformError as error:
+        log_event("advice_unanswered", job=request.job, step=request.step, reason=str(error))
+        return AdviceReply(request.number, None)
+    return AdviceReply(request.number, advice.tickets)
--- a/src/snowdock/entry/probes.py
+++ b/src/snowdock/entry/probe_server.py
@@ -10,12 +10,12 @@
 from ..platform.job_bodies import READY_PATH
 from ..threads import ServiceThread
 
-__all__ = ["METRICS_PORT", "Probes"]
+__all__ = ["METRICS_PORT", "ProbeServer"]
 
 METRICS_PORT = 9464
 """Where metrics are served; the deploy file names the same port."""
 
-METRICS_VARIABLE = "SNOWDOCK_METRICS_PORT"
+METRICS_PORT_VARIABLE = "SNOWDOCK_METRICS_PORT"
 """The environment variable that names another port."""
 
 _METRICS_PATH = "/metrics"
@@ -23,7 +23,7 @@
 """Requests handled at once: one probe, one reading of the metrics."""
 
 
-class Probes:
+class ProbeServer:
     """The WSGI application for the balancer's probes and the operators' metrics.
 
     Parameters
@@ -40,7 +40,7 @@
         self._is_ready = is_ready
         self._metrics = metrics
         host = ready_address.rpartition(":")[0]
-        port = os.environ.get(METRICS_VARIABLE, METRICS_PORT)
+        port = os.environ.get(METRICS_PORT_VARIABLE, METRICS_PORT)
         self._server = waitress.create_server(
             self,
             listen=f"{ready_address} {host}:{port}",
--- a/src/snowdock/entry/progress_writer.py
+++ b/src/snowdock/entry/progress_writer.py
@@ -18,25 +18,25 @@
 from ..node.metrics import Metrics
 from ..platform.store import KeyedRecord, Producer, StoreClient
 from ..threads import ServiceThread
-from .patience import Patience
-from .topics import PART, PROGRESS_TOPIC
+from .adaptive_timeout import AdaptiveTimeout
+from .topics import DEFAULT_PARTITION, PROGRESS_TOPIC
 
 __all__ = ["ProgressWriter", "fence_progress"]
 
-_SHORTEST_TRY_SECONDS = 0.25
-_CALL_SECONDS = 1.0
+_MIN_ATTEMPT_SECONDS = 0.25
+_MAX_ATTEMPT_SECONDS = 1.0
 """Bounds of one try: a batch takes some 10 ms; it is numbered, so sending it again does no
 harm."""
 
-_RETRY_SECONDS = 0.1
+_RETRY_DELAY_SECONDS = 0.1
 """Pause after a try that failed, from the second one on."""
 
-_NEXT_TRY_SECONDS = 0.25
-_MOST_TRIES = 4
+_NEXT_ATTEMPT_DELAY_SECONDS = 0.25
+_MAX_PARALLEL_ATTEMPTS = 4
 """After so long without an answer the next try begins beside the last; so many run at most, which
 is one a quarter of a second for as long as one may take."""
 
-_PRODUCER = "leader"
+_PRODUCER_NAME = "leader"
 """The name under which each leader appends, so that a later epoch shuts out the earlier ones."""
 
 _FENCE_SEQUENCE = 0
@@ -57,9 +57,9 @@
     PlatformError
         If it may not have been done.
     """
-    producer = Producer(_PRODUCER, epoch, _FENCE_SEQUENCE)
+    producer = Producer(_PRODUCER_NAME, epoch, _FENCE_SEQUENCE)
     try:
-        store.append(PROGRESS_TOPIC, PART, [], seconds, producer=producer)
+        store.append(PROGRESS_TOPIC, DEFAULT_PARTITION, [], seconds, producer=producer)
     except AppendConflict:
         log_event("fence_repeated", epoch=epoch)
 
@@ -88,16 +88,16 @@
         self,
         store: StoreClient,
         epoch: int,
-        persisted: Callable[[Persisted], None],
-        fenced: Callable[[str], None],
+        on_persisted: Callable[[Persisted], None],
+        on_fenced: Callable[[str], None],
         metrics: Metrics,
     ) -> None:
         self._store = store
         self._epoch = epoch
-        self._persisted = persisted
-        self._fenced = fenced
+        self._on_persisted = on_persisted
+        self._on_fenced = on_fenced
         self._metrics = metrics
-        self._patience = Patience(_SHORTEST_TRY_SECONDS, _CALL_SECONDS)
+        self._timeout = AdaptiveTimeout(_MIN_ATTEMPT_SECONDS, _MAX_ATTEMPT_SECONDS)
         self._batches: queue.SimpleQueue[Persist | None] = queue.SimpleQueue()
         self._stopped = threading.Event()
         self._thread = ServiceThread(self._run, "progress", self._stopped.is_set)
@@ -127,102 +127,110 @@
             except Exception as error:
                 # Nothing may overtake a batch whose fate is unknown.
                 log_error("progress_failed", error, batch=batch.number)
-                self._fenced(f"a batch could not be written: {error}")
+                self._on_fenced(f"a batch could not be written: {error}")
                 self._stopped.set()
                 return
 
     def _write(self, batch: Persist) -> bool:
         """Put a batch on record; tell whether to go on."""
         records = [KeyedRecord(record.job, record.data) for record in batch.records]
-        began = steady_seconds()
-        outcome = self._try(records, batch.number, self._patience.limit)
-        if isinstance(outcome, _Failed):
-            self._patience.miss()
+        started_at = steady_seconds()
+        outcome = self._append_once(records, batch.number, self._timeout.limit_s)
+        if isinstance(outcome, _AppendFailed):
+            self._timeout.record_timeout()
             log_event(
                 "dependency_lost", dependency="store", batch=batch.number, reason=outcome.reason
             )
-            outcome = self._try_until_answered(records, batch.number)
-            log_event("dependency_regained", dependency="store", seconds=steady_seconds() - began)
-        if isinstance(outcome, _Done):
-            self._patience.note(outcome.seconds)
+            outcome = self._append_until_answered(records, batch.number)
+            log_event(
+                "dependency_regained", dependency="store", seconds=steady_seconds() - started_at
+            )
+        if isinstance(outcome, _Appended):
+            self._timeout.record_answer(outcome.seconds)
             self._metrics.count("store_appends_total", "Appends to the store.", outcome="done")
             self._metrics.time(
                 "store_append_seconds", "Time of an append that was answered.", outcome.seconds
             )
-            self._persisted(Persisted(batch.number))
+            self._on_persisted(Persisted(batch.number))
             return True
-        if isinstance(outcome, _ShutOut):
-            self._fenced(outcome.reason)
+        if isinstance(outcome, _Fenced):
+            self._on_fenced(outcome.reason)
         return False
 
-    def _try_until_answered(
-        self, records: list[KeyedRecord], number: int
-    ) -> "_Done | _ShutOut | None":
+    def _append_until_answered(
+        self, records: list[KeyedRecord], sequence: int
+    ) -> "_Appended | _Fenced | None":
         """Try a batch again and again, without waiting for each try; none where told to stop.
 
         A try begun just before the store's return may hang until its end. The next one, on
         another connection, is answered at once.
         """
         running: set[concurrent.futures.Future[_Outcome]] = set()
-        with contextlib.closing(_Tries()) as tries:
+        with contextlib.closing(_AttemptPool()) as attempts:
             while not self._stopped.is_set():
-                if len(running) < _MOST_TRIES:
-                    running.add(tries.begin(lambda: self._try(records, number, _CALL_SECONDS)))
-                ended, running = concurrent.futures.wait(
-                    running, _NEXT_TRY_SECONDS, concurrent.futures.FIRST_COMPLETED
+                if len(running) < _MAX_PARALLEL_ATTEMPTS:
+                    running.add(
+                        attempts.submit(
+                            lambda: self._append_once(records, sequence, _MAX_ATTEMPT_SECONDS)
+                        )
+                    )
+                finished, running = concurrent.futures.wait(
+                    running, _NEXT_ATTEMPT_DELAY_SECONDS, concurrent.futures.FIRST_COMPLETED
                 )
-                answers = [each.result() for each in ended]
-                for answer in answers:
-                    if not isinstance(answer, _Failed):
-                        return answer
-                if answers:
-                    self._stopped.wait(_RETRY_SECONDS)
+                outcomes = [each.result() for each in finished]
+                for outcome in outcomes:
+                    if not isinstance(outcome, _AppendFailed):
+                        return outcome
+                if outcomes:
+                    self._stopped.wait(_RETRY_DELAY_SECONDS)
         return None
 
-    def _try(self, records: list[KeyedRecord], number: int, seconds: float) -> "_Outcome":
-        producer = Producer(_PRODUCER, self._epoch, number)
-        began = steady_seconds()
+    def _append_once(self, records: list[KeyedRecord], sequence: int, seconds: float) -> "_Outcome":
+        producer = Producer(_PRODUCER_NAME, self._epoch, sequence)
+        started_at = steady_seconds()
         try:
-            self._store.append(PROGRESS_TOPIC, PART, records, seconds, producer=producer)
+            self._store.append(
+                PROGRESS_TOPIC, DEFAULT_PARTITION, records, seconds, producer=producer
+            )
         except (ProducerFenced, AppendConflict) as error:
-            return _ShutOut(f"progress append: {error}")
+            return _Fenced(f"progress append: {error}")
         except PlatformError as error:
             self._metrics.count("store_appends_total", "Appends to the store.", outcome=error.code)
-            return _Failed(str(error))
-        return _Done(steady_seconds() - began)
+            return _AppendFailed(str(error))
+        return _Appended(steady_seconds() - started_at)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Done:
+class _Appended:
     """A batch is on record; the try took so many seconds."""
 
     seconds: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Failed:
+class _AppendFailed:
     """A try had no good answer; the batch may be on record all the same."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _ShutOut:
+class _Fenced:
     """Another leader writes."""
 
     reason: str
 
 
-_Outcome = _Done | _Failed | _ShutOut
+_Outcome = _Appended | _AppendFailed | _Fenced
 
 
-class _Tries:
+class _AttemptPool:
     """Tries of one batch on threads of their own; those that still run are left to themselves."""
 
     def __init__(self) -> None:
-        self._pool = concurrent.futures.ThreadPoolExecutor(_MOST_TRIES, "progress-try")
+        self._pool = concurrent.futures.ThreadPoolExecutor(_MAX_PARALLEL_ATTEMPTS, "progress-try")
 
-    def begin(self, attempt: Callable[[], _Outcome]) -> "concurrent.futures.Future[_Outcome]":
+    def submit(self, attempt: Callable[[], _Outcome]) -> "concurrent.futures.Future[_Outcome]":
         """Begin a try."""
         return self._pool.submit(attempt)
 
--- a/src/snowdock/entry/record_cleaner.py
+++ b/src/snowdock/entry/record_cleaner.py
@@ -15,14 +15,14 @@
 from ..logs import log_event
 from ..platform.store import KeyedRecord, StoreClient
 from ..threads import ServiceThread
-from .topics import JOBS_TOPIC, PART, PROGRESS_TOPIC, job_part
+from .topics import DEFAULT_PARTITION, JOBS_TOPIC, PROGRESS_TOPIC, job_partition
 
 __all__ = ["RecordCleaner"]
 
 _GATHER_SECONDS = 2.0
 """Records that go within this time go together: one append for each partition."""
 
-_CALL_SECONDS = 1.0
+_APPEND_TIMEOUT_SECONDS = 1.0
 """How long one append may take; what fails stays on record, which costs only room and time."""
 
 
@@ -35,10 +35,10 @@
         The store, and the partitions of its topics.
     """
 
-    def __init__(self, store: StoreClient, parts: int) -> None:
+    def __init__(self, store: StoreClient, partition_count: int) -> None:
         self._store = store
-        self._parts = parts
-        self._wanted: queue.SimpleQueue[DropJobs | ForgetAccepted] = queue.SimpleQueue()
+        self._partition_count = partition_count
+        self._pending: queue.SimpleQueue[DropJobs | ForgetAccepted] = queue.SimpleQueue()
         self._stopped = threading.Event()
         self._thread = ServiceThread(self._run, "record-cleaner", self._stopped.is_set)
 
@@ -52,35 +52,41 @@
 
     def clean(self, effect: DropJobs | ForgetAccepted) -> None:
         """Drop records soon."""
-        self._wanted.put(effect)
+        self._pending.put(effect)
 
     def _run(self) -> None:
         while not self._stopped.wait(_GATHER_SECONDS):
-            ended: set[str] = set()
-            old: list[JobId] = []
-            while not self._wanted.empty():
-                effect = self._wanted.get()
+            ended_names: set[str] = set()
+            dropped_jobs: list[JobId] = []
+            while not self._pending.empty():
+                effect = self._pending.get()
                 if isinstance(effect, DropJobs):
-                    old += effect.jobs
-                    ended.update(effect.jobs)
+                    dropped_jobs += effect.jobs
+                    ended_names.update(effect.jobs)
                 else:
-                    ended.update(effect.names)
-            for part in range(self._parts):
-                here = [name for name in ended if job_part(name, self._parts) == part]
-                self._drop(JOBS_TOPIC, part, [*here, *map(cancel_key, here)])
-            self._drop(PROGRESS_TOPIC, PART, old)
+                    ended_names.update(effect.names)
+            for partition in range(self._partition_count):
+                partition_names = [
+                    name
+                    for name in ended_names
+                    if job_partition(name, self._partition_count) == partition
+                ]
+                self._drop(
+                    JOBS_TOPIC, partition, [*partition_names, *map(cancel_key, partition_names)]
+                )
+            self._drop(PROGRESS_TOPIC, DEFAULT_PARTITION, dropped_jobs)
 
-    def _drop(self, topic: str, part: int, keys: Iterable[str]) -> None:
+    def _drop(self, topic: str, partition: int, keys: Iterable[str]) -> None:
         records = [KeyedRecord(key, None) for key in keys]
         if not records:
             return
         try:
-            self._store.append(topic, part, records, _CALL_SECONDS)
+            self._store.append(topic, partition, records, _APPEND_TIMEOUT_SECONDS)
         except PlatformError as error:
             log_event(
                 "records_not_dropped",
                 topic=topic,
-                part=part,
+                part=partition,
                 count=len(records),
                 reason=str(error),
             )
--- a/src/snowdock/entry/settings_watch.py
+++ b/src/snowdock/entry/settings_watcher.py
@@ -10,13 +10,13 @@
 from ..platform.node_settings import SETTINGS_VARIABLE, NodeEnvironment, read_node_environment
 from ..threads import ServiceThread
 
-__all__ = ["SettingsWatch"]
+__all__ = ["SettingsWatcher"]
 
-_LOOK_SECONDS = 1.0
+_POLL_SECONDS = 1.0
 """Time between looks at the file: a change is in force within about a second."""
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """A thread that watches the settings file.
 
     Parameters
@@ -25,10 +25,10 @@
         Called with the settings each time they have been read again.
     """
 
-    def __init__(self, changed: Callable[[NodeEnvironment], None]) -> None:
-        self._changed = changed
+    def __init__(self, on_reload: Callable[[NodeEnvironment], None]) -> None:
+        self._on_reload = on_reload
         self._stopped = threading.Event()
-        self._asked = threading.Event()
+        self._reload_requested = threading.Event()
         self._thread = ServiceThread(self._run, "settings", self._stopped.is_set)
 
     def start(self) -> None:
@@ -39,29 +39,29 @@
         """Watch no more; the thread ends with its next look."""
         self._stopped.set()
 
-    def read_again(self) -> None:
+    def request_reload(self) -> None:
         """Have the file read now, changed or not."""
-        self._asked.set()
+        self._reload_requested.set()
 
     def _run(self) -> None:
         path = pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ""))
-        seen = _modified(path)
+        last_modified_ns = _read_modified_ns(path)
         while not self._stopped.is_set():
-            asked = self._asked.wait(_LOOK_SECONDS)
-            self._asked.clear()
-            now_seen = _modified(path)
-            if not asked and now_seen == seen:
+            is_requested = self._reload_requested.wait(_POLL_SECONDS)
+            self._reload_requested.clear()
+            modified_ns = _read_modified_ns(path)
+            if not is_requested and modified_ns == last_modified_ns:
                 continue
-            seen = now_seen
+            last_modified_ns = modified_ns
             try:
-                found = read_node_environment()
+                environment = read_node_environment()
             except SettingsUnreadable as error:
                 log_error("settings_unusable", error)
                 continue
-            self._changed(found)
+            self._on_reload(environment)
 
 
-def _modified(path: pathlib.Path) -> int:
+def _read_modified_ns(path: pathlib.Path) -> int:
     try:
         return path.stat().st_mtime_ns
     except OSError:
--- a/src/snowdock/entry/tails.py
+++ b/src/snowdock/entry/tails.py
@@ -12,13 +12,13 @@
 
 __all__ = ["Tail"]
 
-_CALL_SECONDS = 1.5
+_SNAPSHOT_TIMEOUT_SECONDS = 1.5
 """How long one page of the newest records may take."""
 
-_RETRY_SECONDS = 0.15
+_RETRY_DELAY_SECONDS = 0.15
 """Pause after a read that failed."""
 
-_STEADY_SECONDS = 0.5
+_STABLE_AFTER_SECONDS = 0.5
 """After a failed read, answers are relied on again only when they have come for so long: just after
 the store's return, others may be told of it a moment later."""
 
@@ -50,19 +50,19 @@
         self,
         store: StoreClient,
         topic: str,
-        part: int,
+        partition: int,
         wait_seconds: float,
         pause_seconds: float,
-        take: Callable[[KeyedRecord], None],
-        take_all: Callable[[list[KeyedRecord]], None],
+        on_record: Callable[[KeyedRecord], None],
+        on_snapshot: Callable[[list[KeyedRecord]], None],
     ) -> None:
         self._store = store
         self._topic = topic
-        self._part = part
+        self._partition = partition
         self._wait_seconds = wait_seconds
         self._pause_seconds = pause_seconds
-        self._take = take
-        self._take_all = take_all
+        self._on_record = on_record
+        self._on_snapshot = on_snapshot
         self._next_offset: int | None = None
         self._read_at = 0.0
         self._failing_since: float | None = None
@@ -87,9 +87,9 @@
         return steady_seconds() - self._failed_at
 
     @property
-    def is_steady(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether reads are answered, and have been for a while."""
-        return not self.failing_seconds and self.seconds_since_failure > _STEADY_SECONDS
+        return not self.failing_seconds and self.seconds_since_failure > _STABLE_AFTER_SECONDS
 
     def start(self, next_offset: int | None = None) -> None:
         """Start following from an offset, or from the newest records."""
@@ -104,46 +104,46 @@
     def _run(self) -> None:
         while not self._stopped.is_set():
             try:
-                self._step()
+                self._read_once()
             except LogExpired as error:
                 log_event("history_expired", topic=self._topic, first=error.first)
                 self._next_offset = None
             except PlatformError as error:
-                self._note_failure(error)
-                self._stopped.wait(_RETRY_SECONDS)
+                self._record_failure(error)
+                self._stopped.wait(_RETRY_DELAY_SECONDS)
             except Exception as error:
                 # Whatever one record brings about, those after it are still followed.
                 log_error("tail_failed", error, topic=self._topic)
-                self._stopped.wait(_RETRY_SECONDS)
+                self._stopped.wait(_RETRY_DELAY_SECONDS)
 
-    def _step(self) -> None:
-        began = steady_seconds()
+    def _read_once(self) -> None:
+        started_at = steady_seconds()
         if self._next_offset is None:
-            page = self._store.newest(self._topic, self._part, _CALL_SECONDS)
-            self._note_success(began)
+            page = self._store.newest(self._topic, self._partition, _SNAPSHOT_TIMEOUT_SECONDS)
+            self._record_success(started_at)
             self._next_offset = page.next_offset
-            self._take_all(page.records)
+            self._on_snapshot(page.records)
             return
         # A read that hangs when the store comes back tells so only when it is given up.
-        wait = self._wait_seconds if self._failing_since is None else 0.0
-        page = self._store.read(self._topic, self._part, self._next_offset, wait)
-        self._note_success(began)
+        wait_seconds = self._wait_seconds if self._failing_since is None else 0.0
+        page = self._store.read(self._topic, self._partition, self._next_offset, wait_seconds)
+        self._record_success(started_at)
         if self._next_offset is None:
             return
         self._next_offset = page.next_offset
         for record in page.records:
-            self._take(record)
+            self._on_record(record)
         if page.records and self._pause_seconds:
             self._stopped.wait(self._pause_seconds)
 
-    def _note_failure(self, error: PlatformError) -> None:
+    def _record_failure(self, error: PlatformError) -> None:
         self._failed_at = steady_seconds()
         if self._failing_since is None:
             self._failing_since = steady_seconds()
             log_event("dependency_lost", dependency="store", topic=self._topic, reason=str(error))
 
-    def _note_success(self, began: float) -> None:
-        self._read_at = began
+    def _record_success(self, started_at: float) -> None:
+        self._read_at = started_at
         if self._failing_since is None:
             return
         seconds = steady_seconds() - self._failing_since
--- a/src/snowdock/entry/takeover.py
+++ b/src/snowdock/entry/takeover.py
@@ -18,38 +18,40 @@
 from ..jobs.takeover import RecordedJobs
 from ..logs import log_error, log_event
 from ..platform.store import KeyedRecord, StoreClient
+from .job_status_table import JobStatusTable
 from .leader import Leader, LeaderContext
 from .leader_handle import LeaderHandle
 from .progress_writer import fence_progress
-from .statuses import StatusBook
-from .topics import JOBS_TOPIC, PART, PROGRESS_TOPIC
+from .topics import DEFAULT_PARTITION, JOBS_TOPIC, PROGRESS_TOPIC
 
-__all__ = ["sort_records", "start_leader"]
+__all__ = ["classify_records", "start_leader"]
 
-_READ_SECONDS = 3.0
+_CALL_TIMEOUT_SECONDS = 3.0
 """How long one call to the store may take: a page of many jobs takes longer than an append."""
 
 _TAKEOVER_RETRY_SECONDS = 0.1
 """Pause before a takeover that the store did not answer is tried again."""
 
-_READERS = 12
+_READ_THREADS = 12
 """Partitions that a takeover reads at the same time: on a slow store each call takes some 0.4 s."""
 
 
-def _read_recorded(store: StoreClient, parts: int, epoch: int) -> tuple[RecordedJobs, list[int]]:
+def _fence_and_read(store: StoreClient, parts: int, epoch: int) -> tuple[RecordedJobs, list[int]]:
     """Shut earlier leaders out, and read all that is on record of jobs.
 
     Jobs are read meanwhile, since no leader writes them; gives also from where to follow each
     of their partitions.
     """
-    with concurrent.futures.ThreadPoolExecutor(_READERS) as pool:
-        reads = pool.map(lambda part: store.newest(JOBS_TOPIC, part, _READ_SECONDS), range(parts))
-        fence_progress(store, epoch, _READ_SECONDS)
-        newest = store.newest(PROGRESS_TOPIC, PART, _READ_SECONDS)
+    with concurrent.futures.ThreadPoolExecutor(_READ_THREADS) as pool:
+        reads = pool.map(
+            lambda part: store.newest(JOBS_TOPIC, part, _CALL_TIMEOUT_SECONDS), range(parts)
+        )
+        fence_progress(store, epoch, _CALL_TIMEOUT_SECONDS)
+        newest = store.newest(PROGRESS_TOPIC, DEFAULT_PARTITION, _CALL_TIMEOUT_SECONDS)
         pages = list(reads)
     progress, unreadable = _read_progress(newest.records)
     records = [record for page in pages for record in page.records]
-    recorded = sort_records(records, progress, unreadable)
+    recorded = classify_records(records, progress, unreadable)
     return recorded, [page.next_offset for page in pages]
 
 
@@ -73,7 +75,7 @@
     return progress, frozenset(unreadable)
 
 
-def sort_records(
+def classify_records(
     records: Iterable[KeyedRecord],
     progress: dict[JobId, JobProgress],
     unreadable: frozenset[JobId] = frozenset(),
@@ -110,7 +112,7 @@
     return RecordedJobs(accepted, cancelled, progress, unreadable, frozenset(unstartable))
 
 
-def start_leader(context: LeaderContext, is_wanted: Callable[[], bool]) -> LeaderHandle | None:
+def start_leader(context: LeaderContext, still_leads: Callable[[], bool]) -> LeaderHandle | None:
     """Take over from earlier leaders and start leading.
 
     Parameters
@@ -125,10 +127,10 @@
     LeaderHandle or None
         None where another node leads meanwhile.
     """
-    began = steady_seconds()
-    while is_wanted():
+    started_at = steady_seconds()
+    while still_leads():
         try:
-            recorded, job_offsets = _read_recorded(context.store, context.parts, context.epoch)
+            recorded, job_offsets = _fence_and_read(context.store, context.parts, context.epoch)
         except ProducerFenced as error:
             context.step_down(str(error))
             return None
@@ -136,7 +138,7 @@
             log_event("takeover_delayed", epoch=context.epoch, reason=str(error))
             time.sleep(_TAKEOVER_RETRY_SECONDS)
             continue
-        statuses = StatusBook()
+        statuses = JobStatusTable()
         actor = Leader.start(context, statuses, recorded)
         handle = LeaderHandle(context, actor, statuses)
         handle.start(job_offsets)
@@ -144,7 +146,7 @@
             "leading",
             epoch=context.epoch,
             jobs=len(recorded.accepted),
-            seconds=steady_seconds() - began,
+            seconds=steady_seconds() - started_at,
         )
         return handle
     return None
--- a/src/snowdock/entry/topics.py
+++ b/src/snowdock/entry/topics.py
@@ -2,7 +2,14 @@
 
 from ..jobs.model import JobId
 
-__all__ = ["JOBS_TOPIC", "LEADERS_TOPIC", "LEADER_KEY", "PART", "PROGRESS_TOPIC", "job_part"]
+__all__ = [
+    "DEFAULT_PARTITION",
+    "JOBS_TOPIC",
+    "LEADERS_TOPIC",
+    "LEADER_KEY",
+    "PROGRESS_TOPIC",
+    "job_partition",
+]
 
 JOBS_TOPIC = "keyed.jobs"
 """Jobs as they were taken in, and their cancelling; any node appends."""
@@ -15,14 +22,14 @@
 
 LEADER_KEY = "leader"
 
-PART = 0
+DEFAULT_PARTITION = 0
 """The partition of what one leader writes."""
 
 
-def job_part(job: JobId, parts: int) -> int:
+def job_partition(job: JobId, partition_count: int) -> int:
     """Give the partition that a job is taken in to, of so many; its `record_name` serves as well.
 
     A partition takes its appends in turn. Jobs are spread so that a store that has become slow
     still takes as many as come.
     """
-    return int(job[:8], 16) % parts
+    return int(job[:8], 16) % partition_count
--- a/src/snowdock/entry/turnover.py
+++ b/src/snowdock/entry/turnover.py
@@ -6,19 +6,19 @@
 evidence that it had ended, makes the others wait twice as long for the next one.
 """
 
-__all__ = ["MOST_PATIENCE", "next_turnover", "patience_factor"]
+__all__ = ["MAX_TIMEOUT_FACTOR", "next_turnover", "timeout_factor"]
 
 _SETTLED_SECONDS = 10.0
 """A leadership that has lasted longer is settled: a takeover takes 0.3 to 3.4 s, by node."""
 
-_DOUBLINGS = 4
+_MAX_DOUBLINGS = 4
 
-MOST_PATIENCE = 2.0**_DOUBLINGS
+MAX_TIMEOUT_FACTOR = 2.0**_MAX_DOUBLINGS
 """The longest that a leader is waited for, as a multiple of the usual: some 14 s in all. A node of
 0.12 of a core needs 3.4 s from its claim to its first orders, with 350 jobs on record."""
 
 
-def patience_factor(turnover: int, led_s: float) -> float:
+def timeout_factor(turnover: int, led_s: float) -> float:
     """Give how many times longer than usual a silent leader is waited for.
 
     Parameters
@@ -28,7 +28,7 @@
     led_s
         How long this node has seen the leader lead, in seconds.
     """
-    factor = 2.0 ** min(turnover, _DOUBLINGS)
+    factor = 2.0 ** min(turnover, _MAX_DOUBLINGS)
     return factor if led_s < _SETTLED_SECONDS * factor else 1.0
 
 
@@ -48,5 +48,5 @@
         return 0
     if led_s is None:
         return turnover
-    is_short = led_s < _SETTLED_SECONDS * patience_factor(turnover, 0.0)
+    is_short = led_s < _SETTLED_SECONDS * timeout_factor(turnover, 0.0)
     return turnover + 1 if is_short else 0
--- a/src/snowdock/entry/worker_link.py
+++ b/src/snowdock/entry/worker_link.py
@@ -29,18 +29,18 @@
 
 __all__ = ["WorkerLink"]
 
-_ORDER_SECONDS = 0.4
+_ORDER_TIMEOUT_SECONDS = 0.4
 """How long a start or stop may take: a worker answers in a few ms, and a gang's members wait
 for each other for a few seconds only."""
 
-_START_TRIES = 3
+_START_ATTEMPTS = 3
 """A start without an answer is sent again: to the worker it is the same run."""
 
-_GREETING_SECONDS = 0.2
-_GREETING_TRIES = 3
+_GREETING_TIMEOUT_SECONDS = 0.2
+_GREETING_ATTEMPTS = 3
 """How long a greeting may take, and over how many connections it is tried for one call."""
 
-_RENEW_SLACK_SECONDS = 0.3
+_RENEWAL_SLACK_SECONDS = 0.3
 """How much longer than its wait a renewal may take."""
 
 _Order = StartOrder | StopOrder
@@ -71,7 +71,7 @@
         if len(self._waiting) == 1:
             self._send(item)
 
-    def go_on(self) -> None:
+    def send_next(self) -> None:
         """Send the next one; none is left where it was closed meanwhile."""
         if self._waiting:
             self._waiting.popleft()
@@ -123,9 +123,9 @@
         greeting = Greeting(
             RENEWAL_PATH,
             encode_greeting(token),
-            self._judge_greeting,
-            _GREETING_SECONDS,
-            _GREETING_TRIES,
+            self._check_greeting,
+            _GREETING_TIMEOUT_SECONDS,
+            _GREETING_ATTEMPTS,
         )
         self._orders = _CallQueue(Channel(loop, address, headers, greeting), self._send_order)
         self._renewals = _CallQueue(Channel(loop, address, headers, greeting), self._send_renewal)
@@ -149,57 +149,63 @@
         self._renewals.close()
 
     @property
-    def _next_life(self) -> Refusal | None:
+    def _next_life_refusal(self) -> Refusal | None:
         """What calls are answered with once the worker is known to have begun another life."""
         return Refusal.NEXT_LIFE if self._has_next_life else None
 
-    def _judge_greeting(self, reply: Reply) -> Outcome | None:
+    def _check_greeting(self, reply: Reply) -> Outcome | None:
         """Let calls follow where this life has answered; else give what is true of them."""
         try:
-            found = decode_renewal(reply, self._life)
+            report = decode_renewal(reply, self._life)
         except PlatformError as error:
             return CallUnanswered(str(error), unsent=True)
-        if found is Refusal.NEXT_LIFE:
+        if report is Refusal.NEXT_LIFE:
             self._has_next_life = True
             return CallUnanswered("the worker has begun another life", unsent=True)
-        return None if isinstance(found, WorkerReport) else reply
+        return None if isinstance(report, WorkerReport) else reply
 
     def _send_order(self, order: _Order) -> None:
         if isinstance(order, StartOrder):
             self._send_start(order, steady_seconds(), 0)
         else:
-            answered = functools.partial(self._take_stop_answer, order)
-            self._orders.channel.call(STOP_PATH, encode_stop(order), _ORDER_SECONDS, answered)
-
-    def _send_start(self, order: StartOrder, began: float, tries: int) -> None:
-        answered = functools.partial(self._take_start_answer, order, began, tries)
-        self._orders.channel.call(START_PATH, encode_start(order), _ORDER_SECONDS, answered)
+            on_answer = functools.partial(self._handle_stop_answer, order)
+            self._orders.channel.call(
+                STOP_PATH, encode_stop(order), _ORDER_TIMEOUT_SECONDS, on_answer
+            )
+
+    def _send_start(self, order: StartOrder, started_at: float, previous_attempts: int) -> None:
+        on_answer = functools.partial(
+            self._handle_start_answer, order, started_at, previous_attempts
+        )
+        self._orders.channel.call(
+            START_PATH, encode_start(order), _ORDER_TIMEOUT_SECONDS, on_answer
+        )
 
-    def _take_start_answer(
-        self, order: StartOrder, began: float, tries: int, outcome: Outcome
+    def _handle_start_answer(
+        self, order: StartOrder, started_at: float, previous_attempts: int, outcome: Outcome
     ) -> None:
-        result = self._read_start(outcome)
+        result = self._decode_start_outcome(outcome)
         if result is None:
-            self._note_unanswered(outcome, self._renewals.channel)
+            self._drop_other_connection(outcome, self._renewals.channel)
             self._metrics.count("starts_repeated_total", "Starts sent again.")
-            if tries + 1 < _START_TRIES:
-                self._send_start(order, began, tries + 1)
+            if previous_attempts + 1 < _START_ATTEMPTS:
+                self._send_start(order, started_at, previous_attempts + 1)
                 return
         else:
-            result = _certain(result, tries)
+            result = _conclusive_result(result, previous_attempts)
         self._metrics.time(
-            "start_call_seconds", "Time of a start's call.", steady_seconds() - began
+            "start_call_seconds", "Time of a start's call.", steady_seconds() - started_at
         )
-        told = "unanswered"
+        outcome_label = "unanswered"
         if result is not None:
-            told = result.refusal.value if result.refusal else "started"
-        self._metrics.count("starts_total", "Starts ordered.", outcome=told)
+            outcome_label = result.refusal.value if result.refusal else "started"
+        self._metrics.count("starts_total", "Starts ordered.", outcome=outcome_label)
         self._post(StartAnswered(self._life, order.task, order.run, result))
-        self._orders.go_on()
+        self._orders.send_next()
 
-    def _read_start(self, outcome: Outcome) -> StartResult | None:
-        if self._next_life:
-            return StartResult(self._next_life)
+    def _decode_start_outcome(self, outcome: Outcome) -> StartResult | None:
+        if self._next_life_refusal:
+            return StartResult(self._next_life_refusal)
         if isinstance(outcome, CallUnanswered):
             return StartResult(Refusal.UNREACHED) if outcome.unsent else None
         try:
@@ -210,55 +216,55 @@
             log_error("start_failed", error, worker=self._life)
         return None
 
-    def _take_stop_answer(self, order: StopOrder, outcome: Outcome) -> None:
-        refusal, answered = None, False
+    def _handle_stop_answer(self, order: StopOrder, outcome: Outcome) -> None:
+        refusal, is_answered = None, False
         try:
-            refusal = self._next_life or decode_stop(_answer_of(outcome))
-            answered = True
+            refusal = self._next_life_refusal or decode_stop(_require_reply(outcome))
+            is_answered = True
         except PlatformError as error:
-            self._note_unanswered(outcome, self._renewals.channel)
+            self._drop_other_connection(outcome, self._renewals.channel)
             log_event("stop_unanswered", worker=self._life, task=order.task, reason=str(error))
         except Exception as error:
             log_error("stop_failed", error, worker=self._life)
-        self._post(StopAnswered(self._life, order.task, order.run, answered, refusal))
-        self._orders.go_on()
+        self._post(StopAnswered(self._life, order.task, order.run, is_answered, refusal))
+        self._orders.send_next()
 
     def _send_renewal(self, order: RenewOrder) -> None:
-        seconds = order.wait_ms / 1000 + _RENEW_SLACK_SECONDS
-        answered = functools.partial(self._take_renewal_answer, order)
-        self._renewals.channel.call(RENEWAL_PATH, encode_renewal(order), seconds, answered)
+        seconds = order.wait_ms / 1000 + _RENEWAL_SLACK_SECONDS
+        on_answer = functools.partial(self._handle_renewal_answer, order)
+        self._renewals.channel.call(RENEWAL_PATH, encode_renewal(order), seconds, on_answer)
 
-    def _take_renewal_answer(self, order: RenewOrder, outcome: Outcome) -> None:
+    def _handle_renewal_answer(self, order: RenewOrder, outcome: Outcome) -> None:
         report: WorkerReport | Refusal | None = None
         try:
-            report = self._next_life or decode_renewal(_answer_of(outcome), self._life)
+            report = self._next_life_refusal or decode_renewal(_require_reply(outcome), self._life)
         except PlatformError as error:
-            self._note_unanswered(outcome, self._orders.channel)
+            self._drop_other_connection(outcome, self._orders.channel)
             self._metrics.count("renewals_failed_total", "Renewals without an answer.")
             log_event("renewal_unanswered", worker=self._life, reason=str(error))
         except Exception as error:
             log_error("renewal_failed", error, worker=self._life)
         self._post(RenewAnswered(self._life, order, report))
-        self._renewals.go_on()
+        self._renewals.send_next()
 
     @staticmethod
-    def _note_unanswered(outcome: Outcome, other: Channel) -> None:
+    def _drop_other_connection(outcome: Outcome, other: Channel) -> None:
         """Use the worker's other connection no more if it may have gone silent as well."""
         if isinstance(outcome, CallUnanswered) and not outcome.unsent:
             other.drop_idle()
 
 
-def _answer_of(outcome: Outcome) -> Reply:
+def _require_reply(outcome: Outcome) -> Reply:
     if isinstance(outcome, CallUnanswered):
         raise outcome
     return outcome
 
 
-def _certain(result: StartResult, tries_before: int) -> StartResult | None:
+def _conclusive_result(result: StartResult, previous_attempts: int) -> StartResult | None:
     """Give an answer that can be relied on, or none.
 
     An earlier try may have been carried out, so a refusal of a later one tells nothing of the
     run, but where the worker's life is over or another node leads.
     """
-    definite = (None, Refusal.OTHER_LIFE, Refusal.NEXT_LIFE, Refusal.FENCED)
-    return result if tries_before == 0 or result.refusal in definite else None
+    conclusive = (None, Refusal.OTHER_LIFE, Refusal.NEXT_LIFE, Refusal.FENCED)
+    return result if previous_attempts == 0 or result.refusal in conclusive else None
--- a/tests/test_advisers.py
+++ b/tests/test_advice_dispatcher.py
@@ -4,7 +4,7 @@
 import threading
 import unittest
 
-from snowdock.entry.advisers import Advisers
+from snowdock.entry.advice_dispatcher import AdviceDispatcher
 from snowdock.entry.messages import AdviceReply
 from snowdock.errors import CallUnanswered
 from snowdock.jobs.events import AdviceAnswered, AdviceFailed, AskAdvice
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self.asked: queue.SimpleQueue[str] = queue.SimpleQueue()
-        self.held = {"own": threading.Event(), "peer": threading.Event()}
+        self.release_events = {"own": threading.Event(), "peer": threading.Event()}
         self.fails = False
 
     def ask_own(self, wanted: AdviceWanted, seconds: float) -> AdviceGiven:
@@ -31,62 +31,64 @@
 
     def _answer(self, node: str) -> dict[str, str]:
         self.asked.put(node)
-        self.held[node].wait(20.0)
+        self.release_events[node].wait(20.0)
         if self.fails:
             raise CallUnanswered("no answer", False)
         return TICKETS
 
 
-class TestAdvisers(unittest.TestCase):
+class TestAdviceDispatcher(unittest.TestCase):
     def setUp(self) -> None:
         self.nodes = ScriptedNodes()
-        self.told: queue.SimpleQueue = queue.SimpleQueue()
+        self.events: queue.SimpleQueue = queue.SimpleQueue()
         local = type("Local", (), {"ask": staticmethod(self.nodes.ask_own)})
         peers = type("Peers", (), {"ask": staticmethod(self.nodes.ask_peer)})
-        self.advisers = Advisers("own", local, peers, lambda: ["peer"], self.told.put, Metrics())
-        self.addCleanup(self.advisers.stop)
-        self.addCleanup(lambda: [each.set() for each in self.nodes.held.values()])
+        self.dispatcher = AdviceDispatcher(
+            "own", local, peers, lambda: ["peer"], self.events.put, Metrics()
+        )
+        self.addCleanup(self.dispatcher.stop)
+        self.addCleanup(lambda: [each.set() for each in self.nodes.release_events.values()])
 
-    def ask(self) -> tuple[str, str]:
+    def ask_unanswered(self) -> tuple[str, str]:
         """Ask a question that the first node leaves unanswered; give both nodes asked."""
-        self.advisers.ask(AskAdvice(WANTED, 1.0))
+        self.dispatcher.ask(AskAdvice(WANTED, 1.0))
         return self.nodes.asked.get(timeout=15), self.nodes.asked.get(timeout=15)
 
-    def assert_quiet(self) -> None:
+    def assert_no_event(self) -> None:
         with self.assertRaises(queue.Empty):
-            self.told.get(timeout=0.3)
+            self.events.get(timeout=0.3)
 
-    def test_question_without_an_answer_is_asked_elsewhere(self) -> None:
+    def test_late_question_is_asked_by_another_node(self) -> None:
         """Another node's answer counts, and the late one changes nothing."""
-        first, second = self.ask()
+        first, second = self.ask_unanswered()
         self.assertNotEqual(first, second)
-        self.nodes.held[second].set()
-        self.assertEqual(self.told.get(timeout=15), AdviceAnswered(AdviceGiven(WANTED, TICKETS)))
-        self.nodes.held[first].set()
-        self.assert_quiet()
+        self.nodes.release_events[second].set()
+        self.assertEqual(self.events.get(timeout=15), AdviceAnswered(AdviceGiven(WANTED, TICKETS)))
+        self.nodes.release_events[first].set()
+        self.assert_no_event()
 
-    def test_late_answer_counts_where_it_is_the_first(self) -> None:
+    def test_first_node_may_still_answer_first(self) -> None:
         """The node asked first may still be quicker than the second."""
-        first, _ = self.ask()
-        self.nodes.held[first].set()
-        self.assertIsInstance(self.told.get(timeout=15), AdviceAnswered)
+        first, _ = self.ask_unanswered()
+        self.nodes.release_events[first].set()
+        self.assertIsInstance(self.events.get(timeout=15), AdviceAnswered)
 
-    def test_failure_is_told_once_when_nobody_answers(self) -> None:
+    def test_failure_is_reported_once_when_no_node_answers(self) -> None:
         """The question has failed once all nodes that asked it have had no answer."""
-        first, second = self.ask()
+        first, second = self.ask_unanswered()
         self.nodes.fails = True
-        self.nodes.held[second].set()
-        self.assert_quiet()
-        self.nodes.held[first].set()
-        self.assertEqual(self.told.get(timeout=15), AdviceFailed(WANTED))
-        self.assert_quiet()
+        self.nodes.release_events[second].set()
+        self.assert_no_event()
+        self.nodes.release_events[first].set()
+        self.assertEqual(self.events.get(timeout=15), AdviceFailed(WANTED))
+        self.assert_no_event()
 
     def test_answered_question_is_asked_once(self) -> None:
         """A node that answers in time is not doubted."""
-        for held in self.nodes.held.values():
+        for held in self.nodes.release_events.values():
             held.set()
-        self.advisers.ask(AskAdvice(WANTED, 1.0))
-        self.assertIsInstance(self.told.get(timeout=15), AdviceAnswered)
+        self.dispatcher.ask(AskAdvice(WANTED, 1.0))
+        self.assertIsInstance(self.events.get(timeout=15), AdviceAnswered)
         self.nodes.asked.get(timeout=15)
         with self.assertRaises(queue.Empty):
             self.nodes.asked.get(timeout=0.5)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -11,89 +11,89 @@
 import unittest.mock
 
 from snowdock.clocks import steady_seconds
-from snowdock.entry.configurations import Configurations
-from snowdock.entry.intake import _LEAST_SECONDS, _seconds_left
+from snowdock.entry.caller_api import _MIN_WAIT_SECONDS, _remaining_seconds
+from snowdock.entry.configuration_watcher import ConfigurationWatcher
+from snowdock.entry.job_status_table import JobStatusTable
 from snowdock.entry.leader_handle import LeaderHandle
 from snowdock.entry.leader_queries import LeaderQueries
-from snowdock.entry.leader_signs import LeaderSigns
-from snowdock.entry.messages import Beat
+from snowdock.entry.leader_signs import LeaderLiveness
+from snowdock.entry.messages import Heartbeat
 from snowdock.entry.renewals import Renewals
-from snowdock.entry.statuses import StatusBook
 from snowdock.errors import CallUnanswered
 from snowdock.platform.call_loop import CallLoop
 from snowdock.platform.http_channel import Channel
 from tests.standins.swallower import Swallower
 
-ASLEEP = 9.0
+SUSPENDED_SECONDS = 9.0
 
 
-class Suspension(unittest.TestCase):
+class SuspensionTestCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.asleep = 0.0
-        leaping = types.SimpleNamespace(clock_gettime=self._read)
-        self.enterContext(unittest.mock.patch("snowdock.clocks.time", leaping))
+        self.suspended_s = 0.0
+        clock = types.SimpleNamespace(clock_gettime=self._clock_gettime)
+        self.enterContext(unittest.mock.patch("snowdock.clocks.time", clock))
 
-    def _read(self, clock: int) -> float:
+    def _clock_gettime(self, clock: int) -> float:
         # Only the clock that counts suspended time leaps.
-        return time.clock_gettime(clock) + self.asleep * (clock != time.CLOCK_MONOTONIC)
+        return time.clock_gettime(clock) + self.suspended_s * (clock != time.CLOCK_MONOTONIC)
 
     def suspend(self) -> None:
-        self.asleep += ASLEEP
+        self.suspended_s += SUSPENDED_SECONDS
 
 
-class TestSuspension(Suspension):
-    def test_clock(self) -> None:
+class TestSuspension(SuspensionTestCase):
+    def test_steady_clock_counts_suspended_time(self) -> None:
         """The nodes' clock counts the time asleep."""
         before = steady_seconds()
         self.suspend()
-        self.assertGreaterEqual(steady_seconds() - before, ASLEEP)
+        self.assertGreaterEqual(steady_seconds() - before, SUSPENDED_SECONDS)
 
-    def test_leadership(self) -> None:
+    def test_renewal_age_counts_suspended_time(self) -> None:
         """A leader's renewal is as old as it is for everybody else."""
         renewals = Renewals()
-        renewals.begin()
+        renewals.start_term()
         self.suspend()
-        self.assertGreaterEqual(renewals.age_s, ASLEEP)
+        self.assertGreaterEqual(renewals.age_s, SUSPENDED_SECONDS)
 
-    def test_keys_and_configuration(self) -> None:
+    def test_configuration_age_counts_suspended_time(self) -> None:
         """A configuration that was the newest may not be so any more."""
-        configurations = Configurations(None, lambda *_: None, lambda _: None)
+        configurations = ConfigurationWatcher(None, lambda *_: None, lambda _: None)
         configurations._tail._read_at = steady_seconds()
         self.assertLess(configurations.age_s, 1.0)
         self.suspend()
-        self.assertGreaterEqual(configurations.age_s, ASLEEP)
+        self.assertGreaterEqual(configurations.age_s, SUSPENDED_SECONDS)
 
-    def test_jobs_that_are_unknown(self) -> None:
+    def test_unknown_job_is_uncertain_after_suspension(self) -> None:
         """That there is no such job can be told no more: one may have been taken in."""
         context = types.SimpleNamespace(store=types.SimpleNamespace(), parts=2)
-        handle = LeaderHandle(context, None, StatusBook())
-        for tail in handle._jobs:
+        handle = LeaderHandle(context, None, JobStatusTable())
+        for tail in handle._job_tails:
             tail._read_at = steady_seconds()
         leadership = types.SimpleNamespace(handle=handle)
         election = types.SimpleNamespace(renewed_s=0.1)
         queries = LeaderQueries("n", election, leadership, None)
-        self.assertEqual(queries.own_status("0" * 16), (None, True))
+        self.assertEqual(queries.local_status("0" * 16), (None, True))
         self.suspend()
-        self.assertEqual(queries.own_status("0" * 16), (None, False))
+        self.assertEqual(queries.local_status("0" * 16), (None, False))
 
-    def test_followers(self) -> None:
+    def test_heartbeat_is_missed_after_suspension(self) -> None:
         """A follower that slept takes the leader's last heartbeat as old, and looks anew."""
-        signs = LeaderSigns()
-        signs.expect()
-        signs.hear(Beat("n", "a:1", 1, 0.1))
-        self.assertFalse(signs.has_missed_a_beat)
+        signs = LeaderLiveness()
+        signs.start_term()
+        signs.record_heartbeat(Heartbeat("n", "a:1", 1, 0.1))
+        self.assertFalse(signs.has_missed_heartbeat)
         self.suspend()
-        self.assertTrue(signs.has_missed_a_beat)
+        self.assertTrue(signs.has_missed_heartbeat)
 
-    def test_callers(self) -> None:
+    def test_request_deadline_counts_suspended_time(self) -> None:
         """A caller whose time went by has only the least of it left: it is answered at once."""
         environ = {"HTTP_X_DEADLINE_MS": "3000"}
         began = steady_seconds()
-        self.assertGreater(_seconds_left(environ, began), 1.0)
+        self.assertGreater(_remaining_seconds(environ, began), 1.0)
         self.suspend()
-        self.assertEqual(_seconds_left(environ, began), _LEAST_SECONDS)
+        self.assertEqual(_remaining_seconds(environ, began), _MIN_WAIT_SECONDS)
 
-    def test_calls(self) -> None:
+    def test_call_times_out_after_suspension(self) -> None:
         """A call that was on its way is given up, however long it might still have taken."""
         swallower = Swallower()
         self.addCleanup(swallower.close)
@@ -103,7 +103,7 @@
         self.addCleanup(loop.stop)
         outcomes: queue.Queue = queue.Queue()
         channel = Channel(loop, swallower.address, {})
-        loop.submit(lambda: channel.call("/x", b"", ASLEEP / 2, outcomes.put))
+        loop.submit(lambda: channel.call("/x", b"", SUSPENDED_SECONDS / 2, outcomes.put))
         loop.flush()
         while not swallower.received:
             time.sleep(0.01)
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -31,7 +31,7 @@
         self.assertEqual(sorted(started), [f"{job}.0.{s}.{i}" for s in (0, 1) for i in (0, 1)])
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
-    def test_caller_with_little_time_is_served(self) -> None:
+    def test_caller_with_a_short_deadline_is_served(self) -> None:
         """However short a caller waits, its job is tried to be put on record once."""
         for given_ms in ("1", "120", "0"):
             path, body = self.cluster.job([SMALL])
@@ -49,7 +49,7 @@
         self.assertNotIn("i-0", lives)
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
-    def test_same_job_again_stays_one(self) -> None:
+    def test_duplicate_submission_runs_once(self) -> None:
         """A job handed in twice runs once."""
         path, body = self.cluster.job([SMALL])
         for _ in range(2):
@@ -60,7 +60,7 @@
         starts = [task for task, _, _ in self.cluster.workers.starts if task.startswith(job)]
         self.assertEqual(len(starts), 2)
 
-    def test_job_that_ended_leaves_only_its_end(self) -> None:
+    def test_submission_record_of_an_ended_job_is_dropped(self) -> None:
         """How it was taken in is dropped; handed in again it is shown as it ended."""
         path, body = self.cluster.job([SMALL])
         job = path.rpartition("/")[2]
@@ -86,7 +86,7 @@
         models = self.cluster.workers.models.values()
         self.assertTrue(wait_until(lambda: all(m.used_cpu == 0 for m in models)))
 
-    def test_what_does_not_exist(self) -> None:
+    def test_unknown_paths_and_methods(self) -> None:
         """Unknown queues, jobs and methods are told apart."""
         cases = {
             ("GET", "/nothing/0123456789abcdef"): 404,
@@ -101,7 +101,7 @@
                 self.assertEqual(self.node.call(method, path)[0], status)
         self.assertEqual(self.node.call("GET", "/jobs/", headers={"Host": "other.example"})[0], 404)
 
-    def test_bad_input_is_refused_whole(self) -> None:
+    def test_invalid_jobs_are_refused(self) -> None:
         """Malformed jobs get a typed 400 or 413 and are not known afterwards."""
         path, _ = self.cluster.job([SMALL])
         bad = [
@@ -135,7 +135,7 @@
         self.node.call("DELETE", path)
         self.assertTrue(wait_until(lambda: waiting() == 0))
 
-    def test_configuration_changes_come_into_force(self) -> None:
+    def test_configuration_changes_take_effect(self) -> None:
         """A newer version adds a queue; an older one changes nothing; forgotten history too."""
         route = {**CONFIGURATION["routes"][0], "name": "new", "path_prefix": "/new/"}
         newer = {**CONFIGURATION, "version": 8, "routes": [*CONFIGURATION["routes"], route]}
@@ -161,7 +161,7 @@
         self.assertTrue(wait_until(lambda: len(self.node.lines("settings_reloaded")) > before + 1))
 
 
-class TestStoreTroubles(unittest.TestCase):
+class TestStoreFailures(unittest.TestCase):
     def setUp(self) -> None:
         self.cluster = EntryCluster(1)
         self.node = self.cluster.nodes[0]
@@ -170,7 +170,7 @@
     def tearDown(self) -> None:
         self.cluster.close()
 
-    def test_refused_job_has_not_run(self) -> None:
+    def test_refused_job_is_never_run(self) -> None:
         """While the store refuses, jobs are refused with a time to come back, and never run."""
         path, body = self.cluster.job([SMALL])
         self.cluster.store.refuse = True
@@ -181,7 +181,7 @@
         self.assertTrue(wait_until(lambda: self.cluster.state(self.node, path) == "410"))
         self.assertEqual(self.cluster.workers.starts, [])
 
-    def test_unanswered_job_is_no_refusal(self) -> None:
+    def test_unanswered_append_is_reported_as_unknown(self) -> None:
         """Where an append may have been done, the caller hears 504 and the job may run."""
         path, body = self.cluster.job([SMALL])
         self.cluster.store.lose = True
@@ -191,7 +191,7 @@
         self.assertTrue(self.cluster.wait_state(path, "completed"))
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
-    def test_running_work_outlives_an_outage(self) -> None:
+    def test_running_tasks_survive_a_store_outage(self) -> None:
         """What runs is renewed while the store is away, for longer than a lease."""
         self.cluster.workers.work_s = 8.0
         path, body = self.cluster.job([SMALL])
@@ -227,13 +227,13 @@
     def repeat_until(self, state: str, path: str, call) -> None:
         """Make a call, which is answered with 200 each time, until a job is in a state."""
 
-        def is_there() -> bool:
+        def has_state() -> bool:
             self.assertEqual(call()[0], 200)
             return self.cluster.state(self.cluster.nodes[0], path) == state
 
-        self.assertTrue(wait_until(is_there))
+        self.assertTrue(wait_until(has_state))
 
-    def test_store_that_tells_of_no_news(self) -> None:
+    def test_jobs_run_without_new_records_from_the_store(self) -> None:
         """Jobs run, and are cancelled, although the leader reads nothing new at the store.
 
         Calls are repeated until they show: a node tells the leader of a record once for each, and
@@ -250,7 +250,7 @@
             self.repeat_until("running", path, functools.partial(node.call, "POST", path, body))
             self.repeat_until("cancelled", path, functools.partial(node.call, "DELETE", path))
 
-    def test_node_that_the_store_turns_away(self) -> None:
+    def test_node_that_the_store_refuses(self) -> None:
         """Its jobs are recorded by way of the leader, and it sends new callers elsewhere."""
         leader = self.cluster.leader
         node = next(node for node in self.cluster.nodes if node is not leader)
@@ -289,7 +289,7 @@
         self.assertEqual(len(self.cluster.workers.starts), 2)
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
-    def test_paused_leader_is_shut_out(self) -> None:
+    def test_paused_leader_is_deposed(self) -> None:
         """A leader that slept through its replacement does no harm and follows again."""
         path, body = self.cluster.job([SMALL])
         leader = self.cluster.leader
@@ -326,7 +326,7 @@
             self.assertEqual(node.lines("peer_unknown"), [])
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
-    def test_planned_stop_cuts_nothing_off(self) -> None:
+    def test_planned_stop_completes_requests(self) -> None:
         """A stopping leader says that it is not ready, resigns, answers, and ends cleanly."""
         leader = self.cluster.leader
         path, body = self.cluster.job([SMALL])
--- a/tests/test_jobs_lives.py
+++ b/tests/test_jobs_lives.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from snowdock.declarations import Size
+from snowdock.entry.job_status_table import JobStatusTable
 from snowdock.entry.leader_handle import LeaderHandle
-from snowdock.entry.statuses import StatusBook
 from snowdock.errors import PlatformError
 from snowdock.jobs.events import (
     Decided,
@@ -104,10 +104,10 @@
         self.told: list = []
         actor = types.SimpleNamespace(tell=self.told.append)
         context = types.SimpleNamespace(store=types.SimpleNamespace(), parts=1, metrics=None)
-        self.handle = LeaderHandle(context, actor, StatusBook())
+        self.handle = LeaderHandle(context, actor, JobStatusTable())
 
     def take(self, value: bytes | None, offset: int) -> None:
-        self.handle._take_worker(KeyedRecord("i-1", value, offset))
+        self.handle._apply_worker_record(KeyedRecord("i-1", value, offset))
 
     def test_entry_that_goes_names_the_life_that_was_listed(self) -> None:
         """The entry's key tells the worker only."""
@@ -120,7 +120,7 @@
 
     def test_entry_of_a_life_before_is_read_again(self) -> None:
         """Entries are read again after a page that shows later ones: they change nothing."""
-        self.handle._take_all_workers([KeyedRecord("i-1", entry(born=200), 7)])
+        self.handle._replace_workers([KeyedRecord("i-1", entry(born=200), 7)])
         self.take(entry(born=100), 5)
         self.take(None, 6)
         self.take(entry(born=200), 7)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from snowdock.declarations import ZERO
-from snowdock.entry.configurations import Configurations
-from snowdock.entry.intake import Intake, IntakeParts, JobGone
-from snowdock.entry.messages import Beat, ConfigurationTold, Recording
-from snowdock.entry.takeover import sort_records
+from snowdock.entry.caller_api import CallerApi, CallerApiDependencies, JobGone
+from snowdock.entry.configuration_watcher import ConfigurationWatcher
+from snowdock.entry.messages import ConfigurationNotice, Heartbeat, RecordOutcome
+from snowdock.entry.takeover import classify_records
 from snowdock.jobs.events import ForgetAccepted, JobAccepted, JobCancelled
 from snowdock.jobs.model import Configuration, JobStatus, Queue
 from snowdock.jobs.progress import (
@@ -36,26 +36,26 @@
 JOB = "0123456789abcdef"
 BODY = b'{"spec":"x","steps":[{"count":1,"cpu":1,"mem_mb":1}]}'
 SMALL = {"count": 1, "cpu": 100, "mem_mb": 10, "estimate_ms": 100}
-LATELY = 0.5
-LONG_AGO = 30.0
+RECENT_AGE_S = 0.5
+STALE_AGE_S = 30.0
 
 
 def team(name: str, *keys: str) -> Team:
     return Team(name, 1.0, ZERO, frozenset(digest_key(key.encode()) for key in keys))
 
 
-class Door:
+class CallerApiHarness:
     """An intake whose surroundings the test sets."""
 
-    def __init__(self, age_s: float = LATELY, trust_s: float = math.inf) -> None:
+    def __init__(self, age_s: float = RECENT_AGE_S, trust_s: float = math.inf) -> None:
         self.age_s = age_s
         self.recorded: list[KeyedRecord] = []
-        self.asked: list[tuple[str, str]] = []
+        self.status_queries: list[tuple[str, str]] = []
         queues = (Queue("q", "", "/q/", "pool"), Queue("p", "", "/p/", "pool", is_public=True))
         teams = TeamBook([team("a", "key-a", "other-a"), team("b", "key-b"), team("empty")])
         self.configuration = Configuration(4, queues, teams=teams)
-        self.intake = Intake(
-            IntakeParts(
+        self.caller_api = CallerApi(
+            CallerApiDependencies(
                 self,
                 lambda: self.configuration,
                 lambda: self.age_s,
@@ -63,7 +63,7 @@
                 self.find_status,
                 lambda queue, seconds: 7,
                 lambda: False,
-                lambda job, record, seconds: Recording.NOT_DONE,
+                lambda job, record, seconds: RecordOutcome.NOT_DONE,
                 lambda record: None,
                 Metrics(),
             )
@@ -71,15 +71,15 @@
 
     is_slow = False
 
-    def avoids_appends(self) -> bool:
+    def prefers_relay(self) -> bool:
         return False
 
-    def record(self, job: str, record: KeyedRecord, seconds: float) -> Recording:
+    def record(self, job: str, record: KeyedRecord, seconds: float) -> RecordOutcome:
         self.recorded.append(record)
-        return Recording.DONE
+        return RecordOutcome.DONE
 
     def find_status(self, job: str, team: str, seconds: float) -> JobStatus:
-        self.asked.append((job, team))
+        self.status_queries.append((job, team))
         raise JobGone("no such job")
 
     def call(self, method: str, path: str, key: str | None = None) -> tuple[int, bytes]:
@@ -92,72 +92,72 @@
         if key is not None:
             environ["HTTP_X_API_KEY"] = key
         statuses = []
-        body = b"".join(self.intake(environ, lambda status, headers: statuses.append(status)))
-        self.body_left = environ["wsgi.input"].read()
+        body = b"".join(self.caller_api(environ, lambda status, headers: statuses.append(status)))
+        self.unread_body = environ["wsgi.input"].read()
         return int(statuses[0][:3]), body
 
 
-class TestCases(unittest.TestCase):
+class TestKeyDecisions(unittest.TestCase):
     """The table of what a node does, by what it knows of a key and of the configuration."""
 
-    def test_table(self) -> None:
+    def test_key_decisions(self) -> None:
         cases = [
             # key, seconds since the configuration was surely the newest, trust, answer
-            ("key-a", LATELY, math.inf, 200),
-            ("other-a", LATELY, math.inf, 200),
-            ("key-a", LONG_AGO, math.inf, 200),
-            ("key-a", LONG_AGO, 5.0, 503),
-            ("key-a", LATELY, 5.0, 200),
-            ("never", LATELY, math.inf, 401),
-            ("never", LONG_AGO, math.inf, 503),
-            ("", LATELY, math.inf, 401),
-            (None, LATELY, math.inf, 401),
-            (None, LONG_AGO, math.inf, 401),
-            ("KEY-A", LATELY, math.inf, 401),
-            ("key-a, key-a", LATELY, math.inf, 401),
-            ("key-a ", LATELY, math.inf, 401),
-            ("x" * 60_000, LATELY, math.inf, 401),
-            ("k\xe9y", LATELY, math.inf, 401),
+            ("key-a", RECENT_AGE_S, math.inf, 200),
+            ("other-a", RECENT_AGE_S, math.inf, 200),
+            ("key-a", STALE_AGE_S, math.inf, 200),
+            ("key-a", STALE_AGE_S, 5.0, 503),
+            ("key-a", RECENT_AGE_S, 5.0, 200),
+            ("never", RECENT_AGE_S, math.inf, 401),
+            ("never", STALE_AGE_S, math.inf, 503),
+            ("", RECENT_AGE_S, math.inf, 401),
+            (None, RECENT_AGE_S, math.inf, 401),
+            (None, STALE_AGE_S, math.inf, 401),
+            ("KEY-A", RECENT_AGE_S, math.inf, 401),
+            ("key-a, key-a", RECENT_AGE_S, math.inf, 401),
+            ("key-a ", RECENT_AGE_S, math.inf, 401),
+            ("x" * 60_000, RECENT_AGE_S, math.inf, 401),
+            ("k\xe9y", RECENT_AGE_S, math.inf, 401),
         ]
         for key, age_s, trust_s, status in cases:
             with self.subTest(key=key and key[:20], age_s=age_s, trust_s=trust_s):
-                door = Door(age_s, trust_s)
-                self.assertEqual(door.call("POST", f"/q/{JOB}", key)[0], status)
-                self.assertEqual(len(door.recorded), status == 200)
+                harness = CallerApiHarness(age_s, trust_s)
+                self.assertEqual(harness.call("POST", f"/q/{JOB}", key)[0], status)
+                self.assertEqual(len(harness.recorded), status == 200)
                 if status != 200:
-                    self.assertEqual(door.body_left, BODY)
+                    self.assertEqual(harness.unread_body, BODY)
 
     def test_every_call_needs_a_key(self) -> None:
         """Jobs shown, cancelled and counted as well as handed in."""
         for method, path in (("GET", JOB), ("DELETE", JOB), ("GET", ""), ("PUT", JOB)):
             with self.subTest(method=method, path=path):
-                self.assertEqual(Door().call(method, f"/q/{path}")[0], 401)
+                self.assertEqual(CallerApiHarness().call(method, f"/q/{path}")[0], 401)
 
-    def test_what_is_not_there_comes_first(self) -> None:
+    def test_unknown_queue_is_reported_before_a_missing_key(self) -> None:
         """No queue is no queue, with or without a key."""
-        self.assertEqual(Door().call("GET", "/nothing/")[0], 404)
+        self.assertEqual(CallerApiHarness().call("GET", "/nothing/")[0], 404)
 
     def test_public_queue(self) -> None:
         """It needs no key, and what comes by it belongs to no team."""
-        door = Door()
-        self.assertEqual(door.call("POST", f"/p/{JOB}")[0], 200)
-        self.assertEqual(door.call("POST", f"/p/{JOB}", "key-a")[0], 200)
-        self.assertEqual({decode_accepted(each.value).team for each in door.recorded}, {""})
+        harness = CallerApiHarness()
+        self.assertEqual(harness.call("POST", f"/p/{JOB}")[0], 200)
+        self.assertEqual(harness.call("POST", f"/p/{JOB}", "key-a")[0], 200)
+        self.assertEqual({decode_accepted(each.value).team for each in harness.recorded}, {""})
 
     def test_job_belongs_to_the_team_of_its_key(self) -> None:
-        door = Door()
-        door.call("POST", f"/q/{JOB}", "other-a")
-        (record,) = door.recorded
+        harness = CallerApiHarness()
+        harness.call("POST", f"/q/{JOB}", "other-a")
+        (record,) = harness.recorded
         self.assertEqual(record.key, record_name(JOB, "a"))
         self.assertEqual(decode_accepted(record.value).team, "a")
-        door.call("GET", f"/q/{JOB}", "key-b")
-        self.assertEqual(door.asked, [(JOB, "b")])
+        harness.call("GET", f"/q/{JOB}", "key-b")
+        self.assertEqual(harness.status_queries, [(JOB, "b")])
 
     @given(st.text(st.characters(max_codepoint=255), max_size=200))
-    def test_no_text_is_a_key_by_chance(self, key: str) -> None:
+    def test_arbitrary_text_is_not_a_key(self, key: str) -> None:
         """Whatever stands in the header, it is refused, and shown nowhere."""
-        door = Door()
-        status, body = door.call("POST", f"/q/{JOB}", key)
+        harness = CallerApiHarness()
+        status, body = harness.call("POST", f"/q/{JOB}", key)
         self.assertIn(status, (401,) if key not in ("key-a", "other-a", "key-b") else (200,))
         if len(key) > 8:
             self.assertNotIn(key.encode(), body)
@@ -179,13 +179,13 @@
         self.assertNotEqual(record_name(JOB, "a"), record_name(JOB, "b"))
         self.assertEqual(job_of_record(record_name(JOB, "a")), JOB)
 
-    def test_another_team_neither_replaces_nor_cancels(self) -> None:
+    def test_other_team_cannot_replace_or_cancel_a_job(self) -> None:
         """The same identifier from another team changes nothing, and leaves no record."""
         bench = Bench()
         bench.add_worker()
-        mine = self.owned("a")
+        mine = self.owned_job("a")
         bench.feed(JobAccepted(JOB, mine))
-        bench.feed(JobAccepted(JOB, self.owned("b")))
+        bench.feed(JobAccepted(JOB, self.owned_job("b")))
         (dropped,) = of_type(bench.effects, ForgetAccepted)
         self.assertEqual(dropped.names, (record_name(JOB, "b"),))
         bench.feed(JobCancelled(record_name(JOB, "b")))
@@ -197,93 +197,95 @@
 
     def test_owner_after_a_takeover(self) -> None:
         """The team that its progress names, or else that which was first, keeps a job."""
-        first, second = self.owned("a", 1000), self.owned("b", 2000)
+        first, second = self.owned_job("a", 1000), self.owned_job("b", 2000)
         records = [
             KeyedRecord(record_name(JOB, each.team), encode(each)) for each in (second, first)
         ]
         records.append(KeyedRecord(cancel_key(record_name(JOB, "b")), b"1"))
-        self.assertEqual(sort_records(records, {}).accepted[JOB].team, "a")
+        self.assertEqual(classify_records(records, {}).accepted[JOB].team, "a")
         running = {JOB: JobProgress(JobStatus.RUNNING, [], "b")}
-        self.assertEqual(sort_records(records, running).accepted[JOB].team, "b")
+        self.assertEqual(classify_records(records, running).accepted[JOB].team, "b")
         bench = Bench()
-        bench.restore(sort_records(records, {}))
+        bench.restore(classify_records(records, {}))
         self.assertFalse(bench.cell.jobs[JOB].status.is_final)
 
-    def test_cancelled_before_it_was_known(self) -> None:
+    def test_cancelled_before_it_was_accepted(self) -> None:
         """Only by its own team."""
         for canceller, status in (("b", JobStatus.PENDING), ("a", JobStatus.CANCELLED)):
             bench = Bench()
             bench.restore(RecordedJobs({}, {record_name(JOB, canceller)}, {}))
-            bench.feed(JobAccepted(JOB, self.owned("a")))
+            bench.feed(JobAccepted(JOB, self.owned_job("a")))
             self.assertIs(bench.cell.jobs[JOB].status, status)
 
     @staticmethod
-    def owned(name: str, at: int = 1000) -> AcceptedJob:
+    def owned_job(name: str, at: int = 1000) -> AcceptedJob:
         spec = accepted().spec
         return AcceptedJob(spec, at, "pool", 0, 3, name)
 
 
-def version(number: int, *keys: str) -> dict:
+def configuration_version(number: int, *keys: str) -> dict:
     tenant = {"name": "t", "api_keys": list(keys), "priority": 3, "weight": 2, "max_count": {}}
     return {**CONFIGURATION, "version": number, "tenants": [tenant]}
 
 
-def beat(configuration: int, reaches_store: bool = True) -> Beat:
-    return Beat("peer", "", 0, 0.0, reaches_store=reaches_store, configuration=configuration)
+def heartbeat(configuration: int, reaches_store: bool = True) -> Heartbeat:
+    return Heartbeat("peer", "", 0, 0.0, reaches_store=reaches_store, configuration=configuration)
 
 
-class TestPassingOn(unittest.TestCase):
+class TestForwarding(unittest.TestCase):
     """Nodes that do not reach the store learn of a configuration from their peers."""
 
     def setUp(self) -> None:
-        self.told: list[tuple[str, ConfigurationTold]] = []
-        self.mine = Configurations(None, lambda *sent: self.told.append(sent), lambda found: None)
+        self.sent: list[tuple[str, ConfigurationNotice]] = []
+        self.watcher = ConfigurationWatcher(
+            None, lambda *sent: self.sent.append(sent), lambda found: None
+        )
 
     @staticmethod
-    def encoded(number: int, *keys: str) -> bytes:
-        return msgspec.json.encode(version(number, *keys))
+    def encoded_configuration(number: int, *keys: str) -> bytes:
+        return msgspec.json.encode(configuration_version(number, *keys))
 
-    def test_older_peer_is_told(self) -> None:
+    def test_configuration_is_sent_to_a_peer_with_an_older_one(self) -> None:
         """After a moment, in which most read it themselves; once a second at most."""
-        self.mine.take_told(self.encoded(5, "k"))
-        self.mine.hear(beat(4))
-        self.assertEqual(self.told, [])
-        self.assertTrue(wait_until(lambda: self.hear_and_count() == 1))
-        self.mine.hear(beat(4))
-        self.assertEqual(len(self.told), 1)
-        (node, message) = self.told[0]
+        self.watcher.apply_from_peer(self.encoded_configuration(5, "k"))
+        self.watcher.handle_heartbeat(heartbeat(4))
+        self.assertEqual(self.sent, [])
+        self.assertTrue(wait_until(lambda: self.handle_heartbeat_and_count() == 1))
+        self.watcher.handle_heartbeat(heartbeat(4))
+        self.assertEqual(len(self.sent), 1)
+        (node, message) = self.sent[0]
         self.assertEqual(node, "peer")
-        theirs = Configurations(None, None, lambda found: None)
-        theirs.take_told(message.data)
-        self.assertEqual(theirs.version, 5)
-        self.assertIsNotNone(theirs.current.teams.of_key(b"k"))
+        peer_watcher = ConfigurationWatcher(None, None, lambda found: None)
+        peer_watcher.apply_from_peer(message.data)
+        self.assertEqual(peer_watcher.version, 5)
+        self.assertIsNotNone(peer_watcher.current.teams.of_key(b"k"))
 
-    def hear_and_count(self) -> int:
-        self.mine.hear(beat(4))
-        return len(self.told)
+    def handle_heartbeat_and_count(self) -> int:
+        self.watcher.handle_heartbeat(heartbeat(4))
+        return len(self.sent)
 
-    def test_never_falls_back(self) -> None:
+    def test_older_version_is_ignored(self) -> None:
         """An older version from a peer changes nothing, nor does what is unreadable."""
-        self.mine.take_told(self.encoded(5, "new"))
-        self.mine.take_told(self.encoded(4, "old"))
-        self.mine.take_told(b"\xff")
-        self.assertIsNotNone(self.mine.current.teams.of_key(b"new"))
-        self.assertIsNone(self.mine.current.teams.of_key(b"old"))
+        self.watcher.apply_from_peer(self.encoded_configuration(5, "new"))
+        self.watcher.apply_from_peer(self.encoded_configuration(4, "old"))
+        self.watcher.apply_from_peer(b"\xff")
+        self.assertIsNotNone(self.watcher.current.teams.of_key(b"new"))
+        self.assertIsNone(self.watcher.current.teams.of_key(b"old"))
 
     def test_peer_with_the_same_version_confirms_it(self) -> None:
         """If that peer reaches the store; else it knows no more than this node."""
-        self.mine.take_told(self.encoded(5, "k"))
-        self.mine.hear(beat(5, reaches_store=False))
-        self.mine.hear(beat(4))
-        self.assertGreater(self.mine.age_s, 1.0)
-        self.mine.hear(beat(5))
-        self.assertLess(self.mine.age_s, 1.0)
+        self.watcher.apply_from_peer(self.encoded_configuration(5, "k"))
+        self.watcher.handle_heartbeat(heartbeat(5, reaches_store=False))
+        self.watcher.handle_heartbeat(heartbeat(4))
+        self.assertGreater(self.watcher.age_s, 1.0)
+        self.watcher.handle_heartbeat(heartbeat(5))
+        self.assertLess(self.watcher.age_s, 1.0)
 
 
 class TestConfigurationOfTeams(unittest.TestCase):
     def test_keys_are_kept_as_digests_only(self) -> None:
         """A configuration's text form shows no key."""
-        found = decode_configuration(TestPassingOn.encoded(5, "very-secret-key"))
+        found = decode_configuration(TestForwarding.encoded_configuration(5, "very-secret-key"))
         self.assertIsNotNone(found.teams.of_key(b"very-secret-key"))
         self.assertNotIn("very-secret-key", repr(found) + repr(vars(found.teams)))
 
@@ -294,25 +296,27 @@
         self.assertFalse(any(queue.is_public for queue in none_left.queues))
 
 
-class TestRealNodes(unittest.TestCase):
+class TestKeysInACluster(unittest.TestCase):
     """Keys that come and go while callers are connected, on nodes that the store turns away."""
 
     def setUp(self) -> None:
         self.cluster = EntryCluster(3, proxies=Proxy)
         self.addCleanup(self.cluster.close)
-        self.put(10, "first", "second")
+        self.put_configuration(10, "first", "second")
         self.assertTrue(self.cluster.wait_ready())
         for node in self.cluster.nodes:
-            self.assertTrue(wait_until(lambda node=node: self.ask(node, "first") == 200))
+            self.assertTrue(
+                wait_until(lambda node=node: self.status_with_key(node, "first") == 200)
+            )
 
-    def put(self, number: int, *keys: str) -> None:
-        self.cluster.store.put("keyed.op", "config", version(number, *keys))
+    def put_configuration(self, number: int, *keys: str) -> None:
+        self.cluster.store.put("keyed.op", "config", configuration_version(number, *keys))
 
     @staticmethod
-    def ask(node, key: str) -> int:
+    def status_with_key(node, key: str) -> int:
         return node.call("GET", "/jobs/", headers={"X-Api-Key": key})[0]
 
-    def test_keys_change_on_a_node_without_the_store(self) -> None:
+    def test_keys_change_on_a_node_that_cannot_reach_the_store(self) -> None:
         """It hears of a lost and of a new key from its peers, and of nothing twice."""
         leader = self.cluster.leader
         follower = next(node for node in self.cluster.nodes if node is not leader)
@@ -322,19 +326,23 @@
                 new = f"key-{number}"
                 proxy = self.cluster.store_proxies[node.number - 1]
                 proxy.set(Mode.RESET)
-                self.put(number, new)
+                self.put_configuration(number, new)
                 # It may first be unsure of a key, and refuse nobody for good meanwhile.
-                self.assertTrue(wait_until(lambda n=node, k=new: self.ask(n, k) in (200, 503)))
-                self.assertTrue(wait_until(lambda n=node, k=old: self.ask(n, k) in (401, 503)))
+                self.assertTrue(
+                    wait_until(lambda n=node, k=new: self.status_with_key(n, k) in (200, 503))
+                )
+                self.assertTrue(
+                    wait_until(lambda n=node, k=old: self.status_with_key(n, k) in (401, 503))
+                )
                 told = node.lines("configuration_in_force")[-1]
                 self.assertIn(f"version={number} ", told + " ")
                 self.assertIn("source=peer", told)
                 proxy.set(Mode.PASS)
-                self.assertTrue(wait_until(lambda n=node, k=new: self.ask(n, k) == 200))
+                self.assertTrue(wait_until(lambda n=node, k=new: self.status_with_key(n, k) == 200))
 
     def test_jobs_of_another_team_are_unknown(self) -> None:
         """Neither shown nor cancelled; keys stand in no log."""
-        one = version(30, "key-one-of-t")
+        one = configuration_version(30, "key-one-of-t")
         two = {**one["tenants"][0], "name": "u", "api_keys": ["key-one-of-u"]}
         one["tenants"] = [*one["tenants"], two]
         self.cluster.store.put("keyed.op", "config", one)
@@ -342,7 +350,9 @@
         mine = {"X-Api-Key": "key-one-of-t"}
         theirs = {"X-Api-Key": "key-one-of-u"}
         for node in self.cluster.nodes:
-            self.assertTrue(wait_until(lambda n=node: self.ask(n, "key-one-of-u") == 200))
+            self.assertTrue(
+                wait_until(lambda n=node: self.status_with_key(n, "key-one-of-u") == 200)
+            )
         self.cluster.workers.work_s = 4.0
         node = self.cluster.nodes[0]
         self.assertEqual(node.call("POST", path, body, mine)[0], 200)
--- a/tests/test_leader_log.py
+++ b/tests/test_leader_log.py
@@ -3,13 +3,13 @@
 import unittest
 
 from snowdock.entry.leader_log import LeaderLog
-from snowdock.entry.leader_record import Identity
+from snowdock.entry.leader_record import NodeIdentity
 from snowdock.errors import AppendConflict, PlatformError
 from snowdock.platform.store import StoreClient
 from tests.standins.platform import StoreStandin
 
-FIRST = Identity("n1", "n1-1", "127.0.0.1:1")
-SECOND = Identity("n2", "n2-1", "127.0.0.1:2")
+FIRST = NodeIdentity("n1", "n1-1", "127.0.0.1:1")
+SECOND = NodeIdentity("n2", "n2-1", "127.0.0.1:2")
 
 
 class TestLeaderLog(unittest.TestCase):
@@ -17,39 +17,39 @@
         self.store = StoreStandin()
         self.addCleanup(self.store.close)
 
-    def open(self) -> LeaderLog:
+    def open_log(self) -> LeaderLog:
         """Give a node's place, at the newest record."""
         log = LeaderLog(StoreClient(self.store.address, 2))
         log.read_newest(2.0)
         return log
 
-    def test_of_two_claims_one_is_granted(self) -> None:
+    def test_only_one_of_two_claims_is_appended(self) -> None:
         """Both look at the same end, so the second append finds it elsewhere."""
-        first, second = self.open(), self.open()
-        first.append(FIRST.lead(first.next_epoch), 2.0)
+        first, second = self.open_log(), self.open_log()
+        first.append(FIRST.make_record(first.next_epoch), 2.0)
         with self.assertRaises(AppendConflict):
-            second.append(SECOND.lead(second.next_epoch), 2.0)
-        self.assertEqual(second.read_on(0.0), [FIRST.lead(1)])
-        second.append(SECOND.lead(second.next_epoch), 2.0)
-        self.assertEqual(first.read_on(0.0), [SECOND.lead(2)])
+            second.append(SECOND.make_record(second.next_epoch), 2.0)
+        self.assertEqual(second.read_new(0.0), [FIRST.make_record(1)])
+        second.append(SECOND.make_record(second.next_epoch), 2.0)
+        self.assertEqual(first.read_new(0.0), [SECOND.make_record(2)])
 
-    def test_nothing_is_appended_without_a_condition(self) -> None:
+    def test_append_without_position_fails(self) -> None:
         """A node that has lost its place may not claim before it has read the newest record."""
-        log = self.open()
-        log.forget_place()
+        log = self.open_log()
+        log.reset_position()
         with self.assertRaises(PlatformError):
-            log.append(FIRST.lead(1), 2.0)
-        self.assertEqual(self.open().read_newest(2.0), [])
+            log.append(FIRST.make_record(1), 2.0)
+        self.assertEqual(self.open_log().read_newest(2.0), [])
 
-    def test_place_is_lost_with_the_history(self) -> None:
+    def test_position_is_reset_when_history_expired(self) -> None:
         """Where the records from there on are gone, the newest one tells who leads."""
-        behind, ahead = self.open(), self.open()
+        behind, ahead = self.open_log(), self.open_log()
         for epoch in (1, 2, 3):
-            ahead.append(FIRST.lead(epoch), 2.0)
+            ahead.append(FIRST.make_record(epoch), 2.0)
         self.store.part("keyed.leaders").first = 2
-        self.assertIsNone(behind.read_on(0.0))
-        self.assertFalse(behind.has_place)
-        self.assertEqual(behind.read_newest(2.0), [FIRST.lead(3)])
+        self.assertIsNone(behind.read_new(0.0))
+        self.assertFalse(behind.has_position)
+        self.assertEqual(behind.read_newest(2.0), [FIRST.make_record(3)])
 
 
 if __name__ == "__main__":
--- a/tests/test_leader_queries.py
+++ b/tests/test_leader_queries.py
@@ -4,9 +4,9 @@
 import unittest
 
 from snowdock.clocks import steady_seconds
+from snowdock.entry.job_status_table import JobStatusTable
 from snowdock.entry.leader_handle import LeaderHandle
 from snowdock.entry.leader_queries import LeaderQueries
-from snowdock.entry.statuses import StatusBook
 from snowdock.jobs.events import PublishStatus
 from snowdock.jobs.model import JobStatus
 
@@ -15,39 +15,39 @@
 
 class TestUnknownJobs(unittest.TestCase):
     def setUp(self) -> None:
-        self.statuses = StatusBook()
+        self.statuses = JobStatusTable()
         store = types.SimpleNamespace()
         context = types.SimpleNamespace(store=store, parts=3)
         self.handle = LeaderHandle(context, None, self.statuses)
-        self.read_at(steady_seconds())
+        self.set_read_at(steady_seconds())
         election = types.SimpleNamespace(renewed_s=0.1)
         leadership = types.SimpleNamespace(handle=self.handle)
         self.queries = LeaderQueries("node", election, leadership, None)
 
-    def read_at(self, at: float) -> None:
-        for tail in self.handle._jobs:
+    def set_read_at(self, at: float) -> None:
+        for tail in self.handle._job_tails:
             tail._read_at = at
 
-    def test_leader_that_keeps_up(self) -> None:
+    def test_unknown_job_is_certain_when_leader_is_current(self) -> None:
         """There surely is no such job."""
-        self.assertEqual(self.queries.own_status(JOB), (None, True))
+        self.assertEqual(self.queries.local_status(JOB), (None, True))
 
-    def test_leader_that_is_behind(self) -> None:
+    def test_unknown_job_is_uncertain_when_leader_lags(self) -> None:
         """A job that was read may still wait to be taken over, and is not told as unknown."""
-        self.statuses.take_until(steady_seconds() - 2.0)
-        self.assertEqual(self.queries.own_status(JOB), (None, False))
+        self.statuses.mark_processed_until(steady_seconds() - 2.0)
+        self.assertEqual(self.queries.local_status(JOB), (None, False))
 
-    def test_reads_that_are_old(self) -> None:
+    def test_unknown_job_is_uncertain_after_old_reads(self) -> None:
         """Nor is one that may not have been read yet."""
-        self.statuses.take_until(steady_seconds())
-        self.read_at(steady_seconds() - 2.0)
-        self.assertEqual(self.queries.own_status(JOB), (None, False))
+        self.statuses.mark_processed_until(steady_seconds())
+        self.set_read_at(steady_seconds() - 2.0)
+        self.assertEqual(self.queries.local_status(JOB), (None, False))
 
-    def test_job_that_is_known(self) -> None:
+    def test_known_job_has_status_when_leader_lags(self) -> None:
         """Its status is told, however far the leader is behind."""
         self.statuses.publish(PublishStatus(JOB, "q", JobStatus.RUNNING))
-        self.statuses.take_until(steady_seconds() - 60.0)
-        self.assertEqual(self.queries.own_status(JOB), (JobStatus.RUNNING, True))
+        self.statuses.mark_processed_until(steady_seconds() - 60.0)
+        self.assertEqual(self.queries.local_status(JOB), (JobStatus.RUNNING, True))
 
 
 if __name__ == "__main__":
--- a/tests/test_leader_terms.py
+++ b/tests/test_leader_settings.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from snowdock.entry.leader_terms import cell_settings
+from snowdock.entry.leader_settings import cell_settings
 from snowdock.jobs.cell import CellSettings
 from snowdock.jobs.model import JobStatus
 from snowdock.jobs.progress import JobProgress, TaskProgress
@@ -17,7 +17,7 @@
 JOB = "a" * 16
 
 
-def terms(hold_max_ms: int) -> CellSettings:
+def leader_settings(hold_max_ms: int) -> CellSettings:
     """Give the times of a leader where workers grant leases up to a bound."""
     text = SETTINGS.replace("hold_max_ms = 6000", f"hold_max_ms = {hold_max_ms}")
     names = ("node", "ip", "advice", "store")
@@ -29,23 +29,23 @@
         return cell_settings(read_node_environment(str(path)))
 
 
-class TestLapse(unittest.TestCase):
-    def test_longest_lease_is_the_one_that_leaders_ask_for(self) -> None:
+class TestTakeoverLapse(unittest.TestCase):
+    def test_lease_is_capped_at_requested_length(self) -> None:
         """What workers would grant beyond it was never asked."""
-        found = terms(hold_max_ms=10_000)
+        found = leader_settings(hold_max_ms=10_000)
         self.assertEqual(found.lease_s, LEASE_SECONDS)
         self.assertGreater(found.takeover_lapse_s, ISOLATED_SECONDS + LEASE_SECONDS / 0.98)
         self.assertLess(found.takeover_lapse_s, ISOLATED_SECONDS + LEASE_SECONDS + 1.0)
 
-    def test_short_leases_lapse_sooner(self) -> None:
+    def test_shorter_worker_limit_shortens_lapse(self) -> None:
         """Workers that grant less than is asked for bound it as well."""
-        found = terms(hold_max_ms=2000)
+        found = leader_settings(hold_max_ms=2000)
         self.assertEqual(found.lease_s, 2.0)
         self.assertLess(found.takeover_lapse_s, ISOLATED_SECONDS + 3.0)
 
 
-class TestClaim(unittest.TestCase):
-    def bench(self, claimed_before_s: float) -> Bench:
+class TestLapseAfterClaim(unittest.TestCase):
+    def make_bench(self, claimed_before_s: float) -> Bench:
         """Make a leader that has read all records so long after its claim."""
         bench = Bench(token=9)
         bench.cell.claimed_at = bench.now - claimed_before_s
@@ -54,15 +54,15 @@
         bench.add_worker("w")
         return bench
 
-    def test_it_counts_from_the_claim(self) -> None:
+    def test_lapse_starts_at_claim(self) -> None:
         """Since then no earlier leader could renew but one that is cut off."""
-        bench = self.bench(4.0)
+        bench = self.make_bench(4.0)
         self.assertEqual(bench.starts(bench.tick(5.5)), [])
         self.assertEqual(len(bench.starts(bench.tick(1.0))), 1)
 
-    def test_workers_are_heard_first(self) -> None:
+    def test_runs_are_lost_only_after_worker_reports(self) -> None:
         """However long the takeover took, workers that live tell of their runs before."""
-        bench = self.bench(30.0)
+        bench = self.make_bench(30.0)
         self.assertEqual(bench.starts(bench.tick(1.5)), [])
         self.assertEqual(len(bench.starts(bench.tick(1.0))), 1)
 
--- a/tests/test_front.py
+++ b/tests/test_listener.py
@@ -10,18 +10,18 @@
 
 import urllib3
 
-from snowdock.entry.front import make_front, most_callers
-from snowdock.entry.probes import Probes
+from snowdock.entry.listener import create_listener, max_callers
+from snowdock.entry.probe_server import ProbeServer
 from snowdock.node.metrics import Metrics
 from snowdock.threads import ServiceThread
 from tests.standins.entry_cluster import free_port
 
 DESCRIPTORS = 1500
-BEYOND = 10
+EXCESS_CONNECTIONS = 10
 """Connections more than are served."""
 
 
-def serve_nothing(environ, start_response):
+def serve_empty_object(environ, start_response):
     start_response("200 OK", [("Content-Length", "2")])
     return [b"{}"]
 
@@ -32,51 +32,51 @@
         wanted = (max(before[0], min(before[1], 4096)), before[1])
         resource.setrlimit(resource.RLIMIT_NOFILE, wanted)
         self.addCleanup(resource.setrlimit, resource.RLIMIT_NOFILE, before)
-        self.open = ExitStack()
-        self.addCleanup(self.open.close)
+        self.resources = ExitStack()
+        self.addCleanup(self.resources.close)
 
     def occupy_descriptors(self) -> None:
         for _ in range(DESCRIPTORS):
-            self.open.callback(os.close, os.open(os.devnull, os.O_RDONLY))
+            self.resources.callback(os.close, os.open(os.devnull, os.O_RDONLY))
 
-    def start_front(self, max_descriptors: int) -> str:
+    def start_listener(self, max_descriptors: int) -> str:
         address = f"127.0.0.1:{free_port('127.0.0.1')}"
         environment = types.SimpleNamespace(front_address=address, max_descriptors=max_descriptors)
-        front = make_front(serve_nothing, environment, Metrics())
+        front = create_listener(serve_empty_object, environment, Metrics())
         ServiceThread(front.run, "front").start()
         return address
 
-    def ask(self, address: str, path: str = "/") -> urllib3.BaseHTTPResponse:
+    def request(self, address: str, path: str = "/") -> urllib3.BaseHTTPResponse:
         host, _, port = address.rpartition(":")
         pool = urllib3.HTTPConnectionPool(host, int(port), retries=False, timeout=10)
-        self.open.callback(pool.close)
+        self.resources.callback(pool.close)
         return pool.request("GET", path)
 
-    def test_front_with_many_descriptors(self) -> None:
+    def test_listener_with_many_descriptors(self) -> None:
         """Connections whose descriptor is above 1,023 are served."""
         self.occupy_descriptors()
-        address = self.start_front(4100)
+        address = self.start_listener(4100)
         for _ in range(3):
-            self.assertEqual(self.ask(address).status, 200)
+            self.assertEqual(self.request(address).status, 200)
 
     def test_probes_with_many_descriptors(self) -> None:
         """The balancer's probe is answered."""
         self.occupy_descriptors()
         address = f"127.0.0.1:{free_port('127.0.0.1')}"
         self.enterContext(unittest.mock.patch.dict(os.environ, SNOWDOCK_METRICS_PORT="0"))
-        Probes(address, lambda: True, Metrics()).start()
+        ProbeServer(address, lambda: True, Metrics()).start()
         for _ in range(3):
-            self.assertEqual(self.ask(address, "/v1/readiness").status, 200)
+            self.assertEqual(self.request(address, "/v1/readiness").status, 200)
 
-    def test_callers_beyond_the_limit(self) -> None:
+    def test_callers_above_the_limit(self) -> None:
         """They are told to come back; those within it are served on."""
-        address = self.start_front(200)
+        address = self.start_listener(200)
         host, _, port = address.rpartition(":")
-        first = self.ask(address)
+        first = self.request(address)
         self.assertEqual(first.status, 200)
-        for _ in range(most_callers(200) + BEYOND):
-            self.open.enter_context(socket.create_connection((host, int(port))))
-        refused = self.ask(address)
+        for _ in range(max_callers(200) + EXCESS_CONNECTIONS):
+            self.resources.enter_context(socket.create_connection((host, int(port))))
+        refused = self.request(address)
         self.assertEqual(refused.status, 503)
         self.assertEqual(refused.headers["Connection"], "close")
         self.assertIn("Retry-After", refused.headers)
