--- a/tests/test_foreign_entries.py
+++ b/tests/test_malformed_records.py
@@ -8,13 +8,13 @@
 import msgspec
 
 from snowdock.declarations import Size
+from snowdock.entry.job_status_table import JobStatusTable
 from snowdock.entry.leader_handle import LeaderHandle
 from snowdock.entry.leader_log import LeaderLog
 from snowdock.entry.leader_queries import LeaderQueries
-from snowdock.entry.leader_record import Identity, decode_leader
+from snowdock.entry.leader_record import NodeIdentity, decode_leader_record
 from snowdock.entry.messages import ENTRY_MESSAGES
-from snowdock.entry.statuses import StatusBook
-from snowdock.entry.takeover import sort_records
+from snowdock.entry.takeover import classify_records
 from snowdock.errors import PlatformError, SnowdockError
 from snowdock.jobs.events import ConfigurationChanged, OpenWorker, WorkerDelisted, WorkerListed
 from snowdock.jobs.model import Service
@@ -29,10 +29,10 @@
 from tests.standins.platform import StoreStandin
 
 SEED = 20_261
-FUZZED = 4_000
-BESIDE_GOOD = 2_000
+FUZZ_CASES = 4_000
+MALFORMED_ENTRIES = 2_000
 
-GOOD = {
+VALID_ENTRY = {
     "service": "pool",
     "address": "10.1.2.3:8709",
     "zone": "hall",
@@ -45,8 +45,23 @@
     "seq": 4,
 }
 
-DEEP = b"[" * 100_000
-WRONG = (None, True, -1, 1.5, "", "x", "\x00\r\n", [], [1], {}, {"a": 1}, 10**30, "9" * 400, 1e300)
+DEEPLY_NESTED = b"[" * 100_000
+INVALID_VALUES = (
+    None,
+    True,
+    -1,
+    1.5,
+    "",
+    "x",
+    "\x00\r\n",
+    [],
+    [1],
+    {},
+    {"a": 1},
+    10**30,
+    "9" * 400,
+    1e300,
+)
 """Values of other types, out of range, and texts that are none."""
 
 ADDRESSES = (
@@ -55,40 +70,40 @@
 )  # fmt: skip
 
 
-def entry(**fields: object) -> bytes:
-    return json.dumps({**GOOD, **fields}).encode()
+def encode_entry(**fields: object) -> bytes:
+    return json.dumps({**VALID_ENTRY, **fields}).encode()
 
 
-def bad_entries(source: random.Random, count: int) -> list[bytes]:
+def malformed_entries(source: random.Random, count: int) -> list[bytes]:
     """Draw entries each of which is wrong in one place at least."""
-    return [_bad_entry(source) for _ in range(count)]
+    return [_malformed_entry(source) for _ in range(count)]
 
 
-def _bad_entry(source: random.Random) -> bytes:
-    kind = source.randrange(6)
-    if kind == 0:
-        fields = dict(GOOD)
+def _malformed_entry(source: random.Random) -> bytes:
+    defect = source.randrange(6)
+    if defect == 0:
+        fields = dict(VALID_ENTRY)
         del fields[source.choice(list(fields))]
         return json.dumps(fields).encode()
-    if kind == 1:
-        return entry(address=source.choice(ADDRESSES))
-    if kind == 2:
-        return entry(state=source.choice(["", "gone", "READY", "upkeep", 1]))
-    if kind == 3:
-        capacity = dict(GOOD["capacity"])
+    if defect == 1:
+        return encode_entry(address=source.choice(ADDRESSES))
+    if defect == 2:
+        return encode_entry(state=source.choice(["", "gone", "READY", "upkeep", 1]))
+    if defect == 3:
+        capacity = dict(VALID_ENTRY["capacity"])
         capacity[source.choice(list(capacity))] = source.choice((None, -1, "16000", 1.5, 10**30))
-        return entry(capacity=capacity)
-    if kind == 4:
-        return entry(
+        return encode_entry(capacity=capacity)
+    if defect == 4:
+        return encode_entry(
             **{source.choice(("service", "zone", "version")): source.choice((None, 1, []))}
         )
     return source.choice(
         (
             b"",
             source.randbytes(40),
-            entry()[: source.randrange(len(entry()))],
-            b'{"x":' + DEEP,
-            entry()[:-1] + b',"y":"\xff\xfe"}',
+            encode_entry()[: source.randrange(len(encode_entry()))],
+            b'{"x":' + DEEPLY_NESTED,
+            encode_entry()[:-1] + b',"y":"\xff\xfe"}',
         )
     )
 
@@ -98,16 +113,16 @@
 
     def test_worker_entries(self) -> None:
         """Every entry that is wrong in one place is refused, and the good one is not."""
-        self.assertEqual(decode_worker_entry("i-1", entry()).address, GOOD["address"])
-        for data in bad_entries(random.Random(SEED), FUZZED):
+        self.assertEqual(decode_worker_entry("i-1", encode_entry()).address, VALID_ENTRY["address"])
+        for data in malformed_entries(random.Random(SEED), FUZZ_CASES):
             with self.assertRaises(PlatformError, msg=data[:200]):
                 decode_worker_entry("i-1", data)
 
     def test_any_value_in_any_field(self) -> None:
         """Whatever stands in a field, it is taken as it is or refused, never guessed."""
-        for name in GOOD:
-            for value in WRONG:
-                data = entry(**{name: value})
+        for name in VALID_ENTRY:
+            for value in INVALID_VALUES:
+                data = encode_entry(**{name: value})
                 try:
                     found = decode_worker_entry("i-1", data)
                 except PlatformError:
@@ -118,21 +133,21 @@
     def test_all_other_decoders(self) -> None:
         """Cut, changed and nested records of every table bring the typed failure or are taken."""
         source = random.Random(SEED)
-        leader = msgspec.msgpack.encode(Identity("n", "i", "1.2.3.4:5").lead(3))
+        leader = msgspec.msgpack.encode(NodeIdentity("n", "i", "1.2.3.4:5").make_record(3))
         job = encode(accepted())
         body = json.dumps({"spec": "x", "steps": [{"count": 1}]}).encode()
         decoders = (
             (decode_configuration, json.dumps(CONFIGURATION).encode()),
-            (lambda data: decode_leader(KeyedRecord("leader", data)), leader),
+            (lambda data: decode_leader_record(KeyedRecord("leader", data)), leader),
             (decode_accepted, job),
             (decode_progress, msgspec.msgpack.encode([1, [[0, 0, 0, 1, "w"]], ""])),
             (ENTRY_MESSAGES.decode, msgspec.msgpack.encode(["x", 1])),
             (lambda data: decode_job("q", data), body),
         )
-        for decode, good in decoders:
-            spoilt = [DEEP, b"\x91" * 100_000, b"\xc1", b""]
-            spoilt += [_spoil(source, good) for _ in range(FUZZED // 10)]
-            for data in spoilt:
+        for decode, valid in decoders:
+            corrupted = [DEEPLY_NESTED, b"\x91" * 100_000, b"\xc1", b""]
+            corrupted += [_corrupt(source, valid) for _ in range(FUZZ_CASES // 10)]
+            for data in corrupted:
                 try:
                     decode(data)
                 except SnowdockError:
@@ -145,84 +160,84 @@
         self.assertEqual(keys, ["", "a", "k"])
 
 
-def _spoil(source: random.Random, good: bytes) -> bytes:
-    data = bytearray(good)
+def _corrupt(source: random.Random, valid: bytes) -> bytes:
+    data = bytearray(valid)
     for _ in range(source.randint(1, 4)):
-        place = source.randrange(len(data))
-        data[place] = source.randrange(256)
+        position = source.randrange(len(data))
+        data[position] = source.randrange(256)
     return bytes(data[: source.randint(1, len(data))])
 
 
 class TestWorkersInUse(unittest.TestCase):
     def setUp(self) -> None:
-        self.told = []
-        actor = types.SimpleNamespace(tell=self.told.append)
+        self.events = []
+        actor = types.SimpleNamespace(tell=self.events.append)
         metrics = types.SimpleNamespace(count=lambda *_, **__: None)
         context = types.SimpleNamespace(store=types.SimpleNamespace(), parts=1, metrics=metrics)
-        self.handle = LeaderHandle(context, actor, StatusBook())
+        self.handle = LeaderHandle(context, actor, JobStatusTable())
 
-    def test_worker_is_let_go(self) -> None:
+    def test_worker_with_a_malformed_entry_is_delisted(self) -> None:
         """A worker whose entry is written over by one that names none is used no more."""
-        self.handle._take_worker(KeyedRecord("i-1", entry()))
-        self.handle._take_worker(KeyedRecord("i-1", entry(state="gone")))
-        self.assertIsInstance(self.told[0], WorkerListed)
-        self.assertEqual(self.told[1:], [WorkerDelisted("i-1", False)])
+        self.handle._apply_worker_record(KeyedRecord("i-1", encode_entry()))
+        self.handle._apply_worker_record(KeyedRecord("i-1", encode_entry(state="gone")))
+        self.assertIsInstance(self.events[0], WorkerListed)
+        self.assertEqual(self.events[1:], [WorkerDelisted("i-1", False)])
 
-    def test_others_hold(self) -> None:
+    def test_valid_entries_beside_malformed_ones_are_listed(self) -> None:
         """In a whole list, entries beside bad ones are taken, and those gone are told as gone."""
-        good = [KeyedRecord(f"i-{number}", entry()) for number in range(3)]
-        self.handle._take_all_workers(good)
-        self.told.clear()
+        good = [KeyedRecord(f"i-{number}", encode_entry()) for number in range(3)]
+        self.handle._replace_workers(good)
+        self.events.clear()
         bad = [
             KeyedRecord(f"x-{number}", data)
-            for number, data in enumerate(bad_entries(random.Random(SEED), 50))
+            for number, data in enumerate(malformed_entries(random.Random(SEED), 50))
         ]
-        self.handle._take_all_workers([*bad, good[0], KeyedRecord("i-1", b"\xff"), *bad])
-        listed = [event.entry.life for event in self.told if isinstance(event, WorkerListed)]
-        gone = {event.life for event in self.told if isinstance(event, WorkerDelisted)}
+        self.handle._replace_workers([*bad, good[0], KeyedRecord("i-1", b"\xff"), *bad])
+        listed = [event.entry.life for event in self.events if isinstance(event, WorkerListed)]
+        gone = {event.life for event in self.events if isinstance(event, WorkerDelisted)}
         self.assertEqual(listed, ["i-0"])
         self.assertLessEqual({"i-1", "i-2"}, gone)
 
 
-class TestUnnamedService(unittest.TestCase):
+class TestUnconfiguredService(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench()
         size = Size(4000, 9000)
         self.entry = WorkerEntry("w", "other", "1.2.3.4:5", "hall", "r1", frozenset(), size)
 
-    def name_it(self) -> None:
+    def configure_service(self) -> None:
         before = self.bench.cell.configuration
         services = (*before.services, Service("other"))
         after = msgspec.structs.replace(before, version=before.version + 1, services=services)
         self.bench.feed(ConfigurationChanged(after))
 
-    def test_it_is_not_called(self) -> None:
+    def test_worker_is_not_called_until_its_service_is_configured(self) -> None:
         """A worker of a service that nothing names is not called, until one names it."""
         self.bench.feed(WorkerListed(self.entry))
         self.bench.tick(3.0)
         self.assertEqual(of_type(self.bench.seen, OpenWorker), [])
-        self.name_it()
+        self.configure_service()
         self.assertEqual([each.life for each in of_type(self.bench.seen, OpenWorker)], ["w"])
 
-    def test_it_may_go_before(self) -> None:
+    def test_worker_delisted_before_its_service_is_configured(self) -> None:
         """One that is gone before its service is named is never called."""
         self.bench.feed(WorkerListed(self.entry))
         self.bench.feed(WorkerDelisted("w", False))
-        self.name_it()
+        self.configure_service()
         self.assertEqual(of_type(self.bench.seen, OpenWorker), [])
 
 
-class TestLeadersRecord(unittest.TestCase):
-    def test_record_that_names_nobody(self) -> None:
+class TestLeaderRecord(unittest.TestCase):
+    def test_unreadable_leader_record_is_ignored(self) -> None:
         """A leader's record that cannot be read names nobody; one may claim after it."""
         store = StoreStandin()
         self.addCleanup(store.close)
         log = LeaderLog(StoreClient(store.address, 2))
         log.read_newest(2.0)
-        log.append(Identity("n1", "i1", "127.0.0.1:1").lead(1), 2.0)
-        store.put_raw("keyed.leaders", "leader", DEEP[:1000])
-        self.assertEqual(log.read_on(0.0), [])
-        claim = Identity("n2", "i2", "127.0.0.1:2").lead(log.next_epoch)
+        log.append(NodeIdentity("n1", "i1", "127.0.0.1:1").make_record(1), 2.0)
+        store.put_raw("keyed.leaders", "leader", DEEPLY_NESTED[:1000])
+        self.assertEqual(log.read_new(0.0), [])
+        claim = NodeIdentity("n2", "i2", "127.0.0.1:2").make_record(log.next_epoch)
         log.append(claim, 2.0)
         self.assertEqual(LeaderLog(StoreClient(store.address, 2)).read_newest(2.0), [claim])
 
@@ -230,56 +245,56 @@
 class TestUnreadableJobs(unittest.TestCase):
     JOB = "0123456789abcdef"
 
-    def test_taken_in_by_an_unreadable_record(self) -> None:
+    def test_unreadable_submission_record(self) -> None:
         """The others are taken over, and this one is told apart from no job at all."""
         other = "f" * 16
         records = [KeyedRecord(self.JOB, b"\xc1"), KeyedRecord(other, encode(accepted()))]
-        recorded = sort_records(records, {})
+        recorded = classify_records(records, {})
         self.assertEqual((set(recorded.accepted), recorded.unstartable), ({other}, {self.JOB}))
 
-    def test_with_unreadable_progress(self) -> None:
+    def test_unreadable_progress_record(self) -> None:
         """It is not run again, also when it is handed in again: it may have run already."""
         records = [KeyedRecord(self.JOB, encode(accepted()))]
-        recorded = sort_records(records, {}, frozenset({self.JOB}))
+        recorded = classify_records(records, {}, frozenset({self.JOB}))
         bench = Bench()
         bench.restore(recorded)
         bench.add_worker()
         bench.tick(1.0)
         self.assertEqual(bench.starts(bench.seen), [])
 
-    def test_is_never_told_as_gone(self) -> None:
+    def test_unreadable_job_is_not_reported_as_gone(self) -> None:
         """Callers of it hear that it cannot be told now, not that there is no such job."""
-        statuses = StatusBook()
-        statuses.note_unreadable([self.JOB])
+        statuses = JobStatusTable()
+        statuses.add_unreadable([self.JOB])
         handle = types.SimpleNamespace(statuses=statuses, jobs_read_at=float("inf"))
         election = types.SimpleNamespace(renewed_s=0.0)
         queries = LeaderQueries("n", election, types.SimpleNamespace(handle=handle), None)
-        self.assertEqual(queries.own_status(self.JOB), (None, False))
-        self.assertEqual(queries.own_status("f" * 16), (None, True))
+        self.assertEqual(queries.local_status(self.JOB), (None, False))
+        self.assertEqual(queries.local_status("f" * 16), (None, True))
 
 
 class TestWholePath(unittest.TestCase):
-    def test_good_workers_serve_beside_bad_entries(self) -> None:
+    def test_valid_workers_serve_beside_malformed_entries(self) -> None:
         """Beside thousands of bad entries, and through a change of leader, jobs are served."""
         cluster = EntryCluster(2)
         self.addCleanup(cluster.close)
         source = random.Random(SEED)
-        for number, data in enumerate(bad_entries(source, BESIDE_GOOD)):
+        for number, data in enumerate(malformed_entries(source, MALFORMED_ENTRIES)):
             cluster.store.put_raw("keyed.servers", f"x-{number}", data)
         self.assertTrue(cluster.wait_ready())
-        self._serve(cluster)
+        self.run_job(cluster)
         cluster.store.put_raw("keyed.progress", "0" * 16, b"\xc1")
         cluster.store.put_raw("keyed.jobs", "1" * 16, b"\x91" * 500)
         cluster.leader.kill()
         self.assertTrue(wait_until(lambda: cluster.leader is not None))
-        self._serve(cluster)
+        self.run_job(cluster)
         node = cluster.leader
         for unreadable in ("0" * 16, "1" * 16):
             self.assertNotEqual(node.call("GET", f"/jobs/{unreadable}")[0], 410)
         self.assertEqual(node.lines("leader_failed"), [])
         self.assertTrue(node.lines("worker_entry_unusable"))
 
-    def _serve(self, cluster: EntryCluster) -> None:
+    def run_job(self, cluster: EntryCluster) -> None:
         path, body = cluster.job([{"count": 2, "cpu": 500, "mem_mb": 100, "estimate_ms": 100}])
         node = cluster.leader
         self.assertTrue(wait_until(lambda: node.call("POST", path, body)[0] == 200))
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -16,9 +16,9 @@
         names = set(METRIC.findall(SOURCES))
         self.assertGreater(len(names), 8)
         table = PAGE.partition("## Figures")[2].partition("## Running")[0]
-        told = set(re.findall(r"`([a-z_]+)(?:\{[a-z,]+\})?`", table))
-        self.assertEqual(names - told, set())
-        self.assertEqual(told - names, {"process_cpu_seconds", "snowdock_"} & told)
+        documented = set(re.findall(r"`([a-z_]+)(?:\{[a-z,]+\})?`", table))
+        self.assertEqual(names - documented, set())
+        self.assertEqual(documented - names, {"process_cpu_seconds", "snowdock_"} & documented)
 
     def test_every_event_is_one_that_is_logged(self) -> None:
         """Each event on the page is logged somewhere."""
--- a/tests/test_progress_writer.py
+++ b/tests/test_progress_writer.py
@@ -45,14 +45,14 @@
         writer.write(BATCH)
         return told
 
-    def test_batch_is_repeated_until_it_is_on_record(self) -> None:
+    def test_batch_is_retried_until_it_is_recorded(self) -> None:
         """Each try carries the same number."""
         store = ScriptedStore(TIMED_OUT, TIMED_OUT, TIMED_OUT)
         told = self.start(store)
         self.assertEqual(told.get(timeout=15), Persisted(1))
         self.assertEqual(store.sequences, [1, 1, 1, 1])
 
-    def test_hanging_try_keeps_nothing_waiting(self) -> None:
+    def test_hanging_attempt_does_not_delay_the_next(self) -> None:
         """While one try hangs, the next is made; how the first ends changes nothing."""
         hanging = threading.Event()
         store = ScriptedStore(TIMED_OUT, hanging)
@@ -62,7 +62,7 @@
         with self.assertRaises(queue.Empty):
             told.get(timeout=0.3)
 
-    def test_shut_out_writer_tells_so_and_writes_no_more(self) -> None:
+    def test_fenced_writer_reports_it_once_and_stops(self) -> None:
         """A later leader has fenced it, at the first try or a later one."""
         for steps in ((ProducerFenced("later"),), (TIMED_OUT, ProducerFenced("later"))):
             store = ScriptedStore(*steps)
--- a/tests/test_record_cleaner.py
+++ b/tests/test_record_cleaner.py
@@ -5,7 +5,7 @@
 
 from snowdock.entry import record_cleaner
 from snowdock.entry.record_cleaner import RecordCleaner
-from snowdock.entry.topics import JOBS_TOPIC, PROGRESS_TOPIC, job_part
+from snowdock.entry.topics import JOBS_TOPIC, PROGRESS_TOPIC, job_partition
 from snowdock.jobs.events import DropJobs, ForgetAccepted
 from snowdock.jobs.progress import cancel_key
 from snowdock.platform.store import KeyedRecord, StoreClient
@@ -13,7 +13,7 @@
 from tests.standins.platform import StoreStandin
 
 PARTS = 3
-ENDED, OLD, OPEN = (f"{number:08x}{'0' * 8}" for number in range(3))
+ENDED, DROPPED, OPEN = (f"{number:08x}{'0' * 8}" for number in range(3))
 
 
 class TestRecordCleaner(unittest.TestCase):
@@ -22,10 +22,10 @@
         self.standin = StoreStandin()
         self.addCleanup(self.standin.close)
         self.store = StoreClient(self.standin.address, 4)
-        for job in (ENDED, OLD, OPEN):
+        for job in (ENDED, DROPPED, OPEN):
             keys = (job, cancel_key(job))
             records = [KeyedRecord(key, b"x") for key in keys]
-            self.store.append(JOBS_TOPIC, job_part(job, PARTS), records, 5.0)
+            self.store.append(JOBS_TOPIC, job_partition(job, PARTS), records, 5.0)
             self.store.append(PROGRESS_TOPIC, 0, [KeyedRecord(job, b"x")], 5.0)
         self.cleaner = RecordCleaner(self.store, PARTS)
         self.cleaner.start()
@@ -38,7 +38,7 @@
     def test_ended_and_old_jobs(self) -> None:
         """Of the one its progress stays, of the other nothing; an open job is left alone."""
         self.cleaner.clean(ForgetAccepted((ENDED,)))
-        self.cleaner.clean(DropJobs((OLD,)))
+        self.cleaner.clean(DropJobs((DROPPED,)))
         self.assertTrue(wait_until(lambda: self.keys(JOBS_TOPIC) == {OPEN, cancel_key(OPEN)}))
         self.assertTrue(wait_until(lambda: self.keys(PROGRESS_TOPIC) == {ENDED, OPEN}))
 
@@ -49,8 +49,8 @@
         self.cleaner.clean(ForgetAccepted((ENDED,)))
         self.assertTrue(wait_until(lambda: len(self.standin.calls) > calls))
         self.standin.refuse = False
-        self.cleaner.clean(ForgetAccepted((OLD,)))
-        self.assertTrue(wait_until(lambda: OLD not in self.keys(JOBS_TOPIC)))
+        self.cleaner.clean(ForgetAccepted((DROPPED,)))
+        self.assertTrue(wait_until(lambda: DROPPED not in self.keys(JOBS_TOPIC)))
         self.assertIn(ENDED, self.keys(JOBS_TOPIC))
 
 
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -6,7 +6,7 @@
 
 from snowdock.clocks import steady_seconds
 from snowdock.entry import recorder
-from snowdock.entry.messages import Recording
+from snowdock.entry.messages import RecordOutcome
 from snowdock.entry.recorder import Recorder
 from snowdock.errors import CallUnanswered, StoreRefused
 from snowdock.node.metrics import Metrics
@@ -17,7 +17,7 @@
 RECORD = KeyedRecord(JOB, b"x")
 
 
-class HeldStore:
+class BlockingStore:
     """A store whose appends wait for the test, raise what it says, or succeed."""
 
     def __init__(self) -> None:
@@ -37,14 +37,14 @@
 
 class TestRecorder(unittest.TestCase):
     def setUp(self) -> None:
-        self.store = HeldStore()
+        self.store = BlockingStore()
         self.recorder = Recorder(self.store, 1, Metrics())
         for name in ("_DOWN_SECONDS", "_RETRY_SECONDS", "_TRYING_SECONDS"):
             patched = mock.patch.object(recorder, name, 0.01)
             patched.start()
             self.addCleanup(patched.stop)
 
-    def test_answered_call_tells_that_the_store_is_back(self) -> None:
+    def test_answered_call_ends_the_down_state(self) -> None:
         """A store that counts as down is tried at once when it has answered any other call."""
         self.store.error = StoreRefused("down")
         with mock.patch.object(recorder, "_DOWN_SECONDS", 60.0):
@@ -52,14 +52,14 @@
                 self.recorder.record(JOB, RECORD, 1.0)
             tried = len(self.store.appends)
             self.store.error = None
-            self.assertIs(self.recorder.record(JOB, RECORD, 1.0), Recording.NOT_DONE)
+            self.assertIs(self.recorder.record(JOB, RECORD, 1.0), RecordOutcome.NOT_DONE)
             self.assertEqual(len(self.store.appends), tried)
             self.store.answered_at = steady_seconds()
-            self.assertIs(self.recorder.record(JOB, RECORD, 1.0), Recording.DONE)
+            self.assertIs(self.recorder.record(JOB, RECORD, 1.0), RecordOutcome.DONE)
 
-    def record_many(self, count: int) -> list[Recording]:
+    def record_many(self, count: int) -> list[RecordOutcome]:
         """Record on many threads while the first append is held; give all outcomes."""
-        outcomes: list[Recording] = []
+        outcomes: list[RecordOutcome] = []
         self.store.gate.clear()
 
         def record(number: int) -> None:
@@ -70,57 +70,57 @@
         for thread in threads:
             thread.start()
             # The order of arrival is that of the numbers.
-            waiting = self.recorder._partitions[0].waiting
+            waiting = self.recorder._partitions[0].pending
             wait_until(lambda: len(waiting) + 1 >= threads.index(thread) + 1)  # noqa: B023
         self.store.gate.set()
         for thread in threads:
             thread.join(10.0)
         return outcomes
 
-    def test_records_that_come_together_go_together(self) -> None:
+    def test_concurrent_records_share_an_append(self) -> None:
         """While one append is on its way, all that comes goes with the next one."""
         outcomes = self.record_many(20)
-        self.assertEqual(outcomes, [Recording.DONE] * 20)
+        self.assertEqual(outcomes, [RecordOutcome.DONE] * 20)
         self.assertEqual([len(keys) for keys in self.store.appends], [1, 19])
 
-    def test_an_append_is_bounded(self) -> None:
+    def test_append_size_is_bounded(self) -> None:
         """More than a call may hold goes with several appends."""
         outcomes = self.record_many(100)
-        self.assertEqual(outcomes, [Recording.DONE] * 100)
+        self.assertEqual(outcomes, [RecordOutcome.DONE] * 100)
         self.assertEqual([len(keys) for keys in self.store.appends], [1, 64, 35])
 
     def test_unanswered_append_is_unknown_to_all(self) -> None:
         """Each record of an append without an answer may be on record."""
         self.store.error = CallUnanswered("lost", False)
-        self.assertEqual(set(self.record_many(5)), {Recording.UNKNOWN})
+        self.assertEqual(set(self.record_many(5)), {RecordOutcome.UNKNOWN})
 
     def test_refused_append_was_not_done(self) -> None:
         """A refusal tells surely that nothing was recorded."""
         self.store.error = StoreRefused("away")
-        self.assertEqual(self.recorder.record(JOB, RECORD, 5.0), Recording.NOT_DONE)
+        self.assertEqual(self.recorder.record(JOB, RECORD, 5.0), RecordOutcome.NOT_DONE)
 
-    def test_unforeseen_error_does_not_keep_others_out(self) -> None:
+    def test_unexpected_error_releases_the_probe(self) -> None:
         """A record that tries a failing store and ends by an error lets the next one try."""
         self.store.error = StoreRefused("away")
         for _ in range(4):
             self.recorder.record(JOB, RECORD, 5.0)
         self.store.error = RuntimeError("unforeseen")
         outcomes = [self.recorder.record(JOB, RECORD, 5.0)]
-        while outcomes[-1] is not Recording.UNKNOWN and len(outcomes) < 2_000:
+        while outcomes[-1] is not RecordOutcome.UNKNOWN and len(outcomes) < 2_000:
             recorder.time.sleep(0.001)
             outcomes.append(self.recorder.record(JOB, RECORD, 5.0))
-        self.assertIs(outcomes[-1], Recording.UNKNOWN)
+        self.assertIs(outcomes[-1], RecordOutcome.UNKNOWN)
         self.store.error = None
         for _ in range(2_000):
-            if self.recorder.record(JOB, RECORD, 5.0) is Recording.DONE:
+            if self.recorder.record(JOB, RECORD, 5.0) is RecordOutcome.DONE:
                 return
             recorder.time.sleep(0.001)
         self.fail("no record was tried any more")
 
-    def test_record_that_waits_too_long_is_taken_back(self) -> None:
+    def test_record_that_waits_too_long_is_withdrawn(self) -> None:
         """A record that never went out is surely not there; the one that went out may be."""
         self.store.gate.clear()
-        outcomes: dict[str, Recording] = {}
+        outcomes: dict[str, RecordOutcome] = {}
 
         def record(name: str, seconds: float) -> None:
             outcomes[name] = self.recorder.record(JOB, KeyedRecord(name, b"x"), seconds)
@@ -129,43 +129,43 @@
         first.start()
         self.assertTrue(wait_until(lambda: self.store.appends))
         record("second", 0.05)
-        self.assertIs(outcomes["second"], Recording.NOT_DONE)
+        self.assertIs(outcomes["second"], RecordOutcome.NOT_DONE)
         self.store.gate.set()
         first.join(10.0)
-        self.assertIs(outcomes["first"], Recording.DONE)
+        self.assertIs(outcomes["first"], RecordOutcome.DONE)
         self.assertEqual(self.store.appends, [["first"]])
         record("third", 5.0)
-        self.assertIs(outcomes["third"], Recording.DONE)
+        self.assertIs(outcomes["third"], RecordOutcome.DONE)
 
-    def test_slow_store_is_told_and_forgotten(self) -> None:
+    def test_slow_store_is_reported_for_a_limited_time(self) -> None:
         """A store that has become slow is told so, for as long as that was seen lately."""
         health = self.recorder._health
         for _ in range(20):
-            health.note_success(0.3)
+            health.record_success(0.3)
         self.assertTrue(self.recorder.is_slow)
         with mock.patch.object(recorder, "_SLOW_MEMORY_SECONDS", -1.0):
             self.assertFalse(self.recorder.is_slow)
         for _ in range(20):
-            health.note_success(0.01)
+            health.record_success(0.01)
         self.assertFalse(self.recorder.is_slow)
 
-    def test_store_that_was_slow_is_tried_with_one_record(self) -> None:
+    def test_slow_store_is_probed_with_one_record(self) -> None:
         """All others that come until its answer is there go another way."""
         health = self.recorder._health
         for _ in range(20):
-            health.note_success(0.3)
-        self.assertTrue(self.recorder.avoids_appends())
+            health.record_success(0.3)
+        self.assertTrue(self.recorder.prefers_relay())
         with mock.patch.object(recorder, "_SLOW_MEMORY_SECONDS", 60.0):
-            health._noted_at -= 100.0
-            told = [self.recorder.avoids_appends() for _ in range(5)]
+            health._last_result_at -= 100.0
+            told = [self.recorder.prefers_relay() for _ in range(5)]
         self.assertEqual(told, [False, True, True, True, True])
 
-    def test_append_that_hangs_tells_of_a_slow_store(self) -> None:
+    def test_hanging_append_marks_the_store_slow(self) -> None:
         """Before its answer is there, and whatever was usual."""
         self.store.gate.clear()
         thread = threading.Thread(target=self.recorder.record, args=(JOB, RECORD, 5.0))
         thread.start()
-        self.assertTrue(wait_until(self.recorder.avoids_appends))
+        self.assertTrue(wait_until(self.recorder.prefers_relay))
         self.store.gate.set()
         thread.join(10.0)
         self.assertFalse(self.recorder.is_slow)
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from snowdock.entry.messages import ENTRY_MESSAGES, Beat, StatusAsked, StatusReply
+from snowdock.entry.messages import ENTRY_MESSAGES, Heartbeat, StatusReply, StatusRequest
 from snowdock.errors import PlatformError
 from snowdock.jobs.model import JobStatus, TaskId
 from snowdock.jobs.orders import AdviceWanted, RenewOrder, StartOrder
@@ -29,11 +29,13 @@
 
 
 class TestPeerLinks(unittest.TestCase):
-    def start(self, answer=lambda question: None, name: str = "n", **options) -> tuple[Peers, str]:
+    def start_peers(
+        self, answer=lambda question: None, name: str = "n", **options
+    ) -> tuple[Peers, str]:
         address = f"127.0.0.1:{free_port('127.0.0.1')}"
 
-        def make_beat(due_s: float, heard_s: float | None) -> Beat:
-            return Beat(name, address, 0, 0.0, due_s=due_s, heard_s=heard_s)
+        def make_beat(due_s: float, heard_s: float | None) -> Heartbeat:
+            return Heartbeat(name, address, 0, 0.0, due_s=due_s, heard_s=heard_s)
 
         peers = Peers(
             PeerOptions(address, 0.1, **options),
@@ -46,17 +48,19 @@
         self.addCleanup(peers.stop)
         return peers, address
 
-    def test_link_is_made_anew(self) -> None:
+    def test_silent_link_is_replaced(self) -> None:
         """A peer behind a link that has gone silent answers again, over a new connection."""
-        _, address = self.start(lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True))
+        _, address = self.start_peers(
+            lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True)
+        )
         proxy = Proxy(address)
         self.addCleanup(proxy.close)
-        asking, _ = self.start()
+        asking, _ = self.start_peers()
         asking.set_addresses({"other": proxy.address})
 
         def is_answered() -> bool:
             try:
-                reply = asking.ask("other", lambda number: StatusAsked(number, JOB), 0.3)
+                reply = asking.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return reply.status is JobStatus.RUNNING
@@ -66,38 +70,40 @@
         self.assertFalse(is_answered())
         self.assertTrue(wait_until(is_answered))
 
-    def test_address_that_does_not_fit(self) -> None:
+    def test_invalid_address_does_not_affect_other_peers(self) -> None:
         """It costs nothing but itself: other peers are asked as before."""
-        _, address = self.start(lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True))
-        asking, _ = self.start()
+        _, address = self.start_peers(
+            lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True)
+        )
+        asking, _ = self.start_peers()
         asking.set_addresses({"broken": "no address", "other": address})
         asking.set_addresses({"other": address})
 
         def is_answered() -> bool:
             try:
-                asking.ask("other", lambda number: StatusAsked(number, JOB), 0.3)
+                asking.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return True
 
         self.assertTrue(wait_until(is_answered))
 
-    def test_link_that_heartbeats_confirm(self) -> None:
+    def test_silent_link_is_found_by_heartbeats(self) -> None:
         """Without signs of life of its own, a silent link is found by what the peer has heard."""
-        answering, address = self.start(
+        answering, address = self.start_peers(
             lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True),
             "answering",
             confirms_links=True,
         )
         proxy = Proxy(address)
         self.addCleanup(proxy.close)
-        asking, own_address = self.start(name="asking", confirms_links=True)
+        asking, own_address = self.start_peers(name="asking", confirms_links=True)
         asking.set_addresses({"answering": proxy.address})
         answering.set_addresses({"asking": own_address})
 
         def is_answered() -> bool:
             try:
-                asking.ask("answering", lambda number: StatusAsked(number, JOB), 0.3)
+                asking.ask("answering", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return True
@@ -112,7 +118,7 @@
 
 
 class TestStoreLinks(unittest.TestCase):
-    def test_append_goes_through_at_the_second_try(self) -> None:
+    def test_append_succeeds_on_retry(self) -> None:
         """One time-out, and what was sent on the silent connection is not on record twice."""
         store = StoreStandin()
         self.addCleanup(store.close)
@@ -128,14 +134,14 @@
         self.assertEqual(store.part("keyed.jobs").end, 2)
 
 
-class TestOtherLinks(unittest.TestCase):
+class TestHttpLinks(unittest.TestCase):
     """Workers and the advice service: the second call is made over a new connection."""
 
     def setUp(self) -> None:
         self.server = Swallower()
         self.addCleanup(self.server.close)
 
-    def check(self, call) -> None:
+    def check_reconnect(self, call) -> None:
         """Make a call that is answered, one on a silent connection, and one more."""
         self.assertTrue(self.is_answered(call, 5.0))
         self.server.swallow()
@@ -151,14 +157,16 @@
             return False
         return True
 
-    def test_orders(self) -> None:
+    def test_start_order_reconnects(self) -> None:
         """A start is repeated under its run, which to the worker is the same."""
         order = StartOrder(TaskId(JOB, 0, 0, 0), 1, "payload", 3, 1000)
-        self.check(self.make_call(START_PATH, encode_start(order)))
+        self.check_reconnect(self.make_call(START_PATH, encode_start(order)))
 
-    def test_renewals(self) -> None:
+    def test_renewal_reconnects(self) -> None:
         """A renewal is repeated."""
-        self.check(self.make_call(RENEWAL_PATH, encode_renewal(RenewOrder(3, 0, 1000, 0, 0.0))))
+        self.check_reconnect(
+            self.make_call(RENEWAL_PATH, encode_renewal(RenewOrder(3, 0, 1000, 0, 0.0)))
+        )
 
     def make_call(self, path: str, body: bytes):
         """Make the function that makes a call to a worker and waits for its outcome."""
@@ -177,10 +185,10 @@
 
         return call
 
-    def test_advice(self) -> None:
+    def test_advice_request_reconnects(self) -> None:
         """A question is asked again."""
         client = AdviceClient(self.server.address)
-        self.check(lambda seconds: client.ask(AdviceWanted(JOB, 0, 0, ("w-1",)), seconds))
+        self.check_reconnect(lambda seconds: client.ask(AdviceWanted(JOB, 0, 0, ("w-1",)), seconds))
 
 
 if __name__ == "__main__":
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -7,22 +7,22 @@
 import unittest
 
 from snowdock.clocks import steady_seconds
-from snowdock.entry.intake import Intake, IntakeParts
-from snowdock.entry.messages import Recording
+from snowdock.entry.caller_api import CallerApi, CallerApiDependencies
+from snowdock.entry.messages import RecordOutcome
 from snowdock.entry.recorder import Recorder
 from snowdock.errors import CallUnanswered, StoreRefused
 from snowdock.jobs.model import Configuration, Queue
 from snowdock.node.metrics import Metrics
 from snowdock.platform.store import KeyedRecord
-from tests.test_keys import Door
+from tests.test_keys import CallerApiHarness
 
-ANSWER_S = 0.45
-TURN_S = 0.15
-LONGEST_WAIT_S = 2.0
-PARTS = 3
+RESPONSE_DELAY_S = 0.45
+APPEND_S = 0.15
+MAX_QUEUE_WAIT_S = 2.0
+PARTITIONS = 3
 NODES = 6
 JOBS = 90
-SPREAD_S = 2.0
+SUBMIT_PERIOD_S = 2.0
 
 
 class SlowStore:
@@ -30,21 +30,21 @@
 
     def __init__(self) -> None:
         self.appends = 0
-        self.on_record: set[str] = set()
+        self.recorded_keys: set[str] = set()
         self.answered_at = 0.0
-        self._free_at = [0.0] * PARTS
+        self._free_at = [0.0] * PARTITIONS
         self._lock = threading.Lock()
 
     def append(self, topic: str, part: int, records: list[KeyedRecord], seconds: float) -> int:
         now = steady_seconds()
         with self._lock:
             self.appends += 1
-            begins = max(now, self._free_at[part])
-            if begins - now > LONGEST_WAIT_S:
+            starts_at = max(now, self._free_at[part])
+            if starts_at - now > MAX_QUEUE_WAIT_S:
                 raise StoreRefused("too many wait")
-            self._free_at[part] = begins + TURN_S
-            self.on_record |= {record.key for record in records}
-        answer_s = begins - now + TURN_S + ANSWER_S
+            self._free_at[part] = starts_at + APPEND_S
+            self.recorded_keys |= {record.key for record in records}
+        answer_s = starts_at - now + APPEND_S + RESPONSE_DELAY_S
         time.sleep(min(answer_s, seconds))
         if answer_s > seconds:
             raise CallUnanswered("no answer in time", False)
@@ -56,35 +56,37 @@
     def test_all_callers_are_served(self) -> None:
         """Late rather than not at all: none is refused, and none is left in doubt."""
         store = SlowStore()
-        leader = Recorder(store, PARTS, Metrics())
+        leader = Recorder(store, PARTITIONS, Metrics())
         nodes = [self.make_node(store, leader) for _ in range(NODES)]
 
-        def hand_in(number: int) -> int:
-            time.sleep(number / JOBS * SPREAD_S)
-            return Door.call(nodes[number % NODES], "POST", f"/q/{number * 7:08x}00000000")[0]
+        def submit(number: int) -> int:
+            time.sleep(number / JOBS * SUBMIT_PERIOD_S)
+            return CallerApiHarness.call(
+                nodes[number % NODES], "POST", f"/q/{number * 7:08x}00000000"
+            )[0]
 
         with concurrent.futures.ThreadPoolExecutor(JOBS) as pool:
-            statuses = list(pool.map(hand_in, range(JOBS)))
+            statuses = list(pool.map(submit, range(JOBS)))
         self.assertEqual({status: statuses.count(status) for status in set(statuses)}, {200: JOBS})
-        self.assertEqual(len(store.on_record), JOBS)
+        self.assertEqual(len(store.recorded_keys), JOBS)
         self.assertLess(store.appends, JOBS)
 
     @staticmethod
-    def make_node(store: SlowStore, leader: Recorder) -> Door:
+    def make_node(store: SlowStore, leader: Recorder) -> CallerApiHarness:
         """Give a node whose leader puts records on the store for it when it is asked."""
 
-        def relay(job: str, record: KeyedRecord, seconds: float) -> Recording:
+        def relay(job: str, record: KeyedRecord, seconds: float) -> RecordOutcome:
             return leader.record(job, record, seconds)
 
         queue = Queue("q", "", "/q/", "pool", is_public=True)
-        door = Door()
-        door.intake = Intake(
-            IntakeParts(
-                Recorder(store, PARTS, Metrics()),
+        harness = CallerApiHarness()
+        harness.caller_api = CallerApi(
+            CallerApiDependencies(
+                Recorder(store, PARTITIONS, Metrics()),
                 lambda: Configuration(1, (queue,)),
                 lambda: 0.0,
                 math.inf,
-                door.find_status,
+                harness.find_status,
                 lambda queue, seconds: 0,
                 lambda: leader.is_slow,
                 relay,
@@ -92,4 +94,4 @@
                 Metrics(),
             )
         )
-        return door
+        return harness
--- a/tests/test_tails.py
+++ b/tests/test_tails.py
@@ -36,23 +36,23 @@
 
 class TestTail(unittest.TestCase):
     def follow(self, store: ScriptedStore) -> tuple[list[str], list[str]]:
-        taken: list[str] = []
-        whole: list[str] = []
+        handled: list[str] = []
+        snapshots: list[str] = []
         tail = Tail(
             store,
             "keyed.t",
             0,
             1.0,
             0.0,
-            lambda record: taken.append(record.key),
-            lambda records: whole.extend(record.key for record in records),
+            lambda record: handled.append(record.key),
+            lambda records: snapshots.extend(record.key for record in records),
         )
         tail.start()
         self.assertTrue(store.finished.wait(10))
         tail.stop()
-        return taken, whole
+        return handled, snapshots
 
-    def test_news_are_taken_in_order(self) -> None:
+    def test_new_records_are_handled_in_order(self) -> None:
         """The newest records first, then what follows them."""
         self.assertEqual(self.follow(ScriptedStore("a", "b")), (["a", "b"], ["all"]))
 
@@ -64,13 +64,13 @@
         self.assertEqual(store.waits[:5], [1.0, 1.0, 0.0, 0.0, 1.0])
         self.assertEqual(taken, ["a", "b", "c"])
 
-    def test_forgotten_history_is_read_anew(self) -> None:
+    def test_expired_offset_causes_a_snapshot_read(self) -> None:
         """Where records are gone, the newest of each key are taken."""
         store = ScriptedStore("a", LogExpired("gone", 5), "b")
         taken, whole = self.follow(store)
         self.assertEqual((taken, whole), (["a", "b"], ["all", "all"]))
 
-    def test_a_record_that_cannot_be_taken_ends_nothing(self) -> None:
+    def test_failing_record_does_not_stop_the_tail(self) -> None:
         """An unforeseen failure in taking one record leaves the others."""
         store = ScriptedStore("bad", "good")
         taken: list[str] = []
--- a/tests/test_topics.py
+++ b/tests/test_topics.py
@@ -2,19 +2,19 @@
 
 import unittest
 
-from snowdock.entry.topics import job_part
+from snowdock.entry.topics import job_partition
 
 
-class TestJobPart(unittest.TestCase):
+class TestJobPartition(unittest.TestCase):
     def test_jobs_are_spread_evenly(self) -> None:
         """Every partition gets its share, and a job always the same one."""
         jobs = [f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}" for number in range(1200)]
         counts = [0] * 12
         for job in jobs:
-            self.assertEqual(job_part(job, 12), job_part(job, 12))
-            counts[job_part(job, 12)] += 1
+            self.assertEqual(job_partition(job, 12), job_partition(job, 12))
+            counts[job_partition(job, 12)] += 1
         self.assertGreater(min(counts), 60)
-        self.assertEqual({job_part(job, 1) for job in jobs}, {0})
+        self.assertEqual({job_partition(job, 1) for job in jobs}, {0})
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_link.py
+++ b/tests/test_worker_link.py
@@ -19,7 +19,7 @@
 START = StartOrder(TASK, 1, "payload", 7, 5000, "saved", "ticket")
 STOP = StopOrder(TASK, 1, 7)
 RENEW = RenewOrder(7, 3, 5000, 0, 0.0)
-HELD = {"clock_ms": 1, "running": [], "ended": []}
+EMPTY_REPORT = {"clock_ms": 1, "running": [], "ended": []}
 
 
 class TestWorkerLink(unittest.TestCase):
@@ -27,8 +27,8 @@
         self.answers: list = []
         self.calls: list[dict] = []
         self.greetings: list[dict] = []
-        self.greeted = as_json(HELD)
-        self.hang: Callable[[], object] = lambda: None
+        self.greeting_answer = as_json(EMPTY_REPORT)
+        self.delay_greeting: Callable[[], object] = lambda: None
         self.server = Server(self.answer)
         self.posted: queue.Queue = queue.Queue()
         self.loop = CallLoop("worker-calls")
@@ -54,20 +54,20 @@
         call = json.loads(body) | {"life": environ["HTTP_X_EXPECTED_INSTANCE"], "path": path}
         if call.get("last_seen") == 0:
             self.greetings.append(call)
-            self.hang()
-            return self.greeted
+            self.delay_greeting()
+            return self.greeting_answer
         self.calls.append(call)
         answer = self.answers.pop(0)
         return answer() if callable(answer) else answer
 
-    def next(self):
+    def next_event(self):
         return self.posted.get(timeout=10)
 
-    def test_start_carries_everything(self) -> None:
+    def test_start_sends_all_fields(self) -> None:
         """Token, lease, checkpoint, ticket and the life that is meant are sent."""
         self.answers = [as_json({"clock_ms": 12})]
         self.order(START)
-        event = self.next()
+        event = self.next_event()
         self.assertIsInstance(event, StartAnswered)
         self.assertEqual((event.result.refusal, event.result.clock_ms), (None, 12))
         call = self.calls[0]
@@ -94,33 +94,33 @@
         for answer, refusal in cases:
             self.answers = [answer]
             self.order(START)
-            self.assertEqual(self.next().result.refusal, refusal)
+            self.assertEqual(self.next_event().result.refusal, refusal)
 
     def test_unanswered_start_is_sent_again(self) -> None:
         """A start without a usable answer is repeated as it was, and then counts as started."""
         self.answers = [(500, b""), as_json({"clock_ms": 1})]
         self.order(START)
-        self.assertIsNone(self.next().result.refusal)
+        self.assertIsNone(self.next_event().result.refusal)
         self.assertEqual(self.calls[0], self.calls[1])
 
-    def test_refusal_of_a_repeated_start_is_no_evidence(self) -> None:
+    def test_refusal_of_a_repeated_start_is_inconclusive(self) -> None:
         """The first try may have been carried out, so the run's fate stays open."""
         self.answers = [(500, b""), as_json({"reason": "old"}, 409)]
         self.order(START)
-        self.assertIsNone(self.next().result)
+        self.assertIsNone(self.next_event().result)
 
-    def test_start_that_never_gets_an_answer(self) -> None:
+    def test_start_without_any_answer(self) -> None:
         """After some tries the start is told as unanswered."""
         self.answers = [(500, b"")] * 3
         self.order(START)
-        self.assertIsNone(self.next().result)
+        self.assertIsNone(self.next_event().result)
         self.assertEqual(len(self.calls), 3)
 
     def test_unreached_worker(self) -> None:
         """Without a connection nothing was sent."""
         self.link = self.make_link("i-2", "127.0.0.1:1")
         self.order(START)
-        self.assertEqual(self.next().result.refusal, Refusal.UNREACHED)
+        self.assertEqual(self.next_event().result.refusal, Refusal.UNREACHED)
 
     def test_unreached_worker_with_many_orders(self) -> None:
         """Each of them is told, however many wait."""
@@ -128,56 +128,56 @@
         for _ in range(1000):
             self.link.order(START)
         self.loop.flush()
-        results = [self.next().result.refusal for _ in range(1000)]
+        results = [self.next_event().result.refusal for _ in range(1000)]
         self.assertEqual(set(results), {Refusal.UNREACHED})
 
     def test_start_reaches_the_next_life(self) -> None:
         """Nothing meant for a life is sent to the next one under its id, nor is anything after."""
         self.link = self.make_link("i-1@100", self.server.address)
-        self.greeted = as_json(HELD | {"born": 200})
+        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 200})
         self.order(START)
-        self.assertEqual(self.next().result.refusal, Refusal.NEXT_LIFE)
+        self.assertEqual(self.next_event().result.refusal, Refusal.NEXT_LIFE)
         self.renew(RENEW)
-        self.assertIs(self.next().outcome, Refusal.NEXT_LIFE)
+        self.assertIs(self.next_event().outcome, Refusal.NEXT_LIFE)
         self.order(STOP)
-        self.assertEqual(self.next().refusal, Refusal.NEXT_LIFE)
+        self.assertEqual(self.next_event().refusal, Refusal.NEXT_LIFE)
         self.assertEqual(self.calls, [])
 
     def test_worker_restarts_between_two_starts(self) -> None:
         """A connection that breaks is greeted anew, before the next start goes over another one."""
         self.link = self.make_link("i-1@100", self.server.address)
-        self.greeted = as_json(HELD | {"born": 100})
+        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 100})
         self.answers = [as_json({"clock_ms": 1})]
         self.order(START)
-        self.assertIsNone(self.next().result.refusal)
-        self.greeted = as_json(HELD | {"born": 200})
+        self.assertIsNone(self.next_event().result.refusal)
+        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 200})
         self.loop.submit(self.link._orders.channel.drop_idle)
         self.order(START)
-        self.assertEqual(self.next().result.refusal, Refusal.NEXT_LIFE)
+        self.assertEqual(self.next_event().result.refusal, Refusal.NEXT_LIFE)
         self.assertEqual(len(self.calls), 1)
 
     def test_repeated_start_meets_the_next_life(self) -> None:
         """That it was sent before leaves no doubt: the life that may have it is over."""
         self.link = self.make_link("i-1@100", self.server.address)
-        self.greeted = as_json(HELD | {"born": 100})
+        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 100})
 
         def hang() -> tuple[int, bytes]:
-            self.greeted = as_json(HELD | {"born": 200})
+            self.greeting_answer = as_json(EMPTY_REPORT | {"born": 200})
             time.sleep(1.0)
             return 500, b""
 
         self.answers = [hang]
         self.order(START)
-        self.assertEqual(self.next().result.refusal, Refusal.NEXT_LIFE)
+        self.assertEqual(self.next_event().result.refusal, Refusal.NEXT_LIFE)
 
     def test_greeting(self) -> None:
         """It goes once over each connection, names the worker, and lets it forget nothing."""
         self.link = self.make_link("i-1@100", self.server.address)
-        self.greeted = as_json(HELD | {"born": 100})
+        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 100})
         self.answers = [as_json({"clock_ms": 1})] * 2
         for _ in range(2):
             self.order(START)
-            self.assertIsNone(self.next().result.refusal)
+            self.assertIsNone(self.next_event().result.refusal)
         (greeting,) = self.greetings
         self.assertEqual((greeting["life"], greeting["fencing_token"]), ("i-1", 7))
         self.assertNotIn("deadline_ms", greeting)
@@ -185,40 +185,40 @@
     def test_greeting_without_a_usable_answer(self) -> None:
         """The start was surely not sent."""
         for answer in ((200, b"{}"), (200, b"no"), (500, b"")):
-            self.greeted = answer
+            self.greeting_answer = answer
             self.order(START)
-            self.assertIs(self.next().result.refusal, Refusal.UNREACHED, answer)
-        self.greeted = as_json({"reason": "fence"}, 409)
+            self.assertIs(self.next_event().result.refusal, Refusal.UNREACHED, answer)
+        self.greeting_answer = as_json({"reason": "fence"}, 409)
         self.order(START)
-        self.assertIs(self.next().result.refusal, Refusal.FENCED)
+        self.assertIs(self.next_event().result.refusal, Refusal.FENCED)
         self.assertEqual(self.calls, [])
 
     def test_greeting_is_repeated(self) -> None:
         """A greeting without an answer is sent again over another connection, before the start."""
         waits = [1.0, 1.0]
-        self.hang = lambda: time.sleep(waits.pop() if waits else 0.0)
+        self.delay_greeting = lambda: time.sleep(waits.pop() if waits else 0.0)
         self.answers = [as_json({"clock_ms": 1})]
         self.order(START)
-        self.assertIsNone(self.next().result.refusal)
+        self.assertIsNone(self.next_event().result.refusal)
         self.assertEqual((len(self.greetings), len(self.calls)), (3, 1))
 
     def test_greeting_that_hangs(self) -> None:
         """A start that waits for its greeting is surely not sent, however the greeting ends."""
         released = threading.Event()
         self.addCleanup(released.set)
-        self.hang = lambda: released.wait(10)
+        self.delay_greeting = lambda: released.wait(10)
         self.order(START)
-        self.assertIs(self.next().result.refusal, Refusal.UNREACHED)
+        self.assertIs(self.next_event().result.refusal, Refusal.UNREACHED)
         self.assertEqual(self.calls, [])
 
-    def test_orders_keep_their_order(self) -> None:
+    def test_orders_are_sent_in_sequence(self) -> None:
         """A stop goes out after the start before it was answered, and renewals beside both."""
         self.answers = [as_json({"clock_ms": 1})] * 6
         for _ in range(3):
             self.link.order(START)
             self.link.order(STOP)
         self.loop.flush()
-        kinds = [type(self.next()) for _ in range(6)]
+        kinds = [type(self.next_event()) for _ in range(6)]
         self.assertEqual(kinds, [StartAnswered, StopAnswered] * 3)
         self.assertEqual([call["path"][-5:] for call in self.calls], ["start", "-stop"] * 3)
 
@@ -239,7 +239,7 @@
         self.link.close()
         self.link.order(START)
         self.loop.flush()
-        self.assertIsInstance(self.next(), StartAnswered)
+        self.assertIsInstance(self.next_event(), StartAnswered)
         self.assertTrue(self.posted.empty())
 
     def test_stop(self) -> None:
@@ -247,7 +247,7 @@
         self.answers = [as_json({"clock_ms": 1}), (500, b"")]
         for answered in (True, False):
             self.order(STOP)
-            event = self.next()
+            event = self.next_event()
             self.assertIsInstance(event, StopAnswered)
             self.assertEqual(event.answered, answered)
 
@@ -258,14 +258,14 @@
         good["ended"] = [[4, name, 1, "done", ""], [5, name, 2, "something new", "s"]]
         self.answers = [as_json(good), as_json({"clock_ms": 9, "running": [["x"]]})]
         self.renew(RENEW)
-        event = self.next()
+        event = self.next_event()
         self.assertIsInstance(event, RenewAnswered)
         self.assertIsInstance(event.outcome, WorkerReport)
         self.assertEqual(event.outcome.running[0].percent, 40)
         self.assertEqual([end.number for end in event.outcome.ended], [4, 5])
         self.assertEqual(self.calls[0]["last_seen"], 3)
         self.renew(RENEW)
-        self.assertIsNone(self.next().outcome)
+        self.assertIsNone(self.next_event().outcome)
 
 
 if __name__ == "__main__":
