--- a/bench/failures.py
+++ b/bench/failures.py
@@ -14,7 +14,7 @@
 from snowdock.emulator import Emulator, EmulatorOptions, WorkloadOptions, draw_workload
 from snowdock.emulator.report import make_report
 from snowdock.emulator.workload import DrawnJob, default_mixes
-from snowdock.jobs.events import Decided
+from snowdock.jobs.events import LogDecision
 from snowdock.jobs.model import JobStatus
 
 SECONDS = 20.0
@@ -66,14 +66,14 @@
         workload = WorkloadOptions(SECONDS, LOAD, tuple(mixes))
         self.jobs = draw_workload(seed, workload)
         self.emulator = Emulator(seed, EmulatorOptions(workload), self.jobs)
-        self.emulator.listen(Decided, self._note)
+        self.emulator.listen(LogDecision, self._note)
         lives = list(self.emulator.workers)
         self.spoiling = set(lives[: round(spoiling * len(lives))])
         self.aside: dict[str, float] = dict.fromkeys(lives, 0.0)
         self._good = {job.job for job in self.jobs if not job.is_hopeless}
         self.spoiled = 0
 
-    def _note(self, decided: Decided) -> None:
+    def _note(self, decided: LogDecision) -> None:
         fields = dict(decided.fields)
         if decided.decision == "run_ended" and fields["how"] == "failed":
             spoils = SPOILS_FROM <= self.emulator.timeline.now <= SPOILS_UNTIL + 1
--- a/src/snowdock/emulator/emulator.py
+++ b/src/snowdock/emulator/emulator.py
@@ -11,17 +11,17 @@
     AskAdvice,
     CloseWorker,
     ConfigurationChanged,
-    Decided,
     DropJobs,
     Event,
     ForgetAccepted,
     JobAccepted,
     JobCancelled,
+    LogDecision,
     OpenWorker,
     Persist,
     Persisted,
     PublishStatus,
-    SendRenew,
+    SendRenewal,
     SendStart,
     SendStop,
     StepDown,
@@ -128,11 +128,11 @@
             Persist: self._persist,
             SendStart: lambda leader, effect: calls.send_start(self._poster(leader), effect),
             SendStop: lambda leader, effect: calls.send_stop(self._poster(leader), effect),
-            SendRenew: lambda leader, effect: calls.send_renew(self._poster(leader), effect),
+            SendRenewal: lambda leader, effect: calls.send_renew(self._poster(leader), effect),
             AskAdvice: self._ask_advice,
             PublishStatus: self._publish,
             StepDown: lambda leader, _: self._retire(leader),
-            Decided: _ignore,
+            LogDecision: _ignore,
             OpenWorker: _ignore,
             CloseWorker: _ignore,
             DropJobs: _ignore,
@@ -196,7 +196,7 @@
         options = self._options
         settings = CellSettings(
             lease_s=options.lease_s,
-            takeover_lapse_s=takeover_lapse_seconds(options.lease_s),
+            unreached_run_expiry_s=takeover_lapse_seconds(options.lease_s),
             gang_wait_s=options.terms.gang_wait_s,
             early_s=0.25,
             stop_s=options.terms.stop_s,
@@ -305,7 +305,7 @@
         return self._jobs[order.task.job].spec.steps[order.task.step]
 
     def _ask_advice(self, leader: _Leader, effect: AskAdvice) -> None:
-        wanted = effect.wanted
+        wanted = effect.request
         tickets = {
             life: f"t-{life}"
             for life in wanted.workers
--- a/src/snowdock/emulator/worker_calls.py
+++ b/src/snowdock/emulator/worker_calls.py
@@ -6,7 +6,7 @@
 from ..jobs.events import (
     Event,
     RenewAnswered,
-    SendRenew,
+    SendRenewal,
     SendStart,
     SendStop,
     StartAnswered,
@@ -159,7 +159,7 @@
 
         self._timeline.after(seconds, arrive)
 
-    def send_renew(self, post: Post, effect: SendRenew) -> None:
+    def send_renew(self, post: Post, effect: SendRenewal) -> None:
         """Send a renewal; its answer, or the lack of one, is posted."""
         order = effect.order
         finished = False
--- a/src/snowdock/entry/advice_dispatcher.py
+++ b/src/snowdock/entry/advice_dispatcher.py
@@ -129,7 +129,7 @@
         """Have a question asked by some node."""
         pending = _PendingQuestion(question)
         with self._lock:
-            self._pending[question.wanted] = pending
+            self._pending[question.request] = pending
             (self._long_questions if pending.is_long else self._short_questions).append(pending)
         self._dispatch()
 
@@ -181,13 +181,13 @@
                         each
                     )
             for each in late:
-                log_event("advice_late", job=each.question.wanted.job, tries=each.open_attempts)
+                log_event("advice_late", job=each.question.request.job, tries=each.open_attempts)
             if late:
                 self._dispatch()
 
     def _ask(self, pending: _PendingQuestion, node: str) -> None:
         question = pending.question
-        request = question.wanted
+        request = question.request
         seconds = question.expected_ms / 1000 + _ANSWER_SLACK_SECONDS
         started_at = steady_seconds()
         try:
@@ -212,7 +212,7 @@
         self, pending: _PendingQuestion, node: str, tickets: dict[str, str] | None
     ) -> None:
         """Tell of a question's first answer, or that all who asked it had none."""
-        request = pending.question.wanted
+        request = pending.question.request
         with self._lock:
             del self._in_progress[node]
             is_first = self._pending.get(request) is pending
@@ -236,7 +236,7 @@
                 question_queue.remove(pending)
 
     def _ask_peer(self, node: str, question: AskAdvice, seconds: float) -> dict[str, str] | None:
-        request = question.wanted
+        request = question.request
 
         def build_request(number: int) -> AdviceRequest:
             return AdviceRequest(
--- a/src/snowdock/entry/leader.py
+++ b/src/snowdock/entry/leader.py
@@ -12,16 +12,16 @@
 from ..jobs.events import (
     AskAdvice,
     CloseWorker,
-    Decided,
     DropJobs,
     Effect,
     Event,
     ForgetAccepted,
+    LogDecision,
     OpenWorker,
     Persist,
     PublishStatus,
     RenewAnswered,
-    SendRenew,
+    SendRenewal,
     SendStart,
     SendStop,
     StartAnswered,
@@ -121,7 +121,7 @@
         now = steady_seconds()
         policy = make_policy(self._log_policy_failure, lambda: self._cell)
         self._cell = Cell(context.settings, context.epoch, policy, now)
-        self._cell.claimed_at = context.claimed_at
+        self._cell.leadership_claimed_at = context.claimed_at
         self._cell.configuration = context.configuration()
         statuses.add_unreadable(recorded.unreadable | recorded.unstartable)
         restored = restore(self._cell, recorded, now, _wall_ms())
@@ -129,7 +129,7 @@
             Persist: self._writer.write,
             SendStart: self._send_order,
             SendStop: self._send_order,
-            SendRenew: self._send_renew,
+            SendRenewal: self._send_renew,
             AskAdvice: self._advisers.ask,
             OpenWorker: self._open_worker,
             CloseWorker: self._close_worker,
@@ -137,7 +137,7 @@
             DropJobs: self._drop_jobs,
             ForgetAccepted: self._cleaner.clean,
             StepDown: lambda effect: self._step_down(effect.reason),
-            Decided: self._record_decision,
+            LogDecision: self._record_decision,
         }
         # Before anybody asks this node as the leader, it knows all jobs on record.
         self._apply_effects(restored)
@@ -204,7 +204,7 @@
             "policy_failed", program=alarm.program, function=alarm.function, problem=alarm.problem
         )
 
-    def _record_decision(self, effect: Decided) -> None:
+    def _record_decision(self, effect: LogDecision) -> None:
         fields = dict(effect.fields)
         log_event(effect.decision, subject=effect.subject, **fields)
         metrics = self._context.metrics
@@ -270,7 +270,7 @@
         else:
             self._post(StopAnswered(effect.life, order.task, order.run, False))
 
-    def _send_renew(self, effect: SendRenew) -> None:
+    def _send_renew(self, effect: SendRenewal) -> None:
         link = self._links.get(effect.life)
         if link is None:
             return
--- a/src/snowdock/entry/leader_settings.py
+++ b/src/snowdock/entry/leader_settings.py
@@ -21,7 +21,7 @@
     lease_s = min(LEASE_SECONDS, environment.lease_limit_s)
     return CellSettings(
         lease_s=lease_s,
-        takeover_lapse_s=takeover_lapse_seconds(lease_s),
+        unreached_run_expiry_s=takeover_lapse_seconds(lease_s),
         gang_wait_s=environment.gang_wait_s,
         early_s=environment.early_s,
         stop_s=environment.stop_s,
--- a/src/snowdock/jobs/seats.py
+++ b/src/snowdock/jobs/candidates.py
@@ -8,49 +8,49 @@
 from .cell import Cell
 from .failed_runs import is_being_proved, is_doubtful, is_on_trial
 from .forecast import expected_end
-from .parts import Step, Task
+from .job_state import Step, Task
 from .workers import Worker
 
 __all__ = [
-    "Care",
-    "Seats",
-    "care_of",
+    "Candidate",
+    "Caution",
+    "caution_for",
     "choose_workers",
-    "find_seats",
-    "fitting",
+    "count_fitting",
+    "find_candidates",
     "is_bulky",
-    "may_be_trusted",
-    "most_seats",
+    "is_trusted",
+    "max_additional_tasks",
 ]
 
-_UNBOUNDED = 1_000
+_UNBOUNDED_TASKS = 1_000
 """How many tasks fit that take no room at all."""
 
 
-_BULKY_PARTS = 3
+_BULKY_TASKS_PER_WORKER = 3
 """A task that takes more than a third of a worker is bulky: where a worker's room is shared by
 more than two, a piece as large seldom comes free by chance."""
 
 
-_CAREFUL_SECONDS = 1.0
+_LAST_ATTEMPT_CAUTION_SECONDS = 1.0
 """How long a last attempt waits for a worker without doubts."""
 
-_LONGEST_CHOOSY_SECONDS = 2.0
+_MAX_CAUTION_SECONDS = 2.0
 """A step that runs nothing waits so long at most for workers that are not set aside for failures:
 users allow three seconds beside free room, and a ticket and a record take up to one of them. A last
 attempt waits half a second longer."""
 
 
-class Care(enum.IntEnum):
+class Caution(enum.IntEnum):
     """How choosy a step is about workers where runs have failed."""
 
     NONE = 0
-    USUAL = 1
-    MOST = 2
+    NORMAL = 1
+    HIGH = 2
 
 
 @dataclasses.dataclass(slots=True)
-class Seats:
+class Candidate:
     """How many tasks of a step a worker can take now, and how good it is for them."""
 
     worker: Worker
@@ -58,9 +58,9 @@
     score: float
 
 
-def find_seats(
-    cell: Cell, step: Step, workers: Iterable[Worker], over_reservations: bool = False
-) -> Iterator[Seats]:
+def find_candidates(
+    cell: Cell, step: Step, workers: Iterable[Worker], ignore_reservations: bool = False
+) -> Iterator[Candidate]:
     """Give the seats for a step's tasks on some workers.
 
     Parameters
@@ -76,29 +76,29 @@
     """
     spec = step.spec
     room = spec.room
-    care = care_of(cell, step)
+    caution = caution_for(cell, step)
     for worker in workers:
-        free = _free_now(cell, step, worker, over_reservations)
+        free = _available_room(cell, step, worker, ignore_reservations)
         if not free.holds(room):
             continue
-        if not may_be_trusted(cell, worker, care):
+        if not is_trusted(cell, worker, caution):
             continue
-        count = min(fitting(free, room), most_seats(step, worker))
+        count = min(count_fitting(free, room), max_additional_tasks(step, worker))
         if count <= 0:
             continue
         if is_on_trial(worker, cell.now):
             count = 1
-        there = _count_there(step, worker) if spec.most_per_worker else 0
-        score = cell.policy.score(step, worker, there)
+        step_runs = _count_step_runs(step, worker) if spec.most_per_worker else 0
+        score = cell.policy.score(step, worker, step_runs)
         if score is not None:
-            yield Seats(worker, count, score)
+            yield Candidate(worker, count, score)
 
 
-def _free_now(cell: Cell, step: Step, worker: Worker, over_reservations: bool) -> Size:
+def _available_room(cell: Cell, step: Step, worker: Worker, ignore_reservations: bool) -> Size:
     """Give the room that a run of a step may take at a worker if it began now."""
     if not worker.claims:
         return worker.free
-    if over_reservations:
+    if ignore_reservations:
         return worker.unclaimed(step.key)
     return worker.free_for(step.key, step.rank, expected_end(step, worker, cell.now))
 
@@ -113,47 +113,47 @@
     capacity
         The room of a large worker of its service.
     """
-    return step.spec.gang or not capacity.holds(step.spec.room.times(_BULKY_PARTS))
+    return step.spec.gang or not capacity.holds(step.spec.room.times(_BULKY_TASKS_PER_WORKER))
 
 
-def care_of(cell: Cell, step: Step) -> Care:
+def caution_for(cell: Cell, step: Step) -> Caution:
     """Tell how choosy a step is about workers where runs have failed."""
     waited = cell.now - step.waiting_since
-    if waited < _CAREFUL_SECONDS:
-        return Care.MOST if _is_last_attempt(cell, step) else Care.USUAL
-    longest = _LONGEST_CHOOSY_SECONDS
+    if waited < _LAST_ATTEMPT_CAUTION_SECONDS:
+        return Caution.HIGH if _is_last_attempt(cell, step) else Caution.NORMAL
+    max_wait_s = _MAX_CAUTION_SECONDS
     if _is_last_attempt(cell, step):
-        longest += _CAREFUL_SECONDS / 2
-    is_stuck = waited >= longest and not any(task.is_placed for task in step.tasks)
-    return Care.NONE if is_stuck else Care.USUAL
+        max_wait_s += _LAST_ATTEMPT_CAUTION_SECONDS / 2
+    is_stuck = waited >= max_wait_s and not any(task.is_placed for task in step.tasks)
+    return Caution.NONE if is_stuck else Caution.NORMAL
 
 
-def may_be_trusted(cell: Cell, worker: Worker, care: Care) -> bool:
+def is_trusted(cell: Cell, worker: Worker, caution: Caution) -> bool:
     """Whether a worker where runs have failed takes another one."""
-    if care is Care.NONE:
+    if caution is Caution.NONE:
         return True
     if is_being_proved(worker, cell.now):
         return False
-    return care is Care.USUAL or not is_doubtful(worker)
+    return caution is Caution.NORMAL or not is_doubtful(worker)
 
 
 def _is_last_attempt(cell: Cell, step: Step) -> bool:
     """Whether one more failure would fail the job."""
-    most = cell.queue_of(step.job).max_attempts - 1
-    return any(task.failures >= most for task in step.tasks)
+    max_retries = cell.queue_of(step.job).max_attempts - 1
+    return any(task.failures >= max_retries for task in step.tasks)
 
 
-def most_seats(step: Step, worker: Worker) -> int:
+def max_additional_tasks(step: Step, worker: Worker) -> int:
     """Give the most tasks of a step that a worker may run besides those there."""
     spec = step.spec
     if spec.label and spec.label not in worker.entry.labels:
         return 0
     if not spec.most_per_worker:
-        return _UNBOUNDED
-    return max(0, spec.most_per_worker - _count_there(step, worker))
+        return _UNBOUNDED_TASKS
+    return max(0, spec.most_per_worker - _count_step_runs(step, worker))
 
 
-def fitting(free: Size, room: Size) -> int:
+def count_fitting(free: Size, room: Size) -> int:
     """Count the tasks that fit into an amount of room, which may be negative."""
     counts = [
         have // need
@@ -164,10 +164,10 @@
         )
         if need
     ]
-    return max(0, min(counts, default=_UNBOUNDED))
+    return max(0, min(counts, default=_UNBOUNDED_TASKS))
 
 
-def _count_there(step: Step, worker: Worker) -> int:
+def _count_step_runs(step: Step, worker: Worker) -> int:
     """Count the step's runs on a worker, those that are being stopped included."""
     job, repetition, number = step.key
     return sum(
@@ -177,33 +177,33 @@
     )
 
 
-def choose_workers(step: Step, tasks: list[Task], seats: list[Seats]) -> list[Worker]:
+def choose_workers(step: Step, tasks: list[Task], candidates: list[Candidate]) -> list[Worker]:
     """Give a worker for each task, as far as the seats go."""
     if step.spec.gang and step.spec.same_rack:
-        seats = _within_one_rack(seats, len(tasks))
-    seats.sort(key=lambda seat: -seat.score)
+        candidates = _select_rack(candidates, len(tasks))
+    candidates.sort(key=lambda candidate: -candidate.score)
     avoided = set()
     for task in tasks:
-        avoided |= task.avoid or set()
-    if avoided or any(seat.worker.aside_for for seat in seats):
+        avoided |= task.avoided_lives or set()
+    if avoided or any(seat.worker.aside_for for seat in candidates):
         # What failed on a worker goes elsewhere while there is an elsewhere, and so does what had
         # to take workers in that are set aside.
-        seats.sort(key=lambda seat: (seat.worker.life in avoided, bool(seat.worker.charged)))
+        candidates.sort(key=lambda seat: (seat.worker.life in avoided, bool(seat.worker.charged)))
     chosen: list[Worker] = []
-    for seat in seats:
-        taken = min(seat.count, len(tasks) - len(chosen))
-        chosen.extend([seat.worker] * taken)
+    for seat in candidates:
+        count = min(seat.count, len(tasks) - len(chosen))
+        chosen.extend([seat.worker] * count)
         if len(chosen) == len(tasks):
             break
     return chosen
 
 
-def _within_one_rack(seats: list[Seats], wanted: int) -> list[Seats]:
+def _select_rack(candidates: list[Candidate], wanted: int) -> list[Candidate]:
     """Give the seats of one rack that holds all, or else all seats."""
-    racks: dict[str, list[Seats]] = {}
-    for seat in seats:
+    racks: dict[str, list[Candidate]] = {}
+    for seat in candidates:
         racks.setdefault(seat.worker.entry.rack, []).append(seat)
-    fitting = [rack for rack in racks.values() if sum(seat.count for seat in rack) >= wanted]
-    if not fitting:
-        return seats
-    return min(fitting, key=lambda rack: sum(seat.count for seat in rack))
+    sufficient = [rack for rack in racks.values() if sum(seat.count for seat in rack) >= wanted]
+    if not sufficient:
+        return candidates
+    return min(sufficient, key=lambda rack: sum(seat.count for seat in rack))
--- a/src/snowdock/jobs/cell.py
+++ b/src/snowdock/jobs/cell.py
@@ -5,28 +5,28 @@
 from collections.abc import Callable
 
 from ..declarations import ZERO, Size
-from .events import Decided, Effect, PublishStatus
+from .events import Effect, LogDecision, PublishStatus
+from .job_state import Job, Step, Task
 from .model import Configuration, JobId, Queue, StepKey, TaskId
 from .orders import AdviceWanted
-from .parts import Job, Step, Task
-from .team_use import TeamUse
+from .team_usage import TeamUsage
 from .workers import Worker, WorkerEntry
 
 __all__ = [
     "Cell",
     "CellSettings",
     "Claim",
-    "Held",
-    "HeldRenewal",
-    "HeldStart",
+    "Deferred",
+    "DeferredRenewal",
+    "DeferredStart",
     "Orphan",
-    "Policy",
-    "QuotaKept",
-    "Stop",
+    "PendingStop",
+    "QuotaReservation",
+    "SchedulingPolicy",
 ]
 
 
-_SILENCES_KEPT = 64
+_MAX_SILENCES = 64
 """More workers than this are not looked at for having gone at the same moment."""
 
 
@@ -53,7 +53,7 @@
     """
 
     lease_s: float
-    takeover_lapse_s: float
+    unreached_run_expiry_s: float
     gang_wait_s: float
     early_s: float
     stop_s: float
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Policy:
+class SchedulingPolicy:
     """The decisions that operators program.
 
     Attributes
@@ -97,13 +97,13 @@
         Whether runs are stopped to make it; else it comes free by itself.
     """
 
-    until: float
+    expires_at: float
     lives: frozenset[str]
-    is_forced: bool
+    is_preemptive: bool
 
 
 @dataclasses.dataclass(slots=True)
-class Stop:
+class PendingStop:
     """A run that is to end; ``answered_at`` is None until the worker has answered."""
 
     sent_at: float
@@ -111,7 +111,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldStart:
+class DeferredStart:
     """A start that waits for its placement to be on record."""
 
     task: Task
@@ -119,24 +119,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldRenewal:
+class DeferredRenewal:
     """Ends of a worker that wait to be on record before the worker may forget them."""
 
     life: str
-    seen_ends: int
+    last_recorded_end: int
 
 
-Held = HeldStart | HeldRenewal | Effect
+Deferred = DeferredStart | DeferredRenewal | Effect
 """What waits for a batch of records."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class QuotaKept:
+class QuotaReservation:
     """What of a team's quota is kept for a gang; who ranks higher may use it."""
 
     step: StepKey
     rank: float
-    need: Size
+    size: Size
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -240,49 +240,51 @@
         All room of the workers, as of the last tick.
     """
 
-    def __init__(self, settings: CellSettings, token: int, policy: Policy, now: float) -> None:
+    def __init__(
+        self, settings: CellSettings, token: int, policy: SchedulingPolicy, now: float
+    ) -> None:
         self.settings = settings
         self.token = token
         self.policy = policy
-        self.claimed_at = now
+        self.leadership_claimed_at = now
         self.started_at = now
         self.now = now
         self._configuration = Configuration(0)
         self._queues: dict[str, Queue] = {}
         self.jobs: dict[JobId, Job] = {}
-        self.final_jobs: dict[JobId, float] = {}
-        self.cancelled_ahead: set[str] = set()
-        self.unreadable: set[JobId] = set()
+        self.job_ended_at: dict[JobId, float] = {}
+        self.early_cancellations: set[str] = set()
+        self.unreadable_jobs: set[JobId] = set()
         self.workers: dict[str, Worker] = {}
-        self.unnamed: dict[str, WorkerEntry] = {}
+        self.unknown_service_workers: dict[str, WorkerEntry] = {}
         self.newest_lives: dict[str, str] = {}
         self.ended_lives: set[str] = set()
         self.orphans: dict[str, list[Orphan]] = {}
-        self.team_use = TeamUse()
-        self.quota_kept: dict[str, QuotaKept] = {}
-        self.waiting: dict[StepKey, Step] = {}
-        self.scheduled: dict[JobId, Job] = {}
+        self.team_usage = TeamUsage()
+        self.quota_reservations: dict[str, QuotaReservation] = {}
+        self.waiting_steps: dict[StepKey, Step] = {}
+        self.scheduled_jobs: dict[JobId, Job] = {}
         self.crashed_at: dict[str, float] = {}
-        self.bad_share: dict[str, float] = {}
-        self.silences: collections.deque[float] = collections.deque(maxlen=_SILENCES_KEPT)
+        self.failing_step_share: dict[str, float] = {}
+        self.silence_times: collections.deque[float] = collections.deque(maxlen=_MAX_SILENCES)
         self.claims: dict[StepKey, Claim] = {}
         self.starting_gangs: dict[StepKey, Step] = {}
-        self.stops: dict[tuple[str, TaskId, int], Stop] = {}
-        self.dirty: dict[JobId, Job] = {}
-        self.held: list[Held] = []
-        self.batch = 0
-        self.batch_held: list[Held] | None = None
+        self.pending_stops: dict[tuple[str, TaskId, int], PendingStop] = {}
+        self.dirty_jobs: dict[JobId, Job] = {}
+        self.deferred: list[Deferred] = []
+        self.batch_number = 0
+        self.batch_deferred: list[Deferred] | None = None
         self.effects: list[Effect] = []
-        self.askers = 1
-        self.questions: dict[AdviceWanted, bool] = {}
-        self.placing_wanted = False
-        self.placed_at = 0.0
-        self.place_again_at = 0.0
-        self.ranked_at = 0.0
-        self.room_told_at = now
-        self.teams_told_at = now
-        self.starving_told_at = now
-        self.overdue_told_at = now
+        self.advice_node_count = 1
+        self.advice_requests: dict[AdviceWanted, bool] = {}
+        self.needs_placement = False
+        self.last_placement_at = 0.0
+        self.next_placement_at = 0.0
+        self.last_ranking_at = 0.0
+        self.room_logged_at = now
+        self.teams_logged_at = now
+        self.starving_logged_at = now
+        self.overdue_logged_at = now
         self.capacity = ZERO
 
     @property
@@ -299,11 +301,11 @@
         """Want something done now."""
         self.effects.append(effect)
 
-    def tell(self, decision: str, subject: str, **fields: object) -> None:
+    def log_decision(self, decision: str, subject: str, **fields: object) -> None:
         """Log a decision."""
-        self.effects.append(Decided(decision, subject, tuple(fields.items())))
+        self.effects.append(LogDecision(decision, subject, tuple(fields.items())))
 
-    def publish(self, job: Job) -> None:
+    def publish_status(self, job: Job) -> None:
         """Show a job's status to callers now."""
         self.effects.append(PublishStatus(job.id, job.queue, job.status, job.team))
 
@@ -319,9 +321,9 @@
 
     def queue_of(self, job: Job) -> Queue:
         """Give a job's queue; where it was removed, the terms at the time of taking in."""
-        found = self._queues.get(job.queue)
-        if found is not None:
-            return found
+        queue = self._queues.get(job.queue)
+        if queue is not None:
+            return queue
         accepted = job.accepted
         return Queue(
             name=job.queue,
@@ -332,16 +334,16 @@
             max_attempts=accepted.max_attempts,
         )
 
-    def names_service(self, service: str) -> bool:
+    def is_known_service(self, service: str) -> bool:
         """Whether the configuration, or a job that is known, names a service."""
-        found = self._configuration
+        configuration = self._configuration
         return (
-            any(each.name == service for each in found.services)
-            or any(queue.service == service for queue in found.queues)
+            any(each.name == service for each in configuration.services)
+            or any(queue.service == service for queue in configuration.queues)
             or any(job.accepted.service == service for job in self.jobs.values())
         )
 
     def objective_seconds(self, job: Job) -> float:
         """Give the time within which a job is to be done, as far as its estimates tell."""
         queue = self.queue_of(job)
-        return (queue.stretch * max(job.chains_ms) + queue.target_latency_ms) / 1000
+        return (queue.stretch * max(job.critical_paths_ms) + queue.target_latency_ms) / 1000
--- a/src/snowdock/jobs/charges.py
+++ b/src/snowdock/jobs/charges.py
@@ -5,7 +5,7 @@
 
 from .cell import Cell
 from .durability import mark
-from .parts import Task
+from .job_state import Task
 from .workers import Worker
 
 __all__ = [
@@ -41,10 +41,12 @@
     job = task.step.job
     mark(cell, job)
     crashes, losses = len(task.crashed_runs), len(task.lost_runs)
-    cell.tell("task_charged", job.id, task=task.id, worker=life, crashes=crashes, losses=losses)
+    cell.log_decision(
+        "task_charged", job.id, task=task.id, worker=life, crashes=crashes, losses=losses
+    )
     if job.status.is_final or (crashes < MOST_CRASHES and losses < MOST_LOSSES):
         return False
-    cell.tell("task_given_up", job.id, task=task.id, crashes=crashes, losses=losses)
+    cell.log_decision("task_given_up", job.id, task=task.id, crashes=crashes, losses=losses)
     return True
 
 
@@ -53,7 +55,7 @@
     task.lost_runs -= {run}
     job = task.step.job
     mark(cell, job)
-    cell.tell("charge_taken_back", job.id, task=task.id, run=run, worker=life)
+    cell.log_decision("charge_taken_back", job.id, task=task.id, run=run, worker=life)
 
 
 def charge_end(cell: Cell, worker: Worker, task: Task, run: int) -> bool:
@@ -73,4 +75,4 @@
     # By the worker's own word: a leader that was away for seconds does not know when its worker
     # went, nor a new one when a run began that it took over. Taken for old, such a run was charged
     # to nobody.
-    return not task.is_told or worker.heard_at - task.ordered_at <= _AT_ONCE_SECONDS
+    return not task.is_confirmed or worker.heard_at - task.ordered_at <= _AT_ONCE_SECONDS
--- a/src/snowdock/jobs/durability.py
+++ b/src/snowdock/jobs/durability.py
@@ -1,9 +1,9 @@
 """What must be on record before it takes effect, and the renewal of workers' leases."""
 
 from .cell import Cell
-from .events import SendRenew
+from .events import SendRenewal
+from .job_state import Job
 from .orders import RenewOrder
-from .parts import Job
 from .workers import Worker
 
 __all__ = ["RENEW_WAIT_MS", "mark", "renew"]
@@ -18,7 +18,7 @@
 
 def mark(cell: Cell, job: Job) -> None:
     """Have a job's progress put on record with the next batch."""
-    cell.dirty[job.id] = job
+    cell.dirty_jobs[job.id] = job
 
 
 def renew(cell: Cell, worker: Worker, now: float, wait_ms: int) -> None:
@@ -35,4 +35,6 @@
         wait_ms = 0
     worker.renewing = True
     worker.next_renew_at = now + _STORE_RENEWAL_SECONDS
-    cell.emit(SendRenew(worker.life, RenewOrder(cell.token, worker.seen_ends, until, wait_ms, now)))
+    cell.emit(
+        SendRenewal(worker.life, RenewOrder(cell.token, worker.seen_ends, until, wait_ms, now))
+    )
--- a/src/snowdock/jobs/events.py
+++ b/src/snowdock/jobs/events.py
@@ -22,20 +22,20 @@
     "AskAdvice",
     "CloseWorker",
     "ConfigurationChanged",
-    "Decided",
     "DropJobs",
     "Effect",
     "Event",
     "ForgetAccepted",
     "JobAccepted",
     "JobCancelled",
+    "LogDecision",
     "OpenWorker",
     "Persist",
     "Persisted",
     "ProgressRecord",
     "PublishStatus",
     "RenewAnswered",
-    "SendRenew",
+    "SendRenewal",
     "SendStart",
     "SendStop",
     "StartAnswered",
@@ -124,14 +124,14 @@
 class AdviceAnswered:
     """The advice service answered."""
 
-    given: AdviceGiven
+    result: AdviceGiven
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceFailed:
     """The advice service did not answer, or no node could ask it."""
 
-    wanted: AdviceWanted
+    request: AdviceWanted
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -153,7 +153,7 @@
         When this was sent, in steady seconds: all events sent before have been taken before it.
     """
 
-    askers: int = 1
+    advice_node_count: int = 1
     sent_at: float = 0.0
 
 
@@ -209,7 +209,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendRenew:
+class SendRenewal:
     """Renew a worker's lease and look at it."""
 
     life: str
@@ -220,7 +220,7 @@
 class AskAdvice:
     """Ask the advice service; ``expected_ms`` is how long its answer takes."""
 
-    wanted: AdviceWanted
+    request: AdviceWanted
     expected_ms: float
 
 
@@ -274,7 +274,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Decided:
+class LogDecision:
     """A line for the log: what was decided about a job, task or worker, and from what."""
 
     decision: str
@@ -286,7 +286,7 @@
     Persist
     | SendStart
     | SendStop
-    | SendRenew
+    | SendRenewal
     | AskAdvice
     | OpenWorker
     | CloseWorker
@@ -294,5 +294,5 @@
     | DropJobs
     | ForgetAccepted
     | StepDown
-    | Decided
+    | LogDecision
 )
--- a/src/snowdock/jobs/failed_runs.py
+++ b/src/snowdock/jobs/failed_runs.py
@@ -14,7 +14,7 @@
 import math
 
 from .cell import Cell
-from .parts import Step
+from .job_state import Step
 from .set_aside import count_aside, set_aside, take_back
 from .workers import AsideCause, Charge, Worker
 
@@ -115,9 +115,9 @@
 
 def _judge_step(cell: Cell, worker: Worker, step: Step) -> None:
     """Count a step as bad, once, when it has failed on enough workers."""
-    if step.is_bad or step.done_on or len(_failed_elsewhere(cell, step)) < _BAD_FROM:
+    if step.fails_everywhere or step.done_on or len(_failed_elsewhere(cell, step)) < _BAD_FROM:
         return
-    step.is_bad = True
+    step.fails_everywhere = True
     _note_share(cell, worker, is_bad=True)
 
 
@@ -214,11 +214,11 @@
     """Learn from a step how usual bad ones are."""
     share = _bad_share(cell, worker)
     share += _SHARE_GAIN * (is_bad - share)
-    cell.bad_share[worker.entry.service] = max(_USUAL_BAD, share)
+    cell.failing_step_share[worker.entry.service] = max(_USUAL_BAD, share)
 
 
 def _bad_share(cell: Cell, worker: Worker) -> float:
-    return cell.bad_share.get(worker.entry.service, _USUAL_BAD)
+    return cell.failing_step_share.get(worker.entry.service, _USUAL_BAD)
 
 
 def _is_enough_aside(cell: Cell, worker: Worker, now: float) -> bool:
--- a/src/snowdock/jobs/forecast.py
+++ b/src/snowdock/jobs/forecast.py
@@ -4,7 +4,7 @@
 
 from ..declarations import Size
 from .cell import Cell
-from .parts import Phase, Step, Task
+from .job_state import Phase, Step, Task
 from .speeds import usual_seconds
 from .workers import Worker
 
@@ -28,13 +28,13 @@
 
 def _planned_seconds_left(cell: Cell, worker: Worker, task: Task, now: float) -> float:
     if task.phase is Phase.STOPPING:
-        return task.since + cell.settings.stop_s - now
+        return task.phase_since + cell.settings.stop_s - now
     if task.step.spec.long_running:
         return math.inf
     whole = usual_seconds(task.step) * worker.slowness
-    if task.phase is Phase.RUNNING and task.seen_at:
-        return whole * (1 - task.seen_percent / 100) - (now - task.seen_at)
-    return whole * (1 - task.percent / 100) - (now - task.since)
+    if task.phase is Phase.RUNNING and task.measured_at:
+        return whole * (1 - task.measured_percent / 100) - (now - task.measured_at)
+    return whole * (1 - task.percent / 100) - (now - task.phase_since)
 
 
 def room_to_come(cell: Cell, worker: Worker, now: float) -> list[tuple[float, Size]]:
--- a/src/snowdock/jobs/parts.py
+++ b/src/snowdock/jobs/job_state.py
@@ -48,11 +48,11 @@
     terms: AdviceTerms
     tickets: dict[str, tuple[str, float]] = dataclasses.field(default_factory=dict)
     unfit: set[str] = dataclasses.field(default_factory=set)
-    asking: int = 0
+    pending_requests: int = 0
     retry_at: float = 0.0
-    no_room_until: float = 0.0
+    next_search_at: float = 0.0
 
-    def knows(self, life: str) -> bool:
+    def is_known(self, life: str) -> bool:
         """Whether it is known if a worker may run the step."""
         return life in self.tickets or life in self.unfit
 
@@ -100,19 +100,19 @@
     phase: Phase = Phase.WAITING
     run: int = 0
     life: str = ""
-    is_told: bool = False
+    is_confirmed: bool = False
     failed_runs: set[int] = dataclasses.field(default_factory=set)
     lost_runs: frozenset[int] = frozenset()
     crashed_runs: frozenset[int] = frozenset()
     checkpoint: str = ""
-    since: float = 0.0
+    phase_since: float = 0.0
     ordered_at: float = 0.0
     percent: float = 0.0
-    seen_percent: float = 0.0
-    seen_at: float = 0.0
+    measured_percent: float = 0.0
+    measured_at: float = 0.0
     moves: int = 0
-    yields: int = 0
-    avoid: set[str] | None = None
+    preemptions: int = 0
+    avoided_lives: set[str] | None = None
 
     @property
     def failures(self) -> int:
@@ -176,25 +176,25 @@
     number: int
     spec: StepSpec
     tasks: list[Task] = dataclasses.field(default_factory=list)
-    done: int = 0
+    done_count: int = 0
     advice: Advice | None = None
     rank: float = 0.0
     ranked_at: float = 0.0
     queued_at: float = 0.0
     not_before: float = 0.0
-    look_again_at: float = 0.0
-    claim_again_at: float = 0.0
-    looked_at: float = 0.0
-    usual_log: float | None = None
-    kept_since: float | None = None
+    next_search_at: float = 0.0
+    next_claim_at: float = 0.0
+    last_search_at: float = 0.0
+    log_run_seconds: float | None = None
+    blocked_since: float | None = None
     failed_on: set[str] = dataclasses.field(default_factory=set)
     done_on: set[str] = dataclasses.field(default_factory=set)
-    is_bad: bool = False
+    fails_everywhere: bool = False
     is_bulky: bool = False
-    has_quota_since: float | None = None
+    quota_available_since: float | None = None
     is_at_quota: bool = False
-    has_news: bool = False
-    shown: Mapping[str, object] | None = None
+    has_new_advice: bool = False
+    policy_view: Mapping[str, object] | None = None
 
     @property
     def key(self) -> StepKey:
@@ -204,16 +204,16 @@
     @property
     def waiting_since(self) -> float:
         """Since when all its waiting tasks have waited, in steady seconds."""
-        waiting = (task.since for task in self.tasks if task.phase is Phase.WAITING)
-        return max(self.queued_at, max(waiting, default=0.0))
+        waiting_times = (task.phase_since for task in self.tasks if task.phase is Phase.WAITING)
+        return max(self.queued_at, max(waiting_times, default=0.0))
 
     @property
     def is_done(self) -> bool:
         """Whether all its tasks have ended well."""
-        return self.done == len(self.tasks)
+        return self.done_count == len(self.tasks)
 
 
-def _chains_ms(specs: tuple[StepSpec, ...]) -> tuple[float, ...]:
+def _compute_critical_paths_ms(specs: tuple[StepSpec, ...]) -> tuple[float, ...]:
     longest = [float(spec.estimate_ms) for spec in specs]
     for number in reversed(range(len(specs))):
         for earlier in specs[number].after:
@@ -238,10 +238,10 @@
     submitted_at: float
     status: JobStatus = JobStatus.PENDING
     repetitions: list[list[Step]] = dataclasses.field(default_factory=list)
-    chains_ms: tuple[float, ...] = ()
+    critical_paths_ms: tuple[float, ...] = ()
 
     def __post_init__(self) -> None:
-        self.chains_ms = _chains_ms(self.accepted.spec.steps)
+        self.critical_paths_ms = _compute_critical_paths_ms(self.accepted.spec.steps)
 
     @property
     def queue(self) -> str:
--- a/src/snowdock/jobs/lost_runs.py
+++ b/src/snowdock/jobs/lost_runs.py
@@ -17,8 +17,8 @@
 from .cell import Cell, Orphan
 from .charges import charge, may_have_ended_at_once, take_back_charge
 from .durability import mark
+from .job_state import Phase, Task
 from .occupancy import vacate
-from .parts import Phase, Task
 from .runs import fail_job, void_run
 from .workers import Worker
 
@@ -67,10 +67,12 @@
     end = _WorkerEnd(reason, has_crashed and not _is_common(cell, worker))
     if worker.runs:
         count = len(worker.runs)
-        cell.tell("runs_lost", worker.life, count=count, reason=reason, is_crash=end.is_crash)
+        cell.log_decision(
+            "runs_lost", worker.life, count=count, reason=reason, is_crash=end.is_crash
+        )
     for task_id, run in list(worker.runs):
         vacate(cell, worker.life, task_id, run)
-        cell.stops.pop((worker.life, task_id, run), None)
+        cell.pending_stops.pop((worker.life, task_id, run), None)
         task = cell.find_task(task_id)
         if task is None or not task.is_current_run(run, worker.life):
             continue
@@ -106,7 +108,7 @@
 
 def lose_orphan(cell: Cell, task: Task, life: str, now: float) -> None:
     """Take a run of an earlier leader as over, whose worker never became known here."""
-    cell.tell("orphan_lost", task.id.job, task=task.id, worker=life)
+    cell.log_decision("orphan_lost", task.id.job, task=task.id, worker=life)
     charge_orphan(cell, task, life, now)
     void_run(cell, task, now)
 
@@ -121,10 +123,10 @@
     """Charge a task that lasts with nothing any more, once a run of it has worked for long."""
     if not task.lost_runs or not task.step.spec.long_running:
         return
-    if task.phase is Phase.RUNNING and now - task.since >= _PROVEN_SECONDS:
+    if task.phase is Phase.RUNNING and now - task.phase_since >= _PROVEN_SECONDS:
         task.lost_runs = task.crashed_runs = frozenset()
         mark(cell, task.step.job)
-        cell.tell("task_absolved", task.id.job, task=task.id, run=task.run)
+        cell.log_decision("task_absolved", task.id.job, task=task.id, run=task.run)
 
 
 def _lose_run(
@@ -135,20 +137,20 @@
     _tell(cell, worker, task, end, is_charged)
     if may_start_late:
         task.phase = Phase.UNSURE
-        task.since = now
+        task.phase_since = now
         orphan = Orphan(task, run, worker.life, now)
         cell.orphans.setdefault(worker.entry.worker, []).append(orphan)
     else:
         void_run(cell, task, now)
     if not is_charged:
         return
-    worker.lost[task.id, run] = task.is_told
-    _charge(cell, task, run, worker.life, now, end.is_crash and task.is_told)
+    worker.lost[task.id, run] = task.is_confirmed
+    _charge(cell, task, run, worker.life, now, end.is_crash and task.is_confirmed)
 
 
 def _may_start_late(task: Task) -> bool:
     """Whether a task's start was sent, and it is not known that it was carried out."""
-    return not task.is_told and task.phase in (Phase.ORDERED, Phase.UNSURE, Phase.STOPPING)
+    return not task.is_confirmed and task.phase in (Phase.ORDERED, Phase.UNSURE, Phase.STOPPING)
 
 
 def _charge(cell: Cell, task: Task, run: int, life: str, now: float, is_crash: bool) -> None:
@@ -170,7 +172,7 @@
     Such a worker takes nothing new once that is known, and ends seconds later: charged to nobody, a
     task that ends its workers got a start beyond its bound for each worker that drained.
     """
-    if task.is_told and task.step.spec.long_running:
+    if task.is_confirmed and task.step.spec.long_running:
         return False
     return may_have_ended_at_once(worker, task)
 
@@ -180,7 +182,7 @@
     silent_after_s = None
     if worker.silent_since is not None:
         silent_after_s = worker.silent_since - task.ordered_at
-    cell.tell(
+    cell.log_decision(
         "run_lost",
         task.id.job,
         task=task.id,
@@ -189,7 +191,7 @@
         phase=task.phase.value,
         silent_after_s=silent_after_s,
         is_charged=is_charged,
-        is_told=task.is_told,
+        is_told=task.is_confirmed,
         is_leaving=worker.entry.draining,
         reason=end.reason,
     )
@@ -200,5 +202,5 @@
     since = worker.silent_since
     if since is None:
         return False
-    near = sum(abs(other - since) <= _SAME_MOMENT_SECONDS for other in cell.silences)
+    near = sum(abs(other - since) <= _SAME_MOMENT_SECONDS for other in cell.silence_times)
     return near > MOST_AT_ONCE
--- a/src/snowdock/jobs/model.py
+++ b/src/snowdock/jobs/model.py
@@ -120,7 +120,7 @@
     may_miss: int = 0
 
     @property
-    def may_yield(self) -> bool:
+    def is_preemptible(self) -> bool:
         """Whether a run may be stopped and go on elsewhere without losing much."""
         return self.checkpointing and not (self.gang or self.long_running)
 
@@ -250,6 +250,6 @@
                 best = queue
         return best
 
-    def queue_named(self, name: str) -> Queue | None:
+    def find_queue_by_name(self, name: str) -> Queue | None:
         """Give a queue by its name."""
         return next((queue for queue in self.queues if queue.name == name), None)
--- a/src/snowdock/jobs/occupancy.py
+++ b/src/snowdock/jobs/occupancy.py
@@ -1,8 +1,8 @@
 """The room that runs take: of their worker, and of their team's quota, always of both."""
 
 from .cell import Cell
+from .job_state import Step
 from .model import TaskId
-from .parts import Step
 from .workers import Worker
 
 __all__ = ["occupy", "vacate"]
@@ -10,8 +10,8 @@
 
 def occupy(cell: Cell, worker: Worker, task: TaskId, run: int, step: Step) -> None:
     """Count a run of a step as one that is, or may be, at a worker."""
-    worker.take(task, run, step.spec.room, step.spec.may_yield)
-    cell.team_use.hold(worker.life, task, run, step.job.team, step.spec.size)
+    worker.take(task, run, step.spec.room, step.spec.is_preemptible)
+    cell.team_usage.add_run(worker.life, task, run, step.job.team, step.spec.size)
 
 
 def vacate(cell: Cell, life: str, task: TaskId, run: int) -> None:
@@ -19,4 +19,4 @@
     worker = cell.workers.get(life)
     if worker is not None:
         worker.release(task, run)
-    cell.team_use.drop(life, task, run)
+    cell.team_usage.remove_run(life, task, run)
--- a/src/snowdock/jobs/order_answers.py
+++ b/src/snowdock/jobs/order_answers.py
@@ -3,9 +3,9 @@
 from .cell import Cell
 from .durability import RENEW_WAIT_MS, renew
 from .events import StartAnswered, StopAnswered
+from .job_state import Phase, Task
 from .orders import Refusal
-from .parts import Phase, Task
-from .runs import note_begun, refuse_run, stop_run, void_run
+from .runs import mark_job_running, record_malformed_run, stop_run, void_run
 from .set_aside import set_aside
 from .worker_lives import take_life_refusal
 from .workers import AsideCause, Worker
@@ -35,22 +35,24 @@
     if result is None:
         _doubt_start(cell, worker, task, now)
     elif result.refusal is None:
-        task.is_told = True
+        task.is_confirmed = True
         if task.phase is Phase.ORDERED:
             task.phase = Phase.RUNNING
-            task.since = now
-            note_begun(cell, task.step.job)
+            task.phase_since = now
+            mark_job_running(cell, task.step.job)
     elif task.phase in (Phase.ORDERED, Phase.STOPPING):
         _take_refusal(cell, worker, task, result.refusal, now)
 
 
 def _doubt_start(cell: Cell, worker: Worker, task: Task, now: float) -> None:
-    cell.tell("start_unanswered", task.id.job, task=task.id, run=task.run, worker=worker.life)
+    cell.log_decision(
+        "start_unanswered", task.id.job, task=task.id, run=task.run, worker=worker.life
+    )
     set_aside(cell, worker, AsideCause.UNANSWERED, _UNWELL_SECONDS, now)
     if task.phase is not Phase.ORDERED:
         return
     task.phase = Phase.UNSURE
-    task.since = now
+    task.phase_since = now
     if task.step.spec.gang:
         # The others wait for it, and only for so long.
         stop_run(cell, task, now)
@@ -59,7 +61,7 @@
 
 
 def _take_refusal(cell: Cell, worker: Worker, task: Task, refusal: Refusal, now: float) -> None:
-    cell.tell(
+    cell.log_decision(
         "start_refused",
         task.id.job,
         task=task.id,
@@ -76,7 +78,7 @@
     void_run(cell, task, now)
     if refusal is Refusal.MALFORMED:
         # Other workers will say the same: without a bound the job never ends for its caller.
-        refuse_run(cell, task, run, worker.life, now)
+        record_malformed_run(cell, task, run, worker.life, now)
 
 
 def take_stop_answer(cell: Cell, event: StopAnswered, now: float) -> None:
@@ -86,7 +88,7 @@
         return
     if take_life_refusal(cell, worker, event.refusal, now):
         return
-    stop = cell.stops.get((event.life, event.task, event.run))
+    stop = cell.pending_stops.get((event.life, event.task, event.run))
     if stop is None or not event.answered:
         return
     if stop.answered_at is None:
--- a/src/snowdock/jobs/overdue.py
+++ b/src/snowdock/jobs/overdue.py
@@ -5,7 +5,7 @@
 """
 
 from .cell import Cell
-from .parts import Phase, Task
+from .job_state import Phase, Task
 from .speeds import usual_seconds
 from .workers import Worker
 
@@ -24,25 +24,25 @@
 
 def tell_overdue(cell: Cell, now: float) -> None:
     """Tell of runs that stay in one phase for too long, if it is time."""
-    if now - cell.overdue_told_at < _TELL_SECONDS:
+    if now - cell.overdue_logged_at < _TELL_SECONDS:
         return
-    cell.overdue_told_at = now
+    cell.overdue_logged_at = now
     found: list[tuple[Task, Worker]] = []
     for worker in cell.workers.values():
         for task_id, run in worker.runs:
             task = cell.find_task(task_id)
             if task is not None and task.run == run and _is_overdue(task, worker, now):
                 found.append((task, worker))
-    found.sort(key=lambda pair: pair[0].since)
+    found.sort(key=lambda pair: pair[0].phase_since)
     for task, worker in found[:_MOST_TOLD]:
-        cell.tell(
+        cell.log_decision(
             "run_overdue",
             task.id.job,
             task=task.id,
             run=task.run,
             worker=worker.life,
             phase=task.phase.value,
-            since_s=now - task.since,
+            since_s=now - task.phase_since,
             usual_s=usual_seconds(task.step),
             percent=task.percent,
             heard_s=now - worker.heard_at,
@@ -55,4 +55,4 @@
     if task.step.spec.long_running and task.phase is Phase.RUNNING:
         return False
     usual = usual_seconds(task.step) * max(1.0, worker.slowness)
-    return now - task.since > _FACTOR * usual + _SLACK_SECONDS
+    return now - task.phase_since > _FACTOR * usual + _SLACK_SECONDS
--- a/src/snowdock/jobs/advising.py
+++ b/src/snowdock/jobs/placement_advice.py
@@ -4,31 +4,37 @@
 from collections.abc import Iterable
 
 from ..declarations import Size
+from .candidates import count_fitting
 from .cell import Cell
 from .events import AdviceAnswered, AdviceFailed, AskAdvice
+from .job_state import Advice, Step
 from .orders import AdviceWanted
-from .parts import Advice, Step
-from .reserving import find_reservation, keep_room
-from .seats import fitting
+from .reservations import find_reservation, hold_room
 from .times import LONG_QUESTION_MS
 from .workers import Worker
 
-__all__ = ["may_ask", "needs_advice", "take_advice", "take_advice_failure", "want_advice"]
+__all__ = [
+    "apply_advice",
+    "handle_advice_failure",
+    "may_request_advice",
+    "needs_advice",
+    "request_advice",
+]
 
-_MOST_ASKED = 100
+_MAX_WORKERS_PER_REQUEST = 100
 """The most workers of one question; the service takes no more."""
 
-_SEATS_FOR_ONE_FIT = 5
+_UNKNOWN_SLOTS_PER_TASK = 5
 """Seats that are asked about for each one wanted, of workers not known yet: as few as three in
 ten are fit, and some rooms are taken meanwhile."""
 
-_SPARE_SEATS = 2
+_KNOWN_SLOTS_PER_TASK = 2
 """Seats that are asked about for each one wanted, of workers known to be fit."""
 
-_CHEAP_SHARE = 0.5
+_CHEAP_TIME_SHARE = 0.5
 """As many workers are asked about at least as add so much to the time of a question."""
 
-_LATE_FACTOR = 1.5
+_MAX_ANSWER_TIME_FACTOR = 1.5
 """An answer may take so many times as long as told: some wait for one before them."""
 
 _TICKET_MARGIN_SECONDS = 0.15
@@ -38,22 +44,22 @@
 _ANSWER_SLACK_SECONDS = 0.1
 """How much longer than an answer takes room is kept for it: the way there and back, and a pass."""
 
-_QUESTIONS_A_NODE = 2
+_SHORT_REQUESTS_PER_NODE = 2
 """Short questions on their way for each node that can ask: one that is being answered and one
 that waits. More would be answered in the order asked, whatever became more urgent meanwhile."""
 
-_LONG_QUESTIONS_A_NODE = 0.75
+_LONG_REQUESTS_PER_NODE = 0.75
 """Long questions on their way for each node that can ask: a few more than may be answered at the
 same time, counted apart so that they never keep short ones from being asked."""
 
-_QUESTIONS_AT_ONCE = 4
+_BULKY_PARALLEL_REQUESTS = 4
 """Questions about a bulky step that go out together, to as many nodes: asked one after the other,
 the first tickets expire before the last workers are known."""
 
 _RETRY_SECONDS = 0.2
 """Pause after a question without an answer."""
 
-_NO_ROOM_SECONDS = 0.1
+_NO_CANDIDATE_RETRY_SECONDS = 0.1
 """Pause after a look at all workers that found none worth a question."""
 
 
@@ -68,7 +74,7 @@
     return True
 
 
-def may_ask(cell: Cell, step: Step, fit: Iterable[Worker], now: float) -> bool:
+def may_request_advice(cell: Cell, step: Step, fit: Iterable[Worker], now: float) -> bool:
     """Whether a question about a step could go out now.
 
     Parameters
@@ -85,18 +91,18 @@
     advice = step.advice
     if now < advice.retry_at:
         return False
-    if now < advice.no_room_until and not _sees_room(step, fit):
+    if now < advice.next_search_at and not _has_obtainable_room(step, fit):
         return False
     is_long = _may_be_long(advice)
-    most = _LONG_QUESTIONS_A_NODE if is_long else _QUESTIONS_A_NODE
-    asked = sum(each is is_long for each in cell.questions.values())
-    return asked < max(1, most * cell.askers)
+    requests_per_node = _LONG_REQUESTS_PER_NODE if is_long else _SHORT_REQUESTS_PER_NODE
+    pending = sum(each is is_long for each in cell.advice_requests.values())
+    return pending < max(1, requests_per_node * cell.advice_node_count)
 
 
-def want_advice(
+def request_advice(
     cell: Cell,
     step: Step,
-    roomiest: list[Worker],
+    by_free_cpu: list[Worker],
     fit: list[Worker],
     wanted: int,
     now: float,
@@ -124,42 +130,42 @@
         How many workers were looked at.
     """
     advice = step.advice
-    chosen, looks = _choose_asked(cell, step, roomiest, fit, wanted, now)
+    chosen, examined = _choose_workers_to_ask(cell, step, by_free_cpu, fit, wanted, now)
     if not chosen:
-        advice.no_room_until = now + _NO_ROOM_SECONDS
-        return looks
-    parts = _divide(step, chosen)
-    advice.asking += len(parts)
-    expected_s = _question_seconds(advice, len(parts[0]))
+        advice.next_search_at = now + _NO_CANDIDATE_RETRY_SECONDS
+        return examined
+    parts = _split_into_requests(step, chosen)
+    advice.pending_requests += len(parts)
+    expected_s = _estimate_answer_seconds(advice, len(parts[0]))
     if not step.is_bulky:
         # Else whoever has a ticket goes first, not who ranks first: large steps have theirs renewed
         # in time, and a small one that ranked higher was passed by four of them in 20 s.
         known = [worker for worker in chosen if worker.life in advice.tickets]
-        kept_s = _LATE_FACTOR * expected_s + _ANSWER_SLACK_SECONDS
-        keep_room(cell, step, known, wanted, now, kept_s)
+        hold_s = _MAX_ANSWER_TIME_FACTOR * expected_s + _ANSWER_SLACK_SECONDS
+        hold_room(cell, step, known, wanted, now, hold_s)
     for part in parts:
-        wanted_advice = AdviceWanted(*step.key, tuple(worker.life for worker in part))
-        cell.questions[wanted_advice] = _may_be_long(advice)
-        cell.emit(AskAdvice(wanted_advice, expected_s * 1000))
-    return looks
+        request = AdviceWanted(*step.key, tuple(worker.life for worker in part))
+        cell.advice_requests[request] = _may_be_long(advice)
+        cell.emit(AskAdvice(request, expected_s * 1000))
+    return examined
 
 
-def _divide(step: Step, chosen: list[Worker]) -> list[list[Worker]]:
+def _split_into_requests(step: Step, chosen: list[Worker]) -> list[list[Worker]]:
     """Give the workers of each of the questions that go out at the same time."""
-    most = min(_MOST_ASKED, max(1, _cheap_count(step)))
-    count = min(_questions_at_once(step), math.ceil(len(chosen) / most))
-    size = min(_MOST_ASKED, math.ceil(len(chosen) / count))
+    max_workers = min(_MAX_WORKERS_PER_REQUEST, max(1, _count_cheap_workers(step)))
+    count = min(_max_parallel_requests(step), math.ceil(len(chosen) / max_workers))
+    size = min(_MAX_WORKERS_PER_REQUEST, math.ceil(len(chosen) / count))
     return [chosen[at : at + size] for at in range(0, min(len(chosen), count * size), size)]
 
 
-def _questions_at_once(step: Step) -> int:
-    return _QUESTIONS_AT_ONCE if step.is_bulky else 1
+def _max_parallel_requests(step: Step) -> int:
+    return _BULKY_PARALLEL_REQUESTS if step.is_bulky else 1
 
 
-def _choose_asked(
+def _choose_workers_to_ask(
     cell: Cell,
     step: Step,
-    roomiest: list[Worker],
+    by_free_cpu: list[Worker],
     fit: list[Worker],
     wanted: int,
     now: float,
@@ -174,56 +180,61 @@
     known = [
         worker
         for worker in fit
-        if advice.valid_ticket(worker.life, now) is None and _reachable(step, worker).holds(room)
+        if advice.valid_ticket(worker.life, now) is None
+        and _obtainable_room(step, worker).holds(room)
     ]
-    looks = len(fit)
-    chosen = _roomiest(step, known, wanted * _SPARE_SEATS) if known else []
+    examined = len(fit)
+    chosen = _choose_roomiest(step, known, wanted * _KNOWN_SLOTS_PER_TASK) if known else []
     if not _could_place(step, chosen, wanted):
-        unknown, looked = _roomy_strangers(step, roomiest, wanted * _SEATS_FOR_ONE_FIT)
-        looks += looked
+        unknown, unknown_examined = _find_unknown_workers(
+            step, by_free_cpu, wanted * _UNKNOWN_SLOTS_PER_TASK
+        )
+        examined += unknown_examined
         if not unknown and not _could_place(step, known, wanted):
             chosen = []
         chosen = chosen + unknown
     if not chosen:
-        chosen = _reserved_soon(cell, step, now)
-        looks += len(chosen)
+        chosen = _find_reserved_workers_due(cell, step, now)
+        examined += len(chosen)
     # Which workers are fit never changes: those without room now are cheap to learn of as well.
     asked = {worker.life for worker in chosen}
-    most = _cheap_count(step) * _questions_at_once(step) - len(chosen)
-    for worker in roomiest:
-        if most <= 0:
+    spare = _count_cheap_workers(step) * _max_parallel_requests(step) - len(chosen)
+    for worker in by_free_cpu:
+        if spare <= 0:
             break
-        looks += 1
-        if not advice.knows(worker.life) and worker.life not in asked:
+        examined += 1
+        if not advice.is_known(worker.life) and worker.life not in asked:
             chosen.append(worker)
-            most -= 1
-    return chosen, looks
+            spare -= 1
+    return chosen, examined
 
 
-def _roomy_strangers(step: Step, roomiest: list[Worker], seats: int) -> tuple[list[Worker], int]:
+def _find_unknown_workers(
+    step: Step, by_free_cpu: list[Worker], slots: int
+) -> tuple[list[Worker], int]:
     """Give workers with room of which it is not known whether they may run a step.
 
     As many as have so many seats, or as are cheap to ask; gives also how many were looked at.
     """
     room = step.spec.room
-    cheap = _cheap_count(step)
+    cheap = _count_cheap_workers(step)
     found: list[Worker] = []
-    looks = 0
-    for worker in roomiest:
-        if seats <= 0 and len(found) >= cheap:
+    examined = 0
+    for worker in by_free_cpu:
+        if slots <= 0 and len(found) >= cheap:
             break
         if not step.is_bulky and worker.free.cpu < room.cpu:
             # The others have even less.
             break
-        looks += 1
-        if step.advice.knows(worker.life) or not _reachable(step, worker).holds(room):
+        examined += 1
+        if step.advice.is_known(worker.life) or not _obtainable_room(step, worker).holds(room):
             continue
         found.append(worker)
-        seats -= _seats(step, worker, seats)
-    return found, looks
+        slots -= _count_slots(step, worker, slots)
+    return found, examined
 
 
-def _reserved_soon(cell: Cell, step: Step, now: float) -> list[Worker]:
+def _find_reserved_workers_due(cell: Cell, step: Step, now: float) -> list[Worker]:
     """Give the workers reserved for a step whose tickets are to be renewed in time for it."""
     claim = find_reservation(cell, step, now)
     if claim is None:
@@ -231,7 +242,7 @@
     advice = step.advice
     workers = (cell.workers.get(life) for life in claim.lives)
     held = [worker for worker in workers if worker is not None and step.key in worker.claims]
-    answer_at = now + _LATE_FACTOR * _question_seconds(advice, len(held))
+    answer_at = now + _MAX_ANSWER_TIME_FACTOR * _estimate_answer_seconds(advice, len(held))
     return [
         worker
         for worker in held
@@ -240,21 +251,23 @@
     ]
 
 
-def _question_seconds(advice: Advice, workers: int) -> float:
+def _estimate_answer_seconds(advice: Advice, workers: int) -> float:
     return (advice.terms.decide_ms + advice.terms.each_ms * workers) / 1000
 
 
 def _may_be_long(advice: Advice) -> bool:
     """Whether a question about as many workers as one may name would be a long one."""
-    return advice.terms.decide_ms + advice.terms.each_ms * _MOST_ASKED > LONG_QUESTION_MS
+    return (
+        advice.terms.decide_ms + advice.terms.each_ms * _MAX_WORKERS_PER_REQUEST > LONG_QUESTION_MS
+    )
 
 
-def _seats(step: Step, worker: Worker, wanted: int) -> int:
+def _count_slots(step: Step, worker: Worker, wanted: int) -> int:
     """Count the tasks of a step that a worker's free room holds, up to so many."""
-    return min(wanted, fitting(_reachable(step, worker), step.spec.room))
+    return min(wanted, count_fitting(_obtainable_room(step, worker), step.spec.room))
 
 
-def _reachable(step: Step, worker: Worker) -> Size:
+def _obtainable_room(step: Step, worker: Worker) -> Size:
     """Give the room that a step may find there.
 
     What only reservations keep out may be let in to reserved room, and needs tickets then. For a
@@ -262,91 +275,91 @@
     """
     if not step.is_bulky:
         return worker.unclaimed(step.key)
-    if step.kept_since is not None:
+    if step.blocked_since is not None:
         return worker.unclaimed(step.key).plus(worker.yieldable)
     return worker.free_for(step.key, step.rank).plus(worker.yieldable)
 
 
-def _sees_room(step: Step, fit: Iterable[Worker]) -> bool:
-    return any(_reachable(step, worker).holds(step.spec.room) for worker in fit)
+def _has_obtainable_room(step: Step, fit: Iterable[Worker]) -> bool:
+    return any(_obtainable_room(step, worker).holds(step.spec.room) for worker in fit)
 
 
 def _could_place(step: Step, workers: list[Worker], wanted: int) -> bool:
     needed = wanted if step.spec.gang else 1
-    return sum(_seats(step, worker, wanted) for worker in workers) >= needed
+    return sum(_count_slots(step, worker, wanted) for worker in workers) >= needed
 
 
-def _roomiest(step: Step, workers: list[Worker], seats: int) -> list[Worker]:
+def _choose_roomiest(step: Step, workers: list[Worker], slots: int) -> list[Worker]:
     """Give the workers with most room, as many as have so many seats, or as are cheap to ask.
 
     Each one asked about takes the service time, and its tickets hold for a short time only.
     """
-    cheap = _cheap_count(step)
+    cheap = _count_cheap_workers(step)
     chosen: list[Worker] = []
-    for worker in sorted(workers, key=lambda each: -_seats(step, each, seats)):
-        if seats <= 0 and len(chosen) >= cheap:
+    for worker in sorted(workers, key=lambda each: -_count_slots(step, each, slots)):
+        if slots <= 0 and len(chosen) >= cheap:
             break
         chosen.append(worker)
-        seats -= _seats(step, worker, seats)
+        slots -= _count_slots(step, worker, slots)
     return chosen
 
 
-def _cheap_count(step: Step) -> int:
+def _count_cheap_workers(step: Step) -> int:
     """Give how many workers add little to the time of a question that is asked anyway."""
     terms = step.advice.terms
     if not terms.each_ms:
-        return _MOST_ASKED
-    return min(_MOST_ASKED, int(_CHEAP_SHARE * terms.decide_ms / terms.each_ms))
+        return _MAX_WORKERS_PER_REQUEST
+    return min(_MAX_WORKERS_PER_REQUEST, int(_CHEAP_TIME_SHARE * terms.decide_ms / terms.each_ms))
 
 
-def take_advice(cell: Cell, event: AdviceAnswered, now: float) -> None:
+def apply_advice(cell: Cell, event: AdviceAnswered, now: float) -> None:
     """Take over the service's answer."""
-    wanted = event.given.wanted
-    cell.questions.pop(wanted, None)
-    step = _find_step(cell, wanted)
+    request = event.result.wanted
+    cell.advice_requests.pop(request, None)
+    step = _find_step(cell, request)
     if step is None or step.advice is None:
         return
     advice = step.advice
-    _note_answered(advice)
-    step.look_again_at = 0.0
-    step.has_news = True
+    _decrement_pending(advice)
+    step.next_search_at = 0.0
+    step.has_new_advice = True
     expires = now + advice.terms.valid_ms / 1000 - _TICKET_MARGIN_SECONDS
-    for life in wanted.workers:
-        ticket = event.given.tickets.get(life)
+    for life in request.workers:
+        ticket = event.result.tickets.get(life)
         if ticket is None:
             advice.unfit.add(life)
             advice.tickets.pop(life, None)
         else:
             advice.tickets[life] = (ticket, expires)
-    cell.tell(
+    cell.log_decision(
         "advised",
-        wanted.job,
-        step=wanted.step,
-        asked=len(wanted.workers),
-        fit=len(event.given.tickets),
+        request.job,
+        step=request.step,
+        asked=len(request.workers),
+        fit=len(event.result.tickets),
     )
-    cell.placing_wanted = True
+    cell.needs_placement = True
 
 
-def take_advice_failure(cell: Cell, event: AdviceFailed, now: float) -> None:
+def handle_advice_failure(cell: Cell, event: AdviceFailed, now: float) -> None:
     """Ask again a little later."""
-    cell.questions.pop(event.wanted, None)
-    cell.placing_wanted = True
-    step = _find_step(cell, event.wanted)
+    cell.advice_requests.pop(event.request, None)
+    cell.needs_placement = True
+    step = _find_step(cell, event.request)
     if step is None or step.advice is None:
         return
-    _note_answered(step.advice)
+    _decrement_pending(step.advice)
     step.advice.retry_at = now + _RETRY_SECONDS
-    cell.tell("advice_failed", event.wanted.job, step=event.wanted.step)
+    cell.log_decision("advice_failed", event.request.job, step=event.request.step)
 
 
-def _note_answered(advice: Advice) -> None:
+def _decrement_pending(advice: Advice) -> None:
     """Count a question as answered; one asked before the queue's terms changed counts no more."""
-    advice.asking = max(0, advice.asking - 1)
+    advice.pending_requests = max(0, advice.pending_requests - 1)
 
 
-def _find_step(cell: Cell, wanted: AdviceWanted) -> Step | None:
-    job = cell.jobs.get(wanted.job)
-    if job is None or wanted.repetition >= len(job.repetitions):
+def _find_step(cell: Cell, request: AdviceWanted) -> Step | None:
+    job = cell.jobs.get(request.job)
+    if job is None or request.repetition >= len(job.repetitions):
         return None
-    return job.repetitions[wanted.repetition][wanted.step]
+    return job.repetitions[request.repetition][request.step]
--- a/src/snowdock/jobs/policy.py
+++ b/src/snowdock/jobs/policy.py
@@ -6,8 +6,8 @@
 from ..declarations import Declarations
 from ..declarations import Policy as PolicyChoice
 from ..policies import PolicyFailure, PolicySet
-from .cell import Cell, Policy
-from .parts import Step
+from .cell import Cell, SchedulingPolicy
+from .job_state import Step
 from .shares import share_used
 from .workers import Worker
 
@@ -19,14 +19,16 @@
 """A queue's priority 0 is shown to programs as 100, 1 as 90 and so on: there the highest
 number goes first."""
 
-_FRACTION_STEPS = 20
+_FREE_FRACTION_STEPS = 20
 """Free fractions are rounded to this many steps, so that scores can be remembered."""
 
 _SLOWNESS_STEPS = 5
 """Slowness is rounded to a fifth, for the same reason."""
 
 
-def make_policy(alarm: Callable[[PolicyFailure], None], cell_of: Callable[[], Cell]) -> Policy:
+def make_policy(
+    alarm: Callable[[PolicyFailure], None], current_cell: Callable[[], Cell]
+) -> SchedulingPolicy:
     """Make the decisions of a leader from the shipped programs.
 
     Parameters
@@ -41,38 +43,40 @@
     book.replace(Declarations(policies={"batch": choice, "gang": choice}))
 
     def rank(step: Step, now: float) -> float:
-        return book.call(_kind(step), "rank", _describe(cell_of(), step, now))
+        return book.call(_policy_kind(step), "rank", _describe_step(current_cell(), step, now))
 
-    def score(step: Step, worker: Worker, there: int) -> float | None:
-        if step.shown is None:
-            step.shown = _describe_coarsely(cell_of(), step)
-        return book.score(step.shown["kind"], step.shown, _show_worker(worker, there))
+    def score(step: Step, worker: Worker, step_runs: int) -> float | None:
+        if step.policy_view is None:
+            step.policy_view = _describe_step_coarsely(current_cell(), step)
+        return book.score(
+            step.policy_view["kind"], step.policy_view, _describe_worker(worker, step_runs)
+        )
 
     def backoff_seconds(step: Step, failures: int) -> float:
-        work = _describe(cell_of(), step, step.job.submitted_at)
-        return book.call(_kind(step), "backoff_seconds", work, failures)
+        work = _describe_step(current_cell(), step, step.job.submitted_at)
+        return book.call(_policy_kind(step), "backoff_seconds", work, failures)
 
     def yields(step: Step, other: Step, now: float) -> bool:
-        work = _describe(cell_of(), step, now)
-        victim = _describe(cell_of(), other, now)
-        return bool(book.call(_kind(step), "preempt", work, victim))
+        work = _describe_step(current_cell(), step, now)
+        victim = _describe_step(current_cell(), other, now)
+        return bool(book.call(_policy_kind(step), "preempt", work, victim))
 
-    return Policy(rank, score, backoff_seconds, yields)
+    return SchedulingPolicy(rank, score, backoff_seconds, yields)
 
 
-def _kind(step: Step) -> str:
+def _policy_kind(step: Step) -> str:
     if step.spec.long_running:
         return "service"
     return "gang" if step.spec.gang else "batch"
 
 
-def _describe(cell: Cell, step: Step, now: float) -> dict[str, object]:
+def _describe_step(cell: Cell, step: Step, now: float) -> dict[str, object]:
     spec = step.spec
     queue = cell.queue_of(step.job)
     waited = now - step.job.submitted_at
     objective = max(0.001, cell.objective_seconds(step.job))
     return {
-        "kind": _kind(step),
+        "kind": _policy_kind(step),
         "name": f"{queue.name}/{step.number}",
         "team": step.job.team,
         "share_used": round(share_used(cell, step.job.team), 2),
@@ -84,17 +88,17 @@
         "priority": _HIGHEST_PRIORITY - _PRIORITY_STEP * queue.priority,
         "urgent": False,
         "waited_seconds": waited,
-        "slack_seconds": objective - waited - step.job.chains_ms[step.number] / 1000,
+        "slack_seconds": objective - waited - step.job.critical_paths_ms[step.number] / 1000,
         "overdue": waited / objective,
     }
 
 
-def _describe_coarsely(cell: Cell, step: Step) -> dict[str, object]:
+def _describe_step_coarsely(cell: Cell, step: Step) -> dict[str, object]:
     """Describe a step for scores: alike steps look equal, so that their scores are shared.
 
     Sizes and times are rounded up to powers of two, and the name tells them all.
     """
-    work = _describe(cell, step, step.job.submitted_at)
+    work = _describe_step(cell, step, step.job.submitted_at)
     for field in ("tasks", "cpu", "memory_gb", "run_seconds"):
         work[field] = _next_power_of_two(work[field])
     work["slack_seconds"] = work["overdue"] = work["share_used"] = 0.0
@@ -108,16 +112,16 @@
     return 2.0 ** math.ceil(math.log2(number)) if number > 0 else 0.0
 
 
-def _show_worker(worker: Worker, there: int) -> dict[str, object]:
+def _describe_worker(worker: Worker, step_runs: int) -> dict[str, object]:
     """Show a worker to a program, coarsely, so that equal ones look equal."""
     capacity = worker.entry.capacity.cpu or 1
     fraction = worker.free.cpu / capacity
     return {
-        "free_fraction": round(fraction * _FRACTION_STEPS) / _FRACTION_STEPS,
+        "free_fraction": round(fraction * _FREE_FRACTION_STEPS) / _FREE_FRACTION_STEPS,
         "failure_streak": worker.failure_streak,
-        "same_vm": there,
-        "same_rack": there,
-        "same_hall": there,
+        "same_vm": step_runs,
+        "same_rack": step_runs,
+        "same_hall": step_runs,
         "accelerators": worker.entry.capacity.accelerators,
         "slowness": round(worker.slowness * _SLOWNESS_STEPS) / _SLOWNESS_STEPS,
     }
--- a/src/snowdock/jobs/preempting.py
+++ b/src/snowdock/jobs/preemption.py
@@ -11,26 +11,26 @@
 import itertools
 from collections.abc import Callable, Iterable
 
+from .candidates import caution_for, count_fitting, is_trusted, max_additional_tasks
 from .cell import Cell, Claim
-from .parts import Phase, Step, Task
-from .reserving import release_claim
+from .job_state import Phase, Step, Task
+from .reservations import release_claim
 from .runs import stop_run
-from .seats import care_of, fitting, may_be_trusted, most_seats
 from .workers import Hold, Worker
 
-__all__ = ["drop_claims", "has_claim", "make_room"]
+__all__ = ["has_claim", "preempt_runs", "release_expired_claims"]
 
 _CLAIM_SECONDS = 1.0
 """How long room is kept: a stop takes up to 0.4 s, its report and the record of the
 placement some 0.1 s, and tickets hold for 1.5 s or more."""
 
-_LEAST_VALID_SECONDS = 0.7
+_MIN_TICKET_SECONDS = 0.7
 """Tickets must hold for at least so long, or they expire before the room is there."""
 
-_AGAIN_SECONDS = 2.0
+_CLAIM_RETRY_SECONDS = 2.0
 """Pause after a claim that came to nothing before runs are stopped for the same step again."""
 
-_MOST_YIELDS = 2
+_MAX_PREEMPTIONS = 2
 """A task makes room so many times at most, or it might never end."""
 
 _NEARLY_DONE_PERCENT = 80.0
@@ -38,21 +38,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
-class _Offer:
+class _PreemptionOption:
     """A worker, the seats it has free, and what would have to yield for each further seat."""
 
     worker: Worker
-    free: int
+    free_slots: int
     victims: list[list[Task]]
 
 
 def has_claim(cell: Cell, step: Step, now: float) -> bool:
     """Whether room is being made for a step."""
     claim = cell.claims.get(step.key)
-    return claim is not None and claim.is_forced and claim.until > now
+    return claim is not None and claim.is_preemptive and claim.expires_at > now
 
 
-def make_room(cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float) -> bool:
+def preempt_runs(
+    cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float
+) -> bool:
     """Stop runs that yield to a bulky step, if that makes room; tell whether it did.
 
     For a gang, room is made for all of it or not at all.
@@ -70,85 +72,91 @@
     now
         The steady clock, in seconds.
     """
-    if now < step.claim_again_at:
+    if now < step.next_claim_at:
         return False
-    step.claim_again_at = now + _AGAIN_SECONDS
-    offers = _make_offers(cell, step, workers, now)
-    lacking = wanted - sum(offer.free for offer in offers)
-    further = _further_seats(offers, lacking)
-    enough = lacking if step.spec.gang else 1
-    if lacking <= 0 or len(further) < enough:
+    step.next_claim_at = now + _CLAIM_RETRY_SECONDS
+    options = _build_options(cell, step, workers, now)
+    missing = wanted - sum(offer.free_slots for offer in options)
+    preempted = _choose_preempted_slots(options, missing)
+    required = missing if step.spec.gang else 1
+    if missing <= 0 or len(preempted) < required:
         return False
-    _claim(cell, step, offers, further, now)
+    _claim_slots(cell, step, options, preempted, now)
     return True
 
 
-def _make_offers(cell: Cell, step: Step, workers: Iterable[Worker], now: float) -> list[_Offer]:
+def _build_options(
+    cell: Cell, step: Step, workers: Iterable[Worker], now: float
+) -> list[_PreemptionOption]:
     @functools.cache
     def yields(other: Step) -> bool:
         return cell.policy.yields(step, other, now)
 
-    care = care_of(cell, step)
+    caution = caution_for(cell, step)
     return [
-        _offer(step, worker, _yielding_tasks(cell, worker, yields))
+        _build_option(step, worker, _find_preemptible_tasks(cell, worker, yields))
         for worker in workers
-        if _holds_long(step, worker, now) and may_be_trusted(cell, worker, care)
+        if _has_lasting_ticket(step, worker, now) and is_trusted(cell, worker, caution)
     ]
 
 
-def _holds_long(step: Step, worker: Worker, now: float) -> bool:
+def _has_lasting_ticket(step: Step, worker: Worker, now: float) -> bool:
     advice = step.advice
-    return (
-        advice is None or advice.valid_ticket(worker.life, now + _LEAST_VALID_SECONDS) is not None
-    )
+    return advice is None or advice.valid_ticket(worker.life, now + _MIN_TICKET_SECONDS) is not None
 
 
-def _offer(step: Step, worker: Worker, yielding: list[Task]) -> _Offer:
+def _build_option(step: Step, worker: Worker, preemptible: list[Task]) -> _PreemptionOption:
     """Count a worker's free seats for a step, and those that stopping runs there would add."""
     room = step.spec.room
-    most = most_seats(step, worker)
+    max_tasks = max_additional_tasks(step, worker)
     free = worker.free_for(step.key, step.rank)
-    seats = min(fitting(free, room), most)
+    slots = min(count_fitting(free, room), max_tasks)
     victims: list[list[Task]] = []
     stopped: list[Task] = []
-    for task in yielding:
-        if seats + len(victims) >= most:
+    for task in preemptible:
+        if slots + len(victims) >= max_tasks:
             break
         free = free.plus(task.step.spec.room)
         stopped.append(task)
-        if fitting(free, room) > seats + len(victims):
+        if count_fitting(free, room) > slots + len(victims):
             victims.append(stopped)
             stopped = []
-    return _Offer(worker, seats, victims)
+    return _PreemptionOption(worker, slots, victims)
 
 
-def _further_seats(offers: list[_Offer], wanted: int) -> list[_Offer]:
+def _choose_preempted_slots(
+    options: list[_PreemptionOption], wanted: int
+) -> list[_PreemptionOption]:
     """Give the offer of each of so many seats that are not free, the fewest victims first.
 
     A worker's seats come in order: what yields for one has to have yielded for those before it.
     """
     heap = [
-        (len(offer.victims[0]), number, 0) for number, offer in enumerate(offers) if offer.victims
+        (len(option.victims[0]), number, 0)
+        for number, option in enumerate(options)
+        if option.victims
     ]
     heapq.heapify(heap)
-    chosen: list[_Offer] = []
+    chosen: list[_PreemptionOption] = []
     while heap and len(chosen) < wanted:
-        _, number, seat = heapq.heappop(heap)
-        offer = offers[number]
+        _, number, slot = heapq.heappop(heap)
+        offer = options[number]
         chosen.append(offer)
-        if seat + 1 < len(offer.victims):
-            heapq.heappush(heap, (len(offer.victims[seat + 1]), number, seat + 1))
+        if slot + 1 < len(offer.victims):
+            heapq.heappush(heap, (len(offer.victims[slot + 1]), number, slot + 1))
     return chosen
 
 
-def _yielding_tasks(cell: Cell, worker: Worker, yields: Callable[[Step], bool]) -> list[Task]:
+def _find_preemptible_tasks(
+    cell: Cell, worker: Worker, yields: Callable[[Step], bool]
+) -> list[Task]:
     """Give the tasks whose runs there may make room, the largest first."""
     found = []
     for task_id, run in worker.yielding:
         task = cell.find_task(task_id)
         if task is None or task.run != run or task.phase is not Phase.RUNNING:
             continue
-        if task.yields >= _MOST_YIELDS or task.percent > _NEARLY_DONE_PERCENT:
+        if task.preemptions >= _MAX_PREEMPTIONS or task.percent > _NEARLY_DONE_PERCENT:
             continue
         if yields(task.step):
             found.append(task)
@@ -156,7 +164,13 @@
     return found
 
 
-def _claim(cell: Cell, step: Step, offers: list[_Offer], further: list[_Offer], now: float) -> None:
+def _claim_slots(
+    cell: Cell,
+    step: Step,
+    options: list[_PreemptionOption],
+    preempted: list[_PreemptionOption],
+    now: float,
+) -> None:
     """Keep the seats for the step, and stop what has to yield.
 
     ``further`` holds an offer once for each of its seats that is not free yet.
@@ -164,18 +178,18 @@
     release_claim(cell, step.key)
     stopped = 0
     lives = set()
-    for offer in offers:
-        count = further.count(offer)
-        for task in itertools.chain.from_iterable(offer.victims[:count]):
-            task.yields += 1
+    for option in options:
+        count = preempted.count(option)
+        for task in itertools.chain.from_iterable(option.victims[:count]):
+            task.preemptions += 1
             stopped += 1
             stop_run(cell, task, now)
-        seats = offer.free + count
-        if seats:
-            offer.worker.claims[step.key] = Hold(step.spec.room.times(seats))
-            lives.add(offer.worker.life)
-    cell.claims[step.key] = Claim(now + _CLAIM_SECONDS, frozenset(lives), is_forced=True)
-    cell.tell(
+        slots = option.free_slots + count
+        if slots:
+            option.worker.claims[step.key] = Hold(step.spec.room.times(slots))
+            lives.add(option.worker.life)
+    cell.claims[step.key] = Claim(now + _CLAIM_SECONDS, frozenset(lives), is_preemptive=True)
+    cell.log_decision(
         "room_claimed",
         step.job.id,
         step=step.number,
@@ -186,10 +200,10 @@
     )
 
 
-def drop_claims(cell: Cell, now: float) -> None:
+def release_expired_claims(cell: Cell, now: float) -> None:
     """Give the room of claims back that are over."""
     for key, claim in list(cell.claims.items()):
-        if claim.until > now and key in cell.waiting:
+        if claim.expires_at > now and key in cell.waiting_steps:
             continue
         release_claim(cell, key)
-        cell.placing_wanted = True
+        cell.needs_placement = True
--- a/src/snowdock/jobs/batches.py
+++ b/src/snowdock/jobs/progress_batches.py
@@ -1,92 +1,92 @@
 """Batches of progress records, one on its way at a time, and what rests on each."""
 
-from .cell import Cell, Held, HeldRenewal, HeldStart
+from .cell import Cell, Deferred, DeferredRenewal, DeferredStart
 from .durability import RENEW_WAIT_MS, renew
 from .events import ForgetAccepted, Persist, ProgressRecord, SendStart
+from .job_state import Job, Phase, Task
 from .orders import StartOrder
-from .parts import Job, Phase, Task
 from .progress import JobProgress, TaskProgress, encode
-from .quotas import may_start
+from .quotas import may_start_within_quota
 from .runs import void_run
 
-__all__ = ["flush", "take_persisted"]
+__all__ = ["handle_persisted", "send_batch"]
 
-_BATCH_BYTES = 1_000_000
+_MAX_BATCH_BYTES = 1_000_000
 """The most bytes of one batch: half of what the store takes in one call."""
 
 
-def flush(cell: Cell) -> None:
+def send_batch(cell: Cell) -> None:
     """Send the next batch, unless one is on its way or there is nothing to send."""
-    if cell.batch_held is not None or not (cell.dirty or cell.held):
+    if cell.batch_deferred is not None or not (cell.dirty_jobs or cell.deferred):
         return
     records = []
     size = 0
-    while cell.dirty and size < _BATCH_BYTES:
-        job_id = next(iter(cell.dirty))
-        job = cell.dirty.pop(job_id)
-        progress = _progress(job)
+    while cell.dirty_jobs and size < _MAX_BATCH_BYTES:
+        job_id = next(iter(cell.dirty_jobs))
+        job = cell.dirty_jobs.pop(job_id)
+        progress = _build_progress(job)
         if progress.status.is_final and not progress.tasks:
             # A takeover reads what is open: its time grows with that, not with a day's jobs.
-            cell.held.append(ForgetAccepted((job.record_name,)))
+            cell.deferred.append(ForgetAccepted((job.record_name,)))
         data = encode(progress)
         size += len(data)
         records.append(ProgressRecord(job_id, data))
-    if cell.dirty:
+    if cell.dirty_jobs:
         # What is held rests on all of them; it goes with the last batch.
-        held = []
+        deferred = []
     else:
-        held, cell.held = cell.held, []
+        deferred, cell.deferred = cell.deferred, []
     if not records:
-        _release(cell, held, cell.now)
+        _release_deferred(cell, deferred, cell.now)
         return
-    cell.batch += 1
-    cell.batch_held = held
-    cell.emit(Persist(cell.batch, tuple(records)))
+    cell.batch_number += 1
+    cell.batch_deferred = deferred
+    cell.emit(Persist(cell.batch_number, tuple(records)))
 
 
-def take_persisted(cell: Cell, number: int, now: float) -> None:
+def handle_persisted(cell: Cell, number: int, now: float) -> None:
     """Let go what waited for a batch that is on record now."""
-    if number != cell.batch or cell.batch_held is None:
+    if number != cell.batch_number or cell.batch_deferred is None:
         return
-    held, cell.batch_held = cell.batch_held, None
-    _release(cell, held, now)
+    deferred, cell.batch_deferred = cell.batch_deferred, None
+    _release_deferred(cell, deferred, now)
 
 
-def _release(cell: Cell, held: list[Held], now: float) -> None:
-    for item in held:
-        if isinstance(item, HeldStart):
-            _start(cell, item, now)
-        elif isinstance(item, HeldRenewal):
+def _release_deferred(cell: Cell, deferred: list[Deferred], now: float) -> None:
+    for item in deferred:
+        if isinstance(item, DeferredStart):
+            _send_start(cell, item, now)
+        elif isinstance(item, DeferredRenewal):
             _acknowledge_ends(cell, item, now)
         else:
             cell.emit(item)
 
 
-def _start(cell: Cell, held: HeldStart, now: float) -> None:
-    task = held.task
+def _send_start(cell: Cell, deferred: DeferredStart, now: float) -> None:
+    task = deferred.task
     worker = cell.workers.get(task.life)
-    if task.run != held.run or task.phase is not Phase.RECORDED or worker is None:
+    if task.run != deferred.run or task.phase is not Phase.RECORDED or worker is None:
         return
     step = task.step
     job = step.job
-    if not _has_tickets(task, now):
+    if not _has_valid_tickets(task, now):
         # The worker would refuse it, and the call would hold up others.
-        cell.tell("ticket_expired", job.id, task=task.id, run=task.run, worker=task.life)
+        cell.log_decision("ticket_expired", job.id, task=task.id, run=task.run, worker=task.life)
         void_run(cell, task, now)
         return
     if not worker.still_holds(step.spec.room):
-        cell.tell("start_over_room", job.id, task=task.id, run=task.run, worker=task.life)
+        cell.log_decision("start_over_room", job.id, task=task.id, run=task.run, worker=task.life)
         void_run(cell, task, now)
         return
-    if not may_start(cell, task):
-        cell.tell("start_over_quota", job.id, task=task.id, run=task.run, team=job.team)
+    if not may_start_within_quota(cell, task):
+        cell.log_decision("start_over_quota", job.id, task=task.id, run=task.run, team=job.team)
         void_run(cell, task, now)
         return
     if step.spec.gang:
         cell.starting_gangs[step.key] = step
     until = worker.extend_lease(now, cell.settings.lease_s)
     task.phase = Phase.ORDERED
-    task.since = task.ordered_at = now
+    task.phase_since = task.ordered_at = now
     order = StartOrder(
         task=task.id,
         run=task.run,
@@ -101,7 +101,7 @@
         renew(cell, worker, now, RENEW_WAIT_MS)
 
 
-def _has_tickets(task: Task, now: float) -> bool:
+def _has_valid_tickets(task: Task, now: float) -> bool:
     """Whether a start would carry a good ticket; before a gang's first, whether all would."""
     step = task.step
     advice = step.advice
@@ -112,17 +112,17 @@
     return all(advice.valid_ticket(life, now) is not None for life in lives)
 
 
-def _acknowledge_ends(cell: Cell, held: HeldRenewal, now: float) -> None:
-    worker = cell.workers.get(held.life)
+def _acknowledge_ends(cell: Cell, deferred: DeferredRenewal, now: float) -> None:
+    worker = cell.workers.get(deferred.life)
     if worker is None:
         return
-    worker.seen_ends = max(worker.seen_ends, held.seen_ends)
+    worker.seen_ends = max(worker.seen_ends, deferred.last_recorded_end)
     if not worker.renewing:
         renew(cell, worker, now, RENEW_WAIT_MS)
 
 
-def _progress(job: Job) -> JobProgress:
-    keeps_all = not job.status.is_final
+def _build_progress(job: Job) -> JobProgress:
+    is_open = not job.status.is_final
     tasks = [
         TaskProgress(
             task.id.repetition,
@@ -137,6 +137,6 @@
             sorted(task.crashed_runs),
         )
         for task in job.all_tasks()
-        if task.life or (keeps_all and (task.run or task.phase is Phase.DONE))
+        if task.life or (is_open and (task.run or task.phase is Phase.DONE))
     ]
     return JobProgress(job.status, tasks, job.team)
--- a/src/snowdock/jobs/quotas.py
+++ b/src/snowdock/jobs/quotas.py
@@ -8,16 +8,16 @@
 
 from ..declarations import ZERO, Size
 from ..teams import Team
-from .cell import Cell, QuotaKept
-from .parts import Step, Task
-from .seats import fitting
+from .candidates import count_fitting
+from .cell import Cell, QuotaReservation
+from .job_state import Step, Task
 
-__all__ = ["keep_quotas", "may_start", "tasks_within_quota"]
+__all__ = ["may_start_within_quota", "reserve_quotas", "tasks_within_quota"]
 
-_KEEPS_QUOTA = True
+_RESERVES_QUOTA = True
 """Whether quota is kept for a waiting gang: else it waits behind all that starts piece by piece."""
 
-_KEPT_WHOLE_SECONDS = 1.5
+_MAX_IDLE_RESERVATION_SECONDS = 1.5
 """How long quota that a gang has whole is kept for it: one that no set of workers ever holds would
 keep its team's other gangs waiting for as long as it stands there."""
 
@@ -43,62 +43,62 @@
     if team is None:
         return wanted
     size = step.spec.size
-    used = cell.team_use.used(team.name).plus(_kept_from(cell, step))
-    count = min(wanted, fitting(team.quota.minus(used), size))
+    used = cell.team_usage.used(team.name).plus(_reserved_for_higher_rank(cell, step))
+    count = min(wanted, count_fitting(team.quota.minus(used), size))
     if count == wanted:
         return wanted
     if not step.spec.gang:
         # A task larger than the quota runs alone; else it never would.
         return max(1, count) if used == ZERO else count
     # So does a gang that the overage lets in: all but one of its tasks have to fit.
-    over = team.quota.scaled(1 + cell.settings.quota_overage)
-    return wanted if used == ZERO and fitting(over, size) >= wanted - 1 else 0
+    overage_quota = team.quota.scaled(1 + cell.settings.quota_overage)
+    return wanted if used == ZERO and count_fitting(overage_quota, size) >= wanted - 1 else 0
 
 
-def keep_quotas(cell: Cell) -> None:
+def reserve_quotas(cell: Cell) -> None:
     """Keep of each team's quota what its waiting gang that ranks highest needs.
 
     Where smaller tasks of the team take each piece of its quota as it comes free, a gang never
     finds all of what it needs. What ranks higher goes on using it: it is small and ends soon.
     """
-    cell.quota_kept.clear()
-    if not _KEEPS_QUOTA:
+    cell.quota_reservations.clear()
+    if not _RESERVES_QUOTA:
         return
-    for step in cell.waiting.values():
+    for step in cell.waiting_steps.values():
         team = _team_of(cell, step) if step.spec.gang else None
-        if team is None or _is_kept_in_vain(cell, step, team):
+        if team is None or _is_reservation_idle(cell, step, team):
             continue
-        need = step.spec.size.times(step.spec.count)
-        kept = cell.quota_kept.get(team.name)
-        if (kept is None or kept.rank < step.rank) and team.quota.holds(need):
-            cell.quota_kept[team.name] = QuotaKept(step.key, step.rank, need)
+        size = step.spec.size.times(step.spec.count)
+        reservation = cell.quota_reservations.get(team.name)
+        if (reservation is None or reservation.rank < step.rank) and team.quota.holds(size):
+            cell.quota_reservations[team.name] = QuotaReservation(step.key, step.rank, size)
 
 
-def _is_kept_in_vain(cell: Cell, step: Step, team: Team) -> bool:
+def _is_reservation_idle(cell: Cell, step: Step, team: Team) -> bool:
     """Whether a gang has had all of its quota for a while and lacks something else."""
-    free = team.quota.minus(cell.team_use.used(team.name))
+    free = team.quota.minus(cell.team_usage.used(team.name))
     if not free.holds(step.spec.size.times(step.spec.count)):
-        step.has_quota_since = None
+        step.quota_available_since = None
         return False
-    if step.has_quota_since is None:
-        step.has_quota_since = cell.now
-    return cell.now - step.has_quota_since > _KEPT_WHOLE_SECONDS
+    if step.quota_available_since is None:
+        step.quota_available_since = cell.now
+    return cell.now - step.quota_available_since > _MAX_IDLE_RESERVATION_SECONDS
 
 
-def _kept_from(cell: Cell, step: Step) -> Size:
+def _reserved_for_higher_rank(cell: Cell, step: Step) -> Size:
     """Give what is kept of its team's quota for a gang that ranks higher than a step."""
-    kept = cell.quota_kept.get(step.job.team)
-    if kept is None or kept.step == step.key or kept.rank < step.rank:
+    reservation = cell.quota_reservations.get(step.job.team)
+    if reservation is None or reservation.step == step.key or reservation.rank < step.rank:
         return ZERO
-    return kept.need
+    return reservation.size
 
 
-def may_start(cell: Cell, task: Task) -> bool:
+def may_start_within_quota(cell: Cell, task: Task) -> bool:
     """Tell whether a task that was placed may still start: the quota may be lower since then."""
     team = _team_of(cell, task.step)
     if team is None:
         return True
-    others = cell.team_use.used(team.name).minus(task.step.spec.size)
+    others = cell.team_usage.used(team.name).minus(task.step.spec.size)
     return team.quota.scaled(1 + cell.settings.quota_overage).holds(others)
 
 
--- a/src/snowdock/jobs/reducer.py
+++ b/src/snowdock/jobs/reducer.py
@@ -1,7 +1,5 @@
 """One reducer over all events of a leader; what it wants done are effects."""
 
-from .advising import take_advice, take_advice_failure
-from .batches import flush, take_persisted
 from .cell import Cell
 from .events import (
     AdviceAnswered,
@@ -21,15 +19,17 @@
     WorkerDelisted,
     WorkerListed,
 )
+from .job_state import Job, Phase
 from .order_answers import take_start_answer, take_stop_answer
 from .overdue import tell_overdue
-from .parts import Job, Phase
-from .placing import place_waiting
+from .placement import place_waiting_steps
+from .placement_advice import apply_advice, handle_advice_failure
 from .progress import AcceptedJob, job_of_record, record_name
+from .progress_batches import handle_persisted, send_batch
 from .room_use import tell_room_use
-from .runs import abort_gang, cancel_job, open_repetition, open_steps
+from .runs import abort_gang, cancel_job, create_repetition, enqueue_ready_steps
 from .set_aside import take_back_due
-from .shares import count_capacity, tell_team_use
+from .shares import log_team_usage, sum_capacity
 from .starving import tell_starving
 from .worker_lives import delist_worker, list_named_workers, list_worker
 from .worker_reports import take_renewal
@@ -37,11 +37,11 @@
 
 __all__ = ["accept_job", "reduce"]
 
-_PLACING_WAIT_SECONDS = 0.02
+_MAX_PLACEMENT_DELAY_SECONDS = 0.02
 """How long placing is put off while further events wait: a few per cent of what the shortest
 jobs have to spare."""
 
-_GANG_PATIENCE = 0.6
+_GANG_ABORT_SHARE = 0.6
 """Share of a gang's waiting time after which its run is given up: what is left is for the
 stops to arrive before a member ends by waiting too long."""
 
@@ -67,10 +67,10 @@
     """
     cell.now = now
     _apply(cell, event, now, wall_ms)
-    is_due = is_last or now - cell.placed_at >= _PLACING_WAIT_SECONDS
-    if (cell.placing_wanted and is_due) or isinstance(event, Ticked):
-        place_waiting(cell, now)
-    flush(cell)
+    is_due = is_last or now - cell.last_placement_at >= _MAX_PLACEMENT_DELAY_SECONDS
+    if (cell.needs_placement and is_due) or isinstance(event, Ticked):
+        place_waiting_steps(cell, now)
+    send_batch(cell)
     effects, cell.effects = cell.effects, []
     return effects
 
@@ -82,15 +82,15 @@
         case StartAnswered():
             take_start_answer(cell, event, now)
         case Persisted(number):
-            take_persisted(cell, number, now)
+            handle_persisted(cell, number, now)
         case AdviceAnswered():
-            take_advice(cell, event, now)
+            apply_advice(cell, event, now)
         case AdviceFailed():
-            take_advice_failure(cell, event, now)
+            handle_advice_failure(cell, event, now)
         case JobAccepted():
             accept_job(cell, event, now, wall_ms)
         case JobCancelled(name):
-            _cancel(cell, name, now)
+            _handle_cancellation(cell, name, now)
         case StopAnswered():
             take_stop_answer(cell, event, now)
         case WorkerListed(entry):
@@ -100,33 +100,33 @@
         case ConfigurationChanged(configuration):
             if configuration.version > cell.configuration.version:
                 cell.configuration = configuration
-                cell.tell("configuration", str(configuration.version))
+                cell.log_decision("configuration", str(configuration.version))
                 list_named_workers(cell, now)
-                cell.placing_wanted = True
+                cell.needs_placement = True
         case Ticked(askers):
-            cell.askers = askers
-            _tick(cell, now, wall_ms)
+            cell.advice_node_count = askers
+            _handle_tick(cell, now, wall_ms)
 
 
 def accept_job(cell: Cell, event: JobAccepted, now: float, wall_ms: float) -> None:
     """Take a job over; one that is known already stays as it is."""
-    if event.job in cell.unreadable:
+    if event.job in cell.unreadable_jobs:
         # Handed in again: it may have run already.
-        cell.tell("job_record_unreadable", event.job)
+        cell.log_decision("job_record_unreadable", event.job)
         return
-    if event.job in cell.final_jobs:
+    if event.job in cell.job_ended_at:
         # Handed in again. Its end may wait for its record: until then, only how it was taken in
         # tells a successor of it.
-        cell.held.append(ForgetAccepted((record_name(event.job, event.accepted.team),)))
+        cell.deferred.append(ForgetAccepted((record_name(event.job, event.accepted.team),)))
         return
     known = cell.jobs.get(event.job)
     if known is not None:
-        _take_again(cell, known, event.accepted)
+        _handle_resubmission(cell, known, event.accepted)
         return
     job = Job(event.job, event.accepted, now)
     cell.jobs[job.id] = job
-    cell.publish(job)
-    cell.tell(
+    cell.publish_status(job)
+    cell.log_decision(
         "job_taken",
         job.id,
         queue=job.queue,
@@ -135,80 +135,80 @@
         target_s=cell.queue_of(job).target_latency_ms / 1000,
         lasts=any(step.long_running for step in event.accepted.spec.steps),
     )
-    if job.record_name in cell.cancelled_ahead:
+    if job.record_name in cell.early_cancellations:
         cancel_job(cell, job, now)
     elif event.accepted.spec.repetitions:
-        cell.scheduled[job.id] = job
-        _open_due(cell, job, wall_ms)
+        cell.scheduled_jobs[job.id] = job
+        _start_due_repetitions(cell, job, wall_ms)
     else:
-        open_steps(cell, open_repetition(job, 0))
+        enqueue_ready_steps(cell, create_repetition(job, 0))
 
 
-def _take_again(cell: Cell, job: Job, again: AcceptedJob) -> None:
+def _handle_resubmission(cell: Cell, job: Job, resubmitted: AcceptedJob) -> None:
     """Keep a job as it is that was handed in again; what another team hands in is dropped."""
-    if again.team != job.team:
-        cell.tell("job_of_another_team", job.id, team=job.team, by=again.team)
-        cell.emit(ForgetAccepted((record_name(job.id, again.team),)))
+    if resubmitted.team != job.team:
+        cell.log_decision("job_of_another_team", job.id, team=job.team, by=resubmitted.team)
+        cell.emit(ForgetAccepted((record_name(job.id, resubmitted.team),)))
 
 
-def _open_due(cell: Cell, job: Job, wall_ms: float) -> None:
+def _start_due_repetitions(cell: Cell, job: Job, wall_ms: float) -> None:
     spec = job.accepted.spec
     while len(job.repetitions) < spec.repetitions:
         due_ms = spec.first_due_ms + len(job.repetitions) * spec.interval_ms
         if wall_ms < due_ms:
             return
-        open_steps(cell, open_repetition(job, len(job.repetitions)))
-    cell.scheduled.pop(job.id, None)
+        enqueue_ready_steps(cell, create_repetition(job, len(job.repetitions)))
+    cell.scheduled_jobs.pop(job.id, None)
 
 
-def _cancel(cell: Cell, name: str, now: float) -> None:
+def _handle_cancellation(cell: Cell, name: str, now: float) -> None:
     job = cell.jobs.get(job_of_record(name))
     if job is None:
-        cell.cancelled_ahead.add(name)
+        cell.early_cancellations.add(name)
     elif job.record_name == name:
         cancel_job(cell, job, now)
     else:
-        cell.tell("cancel_by_another_team", job.id, team=job.team)
+        cell.log_decision("cancel_by_another_team", job.id, team=job.team)
 
 
-def _tick(cell: Cell, now: float, wall_ms: float) -> None:
+def _handle_tick(cell: Cell, now: float, wall_ms: float) -> None:
     watch_workers(cell, now)
     take_back_due(cell, now)
-    cell.capacity = count_capacity(cell)
-    for job in list(cell.scheduled.values()):
-        _open_due(cell, job, wall_ms)
-    _give_up_late_gangs(cell, now)
-    _forget_old_jobs(cell, now)
+    cell.capacity = sum_capacity(cell)
+    for job in list(cell.scheduled_jobs.values()):
+        _start_due_repetitions(cell, job, wall_ms)
+    _abort_late_gangs(cell, now)
+    _drop_expired_jobs(cell, now)
     tell_room_use(cell, now)
-    tell_team_use(cell, now)
+    log_team_usage(cell, now)
     tell_starving(cell, now)
     tell_overdue(cell, now)
 
 
-def _give_up_late_gangs(cell: Cell, now: float) -> None:
-    patience = cell.settings.gang_wait_s * _GANG_PATIENCE
+def _abort_late_gangs(cell: Cell, now: float) -> None:
+    longest_wait_s = cell.settings.gang_wait_s * _GANG_ABORT_SHARE
     for key, step in list(cell.starting_gangs.items()):
-        unanswered = [task.since for task in step.tasks if task.phase is Phase.ORDERED]
+        unanswered = [task.phase_since for task in step.tasks if task.phase is Phase.ORDERED]
         if not unanswered:
             del cell.starting_gangs[key]
-        elif now - min(unanswered) > patience:
-            cell.tell("gang_given_up", step.job.id, step=step.number)
+        elif now - min(unanswered) > longest_wait_s:
+            cell.log_decision("gang_given_up", step.job.id, step=step.number)
             abort_gang(cell, step, now)
 
 
-def _forget_old_jobs(cell: Cell, now: float) -> None:
-    old = []
-    for job, final_at in cell.final_jobs.items():
+def _drop_expired_jobs(cell: Cell, now: float) -> None:
+    expired = []
+    for job, final_at in cell.job_ended_at.items():
         if now - final_at < cell.settings.retention_s:
             break
-        old.append(job)
-    names = []
-    for job_id in old:
-        del cell.final_jobs[job_id]
+        expired.append(job)
+    record_names = []
+    for job_id in expired:
+        del cell.job_ended_at[job_id]
         job = cell.jobs.pop(job_id, None)
         name = job_id if job is None else job.record_name
-        names.append(name)
-        cell.cancelled_ahead.discard(name)
-    if old:
-        cell.emit(DropJobs(tuple(old)))
-        cell.held.append(ForgetAccepted(tuple(names)))
+        record_names.append(name)
+        cell.early_cancellations.discard(name)
+    if expired:
+        cell.emit(DropJobs(tuple(expired)))
+        cell.deferred.append(ForgetAccepted(tuple(record_names)))
--- a/src/snowdock/jobs/reserving.py
+++ b/src/snowdock/jobs/reservations.py
@@ -8,19 +8,19 @@
 import math
 from collections.abc import Iterable
 
+from .candidates import caution_for, count_fitting, is_trusted, max_additional_tasks
 from .cell import Cell, Claim
 from .forecast import room_to_come
+from .job_state import Step
 from .model import StepKey
-from .parts import Step
-from .seats import care_of, fitting, may_be_trusted, most_seats
 from .workers import Hold, Worker
 
-__all__ = ["find_reservation", "keep_room", "release_claim", "reserve"]
+__all__ = ["find_reservation", "hold_room", "release_claim", "reserve_room"]
 
-_KEPT_SECONDS = 0.6
+_RESERVATION_SECONDS = 0.6
 """How long a reservation holds: it is made anew as long as its step waits."""
 
-_RENEW_SECONDS = 0.3
+_RENEWAL_MARGIN_SECONDS = 0.3
 """A reservation is made anew when this much or less is left: runs end earlier or later than was
 expected, and other workers may have become the first."""
 
@@ -28,12 +28,14 @@
 def find_reservation(cell: Cell, step: Step, now: float) -> Claim | None:
     """Give the room to come that is reserved for a step; None where there is none."""
     claim = cell.claims.get(step.key)
-    if claim is None or claim.is_forced or claim.until <= now:
+    if claim is None or claim.is_preemptive or claim.expires_at <= now:
         return None
     return claim
 
 
-def reserve(cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float) -> None:
+def reserve_room(
+    cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float
+) -> None:
     """Reserve the workers where a bulky step will find room first.
 
     Parameters
@@ -50,64 +52,68 @@
         The steady clock, in seconds.
     """
     claim = cell.claims.get(step.key)
-    if claim is not None and claim.until > now + (0.0 if claim.is_forced else _RENEW_SECONDS):
+    if claim is not None and claim.expires_at > now + (
+        0.0 if claim.is_preemptive else _RENEWAL_MARGIN_SECONDS
+    ):
         return
     release_claim(cell, step.key)
-    seats = _first_seats(cell, step, workers, wanted, now)
-    if not seats:
+    slots = _find_earliest_slots(cell, step, workers, wanted, now)
+    if not slots:
         return
-    lives = frozenset(worker.life for _, worker in seats)
+    lives = frozenset(worker.life for _, worker in slots)
     for life in lives:
-        times = [at for at, worker in seats if worker.life == life]
+        times = [at for at, worker in slots if worker.life == life]
         # A gang begins once all of it has room, other tasks as soon as each has.
-        due = seats[-1][0] if step.spec.gang else times[0]
+        due = slots[-1][0] if step.spec.gang else times[0]
         room = step.spec.room.times(len(times))
         cell.workers[life].claims[step.key] = Hold(room, due, step.rank)
-    cell.claims[step.key] = Claim(now + _KEPT_SECONDS, lives, is_forced=False)
+    cell.claims[step.key] = Claim(now + _RESERVATION_SECONDS, lives, is_preemptive=False)
     if claim is None:
-        cell.tell(
+        cell.log_decision(
             "room_reserved",
             step.job.id,
             step=step.number,
             tasks=wanted,
             workers=len(lives),
-            due_s=seats[0][0] - now,
+            due_s=slots[0][0] - now,
             rank=step.rank,
         )
 
 
-def _first_seats(
+def _find_earliest_slots(
     cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float
 ) -> list[tuple[float, Worker]]:
     """Give when and where tasks will find room first, the earliest first.
 
     A gang that will not find room for all of its tasks is given none.
     """
-    care = care_of(cell, step)
-    seats: list[tuple[float, Worker]] = []
+    caution = caution_for(cell, step)
+    slots: list[tuple[float, Worker]] = []
     for worker in workers:
-        if may_be_trusted(cell, worker, care):
-            seats += [(at, worker) for at in _seat_times(cell, step, worker, wanted, now)]
-    if step.spec.gang and len(seats) < wanted:
+        if is_trusted(cell, worker, caution):
+            slots += [(at, worker) for at in _compute_slot_times(cell, step, worker, wanted, now)]
+    if step.spec.gang and len(slots) < wanted:
         return []
-    seats.sort(key=lambda seat: seat[0])
-    return seats[:wanted]
+    slots.sort(key=lambda seat: seat[0])
+    return slots[:wanted]
 
 
-def _seat_times(cell: Cell, step: Step, worker: Worker, wanted: int, now: float) -> list[float]:
+def _compute_slot_times(
+    cell: Cell, step: Step, worker: Worker, wanted: int, now: float
+) -> list[float]:
     """Give when each further task of a step is expected to find room at a worker."""
-    most = min(wanted, most_seats(step, worker))
+    max_tasks = min(wanted, max_additional_tasks(step, worker))
     free = worker.free_for(step.key, step.rank)
-    times = [now] * min(most, fitting(free, step.spec.room))
+    times = [now] * min(max_tasks, count_fitting(free, step.spec.room))
     for at, room in room_to_come(cell, worker, now):
-        if len(times) >= most or math.isinf(at):
+        if len(times) >= max_tasks or math.isinf(at):
             break
         free = free.plus(room)
-        times += [at] * (min(most, fitting(free, step.spec.room)) - len(times))
+        times += [at] * (min(max_tasks, count_fitting(free, step.spec.room)) - len(times))
     return times
 
 
-def keep_room(
+def hold_room(
     cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float, seconds: float
 ) -> None:
     """Keep the room that a step sees, but may not take yet, from steps that rank lower.
@@ -131,13 +137,13 @@
     lives = set()
     for worker in workers:
         free = worker.free_for(step.key, step.rank)
-        seats = min(wanted, most_seats(step, worker), fitting(free, step.spec.room))
-        if seats:
-            worker.claims[step.key] = Hold(step.spec.room.times(seats), now, step.rank)
+        slots = min(wanted, max_additional_tasks(step, worker), count_fitting(free, step.spec.room))
+        if slots:
+            worker.claims[step.key] = Hold(step.spec.room.times(slots), now, step.rank)
             lives.add(worker.life)
-            wanted -= seats
+            wanted -= slots
     if lives:
-        cell.claims[step.key] = Claim(now + seconds, frozenset(lives), is_forced=False)
+        cell.claims[step.key] = Claim(now + seconds, frozenset(lives), is_preemptive=False)
 
 
 def release_claim(cell: Cell, key: StepKey) -> None:
--- a/src/snowdock/jobs/room_use.py
+++ b/src/snowdock/jobs/room_use.py
@@ -7,7 +7,7 @@
 import enum
 
 from .cell import Cell
-from .parts import Step
+from .job_state import Step
 from .workers import Worker
 
 __all__ = ["Lack", "find_lack", "share_in_use", "tell_room_use"]
@@ -34,20 +34,20 @@
 
 def tell_room_use(cell: Cell, now: float) -> None:
     """Tell for each service what room is in use and what its waiting steps lack, if it is time."""
-    if now - cell.room_told_at < _TELL_SECONDS:
+    if now - cell.room_logged_at < _TELL_SECONDS:
         return
-    cell.room_told_at = now
+    cell.room_logged_at = now
     services: dict[str, list[Worker]] = collections.defaultdict(list)
     for worker in cell.workers.values():
         services[worker.entry.service].append(worker)
     waiting: dict[str, list[Step]] = collections.defaultdict(list)
-    for step in cell.waiting.values():
+    for step in cell.waiting_steps.values():
         waiting[cell.queue_of(step.job).service].append(step)
     for service, workers in services.items():
         lacks = collections.Counter(
             find_lack(step, workers, cell.workers, now) for step in waiting[service]
         )
-        cell.tell(
+        cell.log_decision(
             "room_use",
             service,
             cpu=share_in_use(workers, "cpu"),
--- a/src/snowdock/jobs/runs.py
+++ b/src/snowdock/jobs/runs.py
@@ -2,29 +2,29 @@
 
 import math
 
-from .cell import Cell, HeldRenewal, Stop
+from .cell import Cell, DeferredRenewal, PendingStop
 from .charges import charge_end
 from .durability import mark
 from .events import PublishStatus, SendStop
 from .failed_runs import note_failed_run, note_good_end
+from .job_state import Job, Phase, Step, Task
 from .model import JobStatus, TaskId
 from .occupancy import vacate
 from .orders import EndedRun, EndKind, StopOrder
-from .parts import Job, Phase, Step, Task
 from .workers import Worker
 
 __all__ = [
     "abort_gang",
     "acknowledge_ends",
+    "apply_run_end",
     "cancel_job",
+    "create_repetition",
+    "enqueue_ready_steps",
     "fail_job",
-    "note_begun",
-    "open_repetition",
-    "open_steps",
-    "refuse_run",
+    "mark_job_running",
+    "record_malformed_run",
     "send_stop",
     "stop_run",
-    "take_end",
     "void_run",
 ]
 
@@ -33,7 +33,7 @@
 """Pause after a start that was called malformed."""
 
 
-def open_repetition(job: Job, repetition: int) -> list[Step]:
+def create_repetition(job: Job, repetition: int) -> list[Step]:
     """Make the steps and tasks of one repetition."""
     steps = []
     for number, spec in enumerate(job.accepted.spec.steps):
@@ -46,61 +46,61 @@
     return steps
 
 
-def open_steps(cell: Cell, steps: list[Step]) -> None:
+def enqueue_ready_steps(cell: Cell, steps: list[Step]) -> None:
     """Queue the steps of a repetition whose earlier steps are done."""
     for step in steps:
         if step.is_done or not all(steps[earlier].is_done for earlier in step.spec.after):
             continue
         if any(task.phase is Phase.WAITING for task in step.tasks):
-            _queue(cell, step)
+            _enqueue_step(cell, step)
 
 
-def _queue(cell: Cell, step: Step) -> None:
+def _enqueue_step(cell: Cell, step: Step) -> None:
     if step.job.status.is_final:
         return
     if step.spec.gang and any(task.is_placed for task in step.tasks):
         return
-    if step.key not in cell.waiting:
-        cell.waiting[step.key] = step
+    if step.key not in cell.waiting_steps:
+        cell.waiting_steps[step.key] = step
         step.queued_at = cell.now
         step.rank = cell.policy.rank(step, cell.now)
         step.ranked_at = cell.now
-    step.look_again_at = 0.0
-    cell.placing_wanted = True
+    step.next_search_at = 0.0
+    cell.needs_placement = True
 
 
-def note_begun(cell: Cell, job: Job) -> None:
+def mark_job_running(cell: Cell, job: Job) -> None:
     """Show that a task of a job has begun, as a worker has told.
 
     A start that is refused, or lost, leaves its job waiting.
     """
     if job.status is JobStatus.PENDING:
         job.status = JobStatus.RUNNING
-        cell.publish(job)
+        cell.publish_status(job)
 
 
 # -- ends ----------------------------------------------------------------------------------
 
 
-def take_end(cell: Cell, worker: Worker, end: EndedRun, now: float) -> None:
+def apply_run_end(cell: Cell, worker: Worker, end: EndedRun, now: float) -> None:
     """Take over an end that a worker lists."""
     vacate(cell, worker.life, end.task, end.run)
-    cell.stops.pop((worker.life, end.task, end.run), None)
-    cell.placing_wanted = True
+    cell.pending_stops.pop((worker.life, end.task, end.run), None)
+    cell.needs_placement = True
     task = cell.find_task(end.task)
-    _note_health(cell, worker, end, task, now)
+    _record_worker_health(cell, worker, end, task, now)
     if task is None:
         return
     if not task.is_current_run(end.run, worker.life):
-        _take_stale_end(cell, task, end, worker.life, now)
+        _apply_stale_end(cell, task, end, worker.life, now)
         return
     task.life = ""
     job = task.step.job
-    note_begun(cell, job)
+    mark_job_running(cell, job)
     mark(cell, job)
     if end.checkpoint:
         task.checkpoint = end.checkpoint
-    cell.tell(
+    cell.log_decision(
         "run_ended",
         job.id,
         task=task.id,
@@ -112,19 +112,21 @@
     if task.phase is Phase.DONE:
         return
     if end.kind is EndKind.DONE and not task.step.spec.long_running:
-        _finish(cell, task, now)
+        _complete_task(cell, task, now)
         return
     if end.kind is EndKind.FAILED and not task.step.spec.long_running:
-        _note_failure(cell, task, end.run, worker.life, now)
+        _record_failure(cell, task, end.run, worker.life, now)
     if charge_end(cell, worker, task, end.run):
         fail_job(cell, job, now)
     if not job.status.is_final:
-        _wait_again(cell, task, now)
+        _requeue_task(cell, task, now)
 
 
-def _take_stale_end(cell: Cell, task: Task, end: EndedRun, life: str, now: float) -> None:
+def _apply_stale_end(cell: Cell, task: Task, end: EndedRun, life: str, now: float) -> None:
     """Take over the end of a run that had been given up as lost: a failure still counts."""
-    cell.tell("stale_end", task.id.job, task=task.id, run=end.run, how=end.kind.value, worker=life)
+    cell.log_decision(
+        "stale_end", task.id.job, task=task.id, run=end.run, how=end.kind.value, worker=life
+    )
     if end.kind is not EndKind.FAILED or task.step.spec.long_running:
         return
     if end.run in task.failed_runs:
@@ -132,81 +134,83 @@
         return
     if task.phase is not Phase.DONE and not task.step.job.status.is_final:
         mark(cell, task.step.job)
-        _note_failure(cell, task, end.run, life, now)
+        _record_failure(cell, task, end.run, life, now)
 
 
-def _note_health(cell: Cell, worker: Worker, end: EndedRun, task: Task | None, now: float) -> None:
+def _record_worker_health(
+    cell: Cell, worker: Worker, end: EndedRun, task: Task | None, now: float
+) -> None:
     if task is None:
         return
     if end.kind is EndKind.DONE:
-        began_at = task.since if task.is_current_run(end.run, worker.life) else -math.inf
+        began_at = task.phase_since if task.is_current_run(end.run, worker.life) else -math.inf
         note_good_end(cell, worker, task.step, began_at, now)
     elif end.kind is EndKind.FAILED:
         note_failed_run(cell, worker, task.step, now)
 
 
-def _finish(cell: Cell, task: Task, now: float) -> None:
+def _complete_task(cell: Cell, task: Task, now: float) -> None:
     step = task.step
     # One member's good end is that of its whole gang.
-    finished = step.tasks if step.spec.gang else [task]
-    for each in finished:
+    finished_tasks = step.tasks if step.spec.gang else [task]
+    for each in finished_tasks:
         if each.phase is not Phase.DONE:
             each.phase = Phase.DONE
-            step.done += 1
+            step.done_count += 1
     if not step.is_done or step.job.status.is_final:
         return
-    cell.waiting.pop(step.key, None)
+    cell.waiting_steps.pop(step.key, None)
     job = step.job
     steps = job.repetitions[step.repetition]
     if all(each.is_done for each in steps):
-        _complete_if_whole(cell, job, now)
+        _complete_job_if_done(cell, job, now)
     else:
-        open_steps(cell, steps)
+        enqueue_ready_steps(cell, steps)
 
 
-def _complete_if_whole(cell: Cell, job: Job, now: float) -> None:
-    wanted = max(1, job.accepted.spec.repetitions)
-    if len(job.repetitions) < wanted:
+def _complete_job_if_done(cell: Cell, job: Job, now: float) -> None:
+    repetition_count = max(1, job.accepted.spec.repetitions)
+    if len(job.repetitions) < repetition_count:
         return
     if all(step.is_done for steps in job.repetitions for step in steps):
-        _conclude(cell, job, JobStatus.COMPLETED, now)
+        _end_job(cell, job, JobStatus.COMPLETED, now)
 
 
-def _note_failure(cell: Cell, task: Task, run: int, life: str, now: float) -> None:
+def _record_failure(cell: Cell, task: Task, run: int, life: str, now: float) -> None:
     """Count a failed run; the job fails where its queue allows no more."""
     step = task.step
-    if task.avoid is None:
-        task.avoid = set()
-    task.avoid.add(life)
+    if task.avoided_lives is None:
+        task.avoided_lives = set()
+    task.avoided_lives.add(life)
     # A gang's run fails once, however many of its members do; all carry its count.
     for each in step.tasks if step.spec.gang else [task]:
         each.failed_runs.add(run)
     step.not_before = now + cell.policy.backoff_seconds(step, task.failures)
-    attempts = cell.queue_of(step.job).max_attempts
-    if task.failures >= attempts:
+    max_attempts = cell.queue_of(step.job).max_attempts
+    if task.failures >= max_attempts:
         fail_job(cell, step.job, now)
 
 
-def refuse_run(cell: Cell, task: Task, run: int, life: str, now: float) -> None:
+def record_malformed_run(cell: Cell, task: Task, run: int, life: str, now: float) -> None:
     """Count a run that its worker called malformed as a failed one, on record as these are."""
     job = task.step.job
     if job.status.is_final:
         return
     mark(cell, job)
-    _note_failure(cell, task, run, life, now)
+    _record_failure(cell, task, run, life, now)
     task.step.not_before = max(task.step.not_before, now + _MALFORMED_PAUSE_SECONDS)
 
 
-def _wait_again(cell: Cell, task: Task, now: float) -> None:
+def _requeue_task(cell: Cell, task: Task, now: float) -> None:
     task.phase = Phase.WAITING
-    task.since = now
+    task.phase_since = now
     task.percent = 0.0
-    task.seen_at = 0.0
-    task.seen_percent = 0.0
+    task.measured_at = 0.0
+    task.measured_percent = 0.0
     step = task.step
     if step.spec.gang:
         abort_gang(cell, step, now)
-    _queue(cell, step)
+    _enqueue_step(cell, step)
 
 
 def abort_gang(cell: Cell, step: Step, now: float) -> None:
@@ -214,7 +218,7 @@
     for task in step.tasks:
         if task.phase in (Phase.ORDERED, Phase.UNSURE, Phase.RUNNING, Phase.RECORDED):
             stop_run(cell, task, now)
-    _queue(cell, step)
+    _enqueue_step(cell, step)
 
 
 def stop_run(cell: Cell, task: Task, now: float) -> None:
@@ -222,24 +226,24 @@
     if not task.is_placed:
         return
     if task.phase is Phase.RECORDED:
-        _drop_run(cell, task)
+        _discard_run(cell, task)
         return
     task.phase = Phase.STOPPING
-    task.since = now
-    if (task.life, task.id, task.run) not in cell.stops:
+    task.phase_since = now
+    if (task.life, task.id, task.run) not in cell.pending_stops:
         send_stop(cell, task.life, task.id, task.run, now)
 
 
 def send_stop(cell: Cell, life: str, task: TaskId, run: int, now: float) -> None:
     """Order a worker to stop a run for the first time; the order is repeated until it ends."""
-    cell.stops[life, task, run] = Stop(now)
+    cell.pending_stops[life, task, run] = PendingStop(now)
     cell.emit(SendStop(life, StopOrder(task, run, cell.token)))
 
 
-def _drop_run(cell: Cell, task: Task) -> None:
+def _discard_run(cell: Cell, task: Task) -> None:
     vacate(cell, task.life, task.id, task.run)
-    cell.stops.pop((task.life, task.id, task.run), None)
-    cell.placing_wanted = True
+    cell.pending_stops.pop((task.life, task.id, task.run), None)
+    cell.needs_placement = True
     task.life = ""
     if task.phase is not Phase.DONE:
         task.phase = Phase.WAITING
@@ -248,9 +252,9 @@
 
 def void_run(cell: Cell, task: Task, now: float) -> None:
     """Close a run that never started or is surely over; it counts as no attempt."""
-    _drop_run(cell, task)
+    _discard_run(cell, task)
     if task.phase is not Phase.DONE and not task.step.job.status.is_final:
-        _wait_again(cell, task, now)
+        _requeue_task(cell, task, now)
 
 
 # -- jobs ----------------------------------------------------------------------------------
@@ -259,28 +263,28 @@
 def cancel_job(cell: Cell, job: Job, now: float) -> None:
     """Cancel a job that has not ended."""
     if not job.status.is_final:
-        _conclude(cell, job, JobStatus.CANCELLED, now)
+        _end_job(cell, job, JobStatus.CANCELLED, now)
 
 
 def fail_job(cell: Cell, job: Job, now: float) -> None:
     """Give a job up that has not ended; callers are told as soon as that is on record."""
     if not job.status.is_final:
-        _conclude(cell, job, JobStatus.FAILED, now)
+        _end_job(cell, job, JobStatus.FAILED, now)
 
 
-def _conclude(cell: Cell, job: Job, status: JobStatus, now: float) -> None:
+def _end_job(cell: Cell, job: Job, status: JobStatus, now: float) -> None:
     job.status = status
-    cell.final_jobs[job.id] = now
-    cell.scheduled.pop(job.id, None)
+    cell.job_ended_at[job.id] = now
+    cell.scheduled_jobs.pop(job.id, None)
     for steps in job.repetitions:
         for step in steps:
-            cell.waiting.pop(step.key, None)
+            cell.waiting_steps.pop(step.key, None)
     for task in job.all_tasks():
         if task.phase is not Phase.DONE:
             stop_run(cell, task, now)
     mark(cell, job)
-    cell.held.append(PublishStatus(job.id, job.queue, status, job.team))
-    cell.tell(
+    cell.deferred.append(PublishStatus(job.id, job.queue, status, job.team))
+    cell.log_decision(
         "job_ended",
         job.id,
         status=status.name.lower(),
@@ -291,4 +295,4 @@
 
 def acknowledge_ends(cell: Cell, worker: Worker) -> None:
     """Let a worker forget the ends taken over from it, once they are on record."""
-    cell.held.append(HeldRenewal(worker.life, worker.known_ends))
+    cell.deferred.append(DeferredRenewal(worker.life, worker.known_ends))
--- a/src/snowdock/jobs/set_aside.py
+++ b/src/snowdock/jobs/set_aside.py
@@ -33,7 +33,7 @@
     worker.aside_until = until
     worker.aside_for = cause
     if is_news:
-        cell.tell(
+        cell.log_decision(
             "worker_set_aside",
             worker.life,
             cause=cause.value,
@@ -48,7 +48,7 @@
     if worker.aside_for is cause:
         worker.aside_until = min(worker.aside_until, now)
         _tell_back(cell, worker, now)
-        cell.placing_wanted = True
+        cell.needs_placement = True
 
 
 def take_back_due(cell: Cell, now: float) -> None:
@@ -60,7 +60,7 @@
 
 def _tell_back(cell: Cell, worker: Worker, now: float) -> None:
     cause, worker.aside_for = worker.aside_for, None
-    cell.tell(
+    cell.log_decision(
         "worker_back", worker.life, cause=cause.value, **_show_counts(cell, worker, cause, now)
     )
 
--- a/src/snowdock/jobs/shares.py
+++ b/src/snowdock/jobs/shares.py
@@ -10,13 +10,13 @@
 from ..declarations import ZERO, Size
 from .cell import Cell
 
-__all__ = ["count_capacity", "share_used", "tell_team_use"]
+__all__ = ["log_team_usage", "share_used", "sum_capacity"]
 
-_TELL_SECONDS = 1.0
+_LOG_INTERVAL_SECONDS = 1.0
 """Time between two lines about a team."""
 
 
-def count_capacity(cell: Cell) -> Size:
+def sum_capacity(cell: Cell) -> Size:
     """Give all room of the workers that are known."""
     total = ZERO
     for worker in cell.workers.values():
@@ -33,35 +33,37 @@
     share = cell.configuration.teams.share(team)
     if not share:
         return 0.0
-    return _largest_part(cell.team_use.used(team), cell.capacity) / share
+    return _compute_dominant_share(cell.team_usage.used(team), cell.capacity) / share
 
 
-def tell_team_use(cell: Cell, now: float) -> None:
+def log_team_usage(cell: Cell, now: float) -> None:
     """Tell of each team that waits what it uses of its quota and its share, if it is time."""
-    if now - cell.teams_told_at < _TELL_SECONDS:
+    if now - cell.teams_logged_at < _LOG_INTERVAL_SECONDS:
         return
-    cell.teams_told_at = now
-    waiting = collections.Counter(step.job.team for step in cell.waiting.values())
-    held = collections.Counter(step.job.team for step in cell.waiting.values() if step.is_at_quota)
+    cell.teams_logged_at = now
+    waiting = collections.Counter(step.job.team for step in cell.waiting_steps.values())
+    at_quota = collections.Counter(
+        step.job.team for step in cell.waiting_steps.values() if step.is_at_quota
+    )
     for name, steps in waiting.items():
         team = cell.configuration.teams.named(name)
         if team is None:
             continue
-        used = cell.team_use.used(name)
-        cell.tell(
+        used = cell.team_usage.used(name)
+        cell.log_decision(
             "team_use",
             name,
             cpu=used.cpu / 1000,
             memory_gb=used.memory / 1024,
             accelerators=used.accelerators,
-            of_quota=_largest_part(used, team.quota),
+            of_quota=_compute_dominant_share(used, team.quota),
             of_share=share_used(cell, name),
             waiting=steps,
-            at_quota=held[name],
+            at_quota=at_quota[name],
         )
 
 
-def _largest_part(used: Size, whole: Size) -> float:
+def _compute_dominant_share(used: Size, whole: Size) -> float:
     pairs = (
         (used.cpu, whole.cpu),
         (used.memory, whole.memory),
--- a/src/snowdock/jobs/speeds.py
+++ b/src/snowdock/jobs/speeds.py
@@ -7,8 +7,8 @@
 import math
 
 from .cell import Cell
+from .job_state import Phase, Step, Task
 from .orders import RunningRun
-from .parts import Phase, Step, Task
 from .workers import Worker
 
 __all__ = ["fade_slowness", "note_progress", "usual_seconds", "would_gain_elsewhere"]
@@ -54,31 +54,31 @@
 
 
 def _step_log(step: Step) -> float:
-    if step.usual_log is None:
-        step.usual_log = math.log(max(_LEAST_SECONDS, step.spec.estimate_ms / 1000))
-    return step.usual_log
+    if step.log_run_seconds is None:
+        step.log_run_seconds = math.log(max(_LEAST_SECONDS, step.spec.estimate_ms / 1000))
+    return step.log_run_seconds
 
 
 def note_progress(worker: Worker, task: Task, row: RunningRun, now: float) -> None:
     """Learn from a report of a run's progress."""
     if task.phase is not Phase.RUNNING:
         return
-    if task.seen_at == 0.0 or row.percent < task.seen_percent:
+    if task.measured_at == 0.0 or row.percent < task.measured_percent:
         # The first look, or a run that went on from its checkpoint.
-        task.seen_at = now
-        task.seen_percent = row.percent
+        task.measured_at = now
+        task.measured_percent = row.percent
         return
-    seconds = now - task.seen_at
+    seconds = now - task.measured_at
     if seconds < _WINDOW_SECONDS or row.percent >= 100:
         return
-    gained = max(row.percent - task.seen_percent, 0.5)
-    task.seen_at = now
-    task.seen_percent = row.percent
+    gained = max(row.percent - task.measured_percent, 0.5)
+    task.measured_at = now
+    task.measured_percent = row.percent
     observed = math.log(100 * seconds / gained)
     step_log = _step_log(task.step)
     surprise = max(-_LARGEST_LOG, min(_LARGEST_LOG, observed - step_log))
     worker.slow_log += _WORKER_WEIGHT * (surprise - worker.slow_log)
-    task.step.usual_log = step_log + _STEP_WEIGHT * (observed - worker.slow_log - step_log)
+    task.step.log_run_seconds = step_log + _STEP_WEIGHT * (observed - worker.slow_log - step_log)
 
 
 def fade_slowness(cell: Cell) -> None:
--- a/src/snowdock/jobs/starving.py
+++ b/src/snowdock/jobs/starving.py
@@ -7,11 +7,11 @@
 import collections
 
 from .availability import Closed, why_closed
+from .candidates import Caution, caution_for, count_fitting, max_additional_tasks
 from .cell import Cell
 from .failed_runs import is_being_proved, is_doubtful
-from .parts import Step
+from .job_state import Step
 from .room_use import share_in_use
-from .seats import Care, care_of, fitting, most_seats
 from .suspects import may_join, next_tasks
 from .workers import Worker
 
@@ -36,10 +36,12 @@
 
 def tell_starving(cell: Cell, now: float) -> None:
     """Tell of jobs that have run nothing for a while beside free room, if it is time."""
-    if now - cell.starving_told_at < _TELL_SECONDS:
+    if now - cell.starving_logged_at < _TELL_SECONDS:
         return
-    cell.starving_told_at = now
-    idle = [step for step in cell.waiting.values() if now - step.waiting_since >= _IDLE_SECONDS]
+    cell.starving_logged_at = now
+    idle = [
+        step for step in cell.waiting_steps.values() if now - step.waiting_since >= _IDLE_SECONDS
+    ]
     if not idle:
         return
     services: dict[str, list[Worker]] = collections.defaultdict(list)
@@ -71,7 +73,7 @@
     wanted = len(step.tasks) if step.spec.gang else 1
     seats = 0
     for worker in workers:
-        seats += min(fitting(worker.free, step.spec.room), most_seats(step, worker))
+        seats += min(count_fitting(worker.free, step.spec.room), max_additional_tasks(step, worker))
         if seats >= _SPARE_FACTOR * wanted:
             return True
     return False
@@ -79,7 +81,7 @@
 
 def _tell(cell: Cell, step: Step, workers: list[Worker], now: float, idle_steps: int) -> None:
     reasons = collections.Counter(why_closed_to(cell, step, worker, now) for worker in workers)
-    cell.tell(
+    cell.log_decision(
         "job_starves",
         step.job.id,
         step=step.number,
@@ -87,7 +89,7 @@
         failures=max(task.failures for task in step.tasks),
         paused_s=max(0.0, step.not_before - now),
         at_quota=step.is_at_quota,
-        asking=step.advice.asking if step.advice else 0,
+        asking=step.advice.pending_requests if step.advice else 0,
         idle_steps=idle_steps,
         open=reasons[None],
         **{closed.value: count for closed, count in reasons.items() if closed is not None},
@@ -104,7 +106,7 @@
         return Closed.SUSPECT
     if is_being_proved(worker, now):
         return Closed.ON_TRIAL
-    if care_of(cell, step) is Care.MOST and is_doubtful(worker):
+    if caution_for(cell, step) is Caution.HIGH and is_doubtful(worker):
         return Closed.DOUBTFUL
     if step.spec.label and step.spec.label not in worker.entry.labels:
         return Closed.UNFIT
@@ -113,7 +115,7 @@
             return Closed.UNFIT
         if step.advice.valid_ticket(worker.life, now) is None:
             return Closed.TICKET
-    if not worker.free.holds(step.spec.room) or most_seats(step, worker) <= 0:
+    if not worker.free.holds(step.spec.room) or max_additional_tasks(step, worker) <= 0:
         return Closed.ROOM
     kept = worker.free_for(step.key, step.rank)
     return None if kept.holds(step.spec.room) else Closed.RESERVED
--- a/src/snowdock/jobs/suspects.py
+++ b/src/snowdock/jobs/suspects.py
@@ -12,9 +12,9 @@
 import enum
 from collections.abc import Iterable
 
+from .candidates import Candidate
 from .cell import Cell
-from .parts import Phase, Step, Task
-from .seats import Seats
+from .job_state import Phase, Step, Task
 from .workers import Worker
 
 __all__ = ["Company", "may_join", "next_tasks", "note_crash", "note_suspect", "spread"]
@@ -62,7 +62,7 @@
 
 def _company(task: Task, now: float) -> Company:
     losses = len(task.lost_runs)
-    waited = now - task.since
+    waited = now - task.phase_since
     if losses >= ALONE_FROM and waited < _ALONE_SECONDS:
         return Company.NOBODY
     if losses >= APART_FROM and waited < _APART_SECONDS:
@@ -77,7 +77,7 @@
     return company is Company.ANYBODY or not worker.suspects
 
 
-def spread(cell: Cell, step: Step, seats: Iterable[Seats], company: Company) -> list[Seats]:
+def spread(cell: Cell, step: Step, seats: Iterable[Candidate], company: Company) -> list[Candidate]:
     """Give the seats for suspects: one a worker, and those where none crashed lately first."""
     found = []
     for seat in seats:
--- a/src/snowdock/jobs/takeover.py
+++ b/src/snowdock/jobs/takeover.py
@@ -4,12 +4,12 @@
 
 from .cell import Cell, Orphan
 from .events import Effect, ForgetAccepted, JobAccepted, PublishStatus
+from .job_state import Job, Phase
 from .lives import worker_of
 from .model import JobId
-from .parts import Job, Phase
 from .progress import AcceptedJob, JobProgress, TaskProgress, job_of_record
 from .reducer import accept_job
-from .runs import cancel_job, open_repetition, open_steps
+from .runs import cancel_job, create_repetition, enqueue_ready_steps
 
 __all__ = ["RecordedJobs", "restore"]
 
@@ -38,7 +38,7 @@
     Runs that an earlier leader placed count as running until their worker tells otherwise.
     """
     cell.now = now
-    cell.unreadable = set(recorded.unreadable)
+    cell.unreadable_jobs = set(recorded.unreadable)
     for job_id, accepted in recorded.accepted.items():
         progress = recorded.progress.get(job_id)
         if progress is None:
@@ -50,8 +50,8 @@
     for job_id in recorded.progress.keys() - recorded.accepted.keys():
         _restore_ended(cell, job_id, recorded.progress[job_id], now)
     for name in recorded.cancelled:
-        if job_of_record(name) not in cell.jobs.keys() | cell.final_jobs.keys():
-            cell.cancelled_ahead.add(name)
+        if job_of_record(name) not in cell.jobs.keys() | cell.job_ended_at.keys():
+            cell.early_cancellations.add(name)
     effects, cell.effects = cell.effects, []
     return effects
 
@@ -65,9 +65,9 @@
 def _restore_ended(cell: Cell, job_id: JobId, progress: JobProgress, now: float) -> None:
     """Show how a job has ended of which nothing else is on record."""
     if not progress.status.is_final:
-        cell.tell("job_record_missing", job_id, status=progress.status.name.lower())
+        cell.log_decision("job_record_missing", job_id, status=progress.status.name.lower())
         return
-    cell.final_jobs[job_id] = now
+    cell.job_ended_at[job_id] = now
     # Its queue is known no more; it counts for none, having ended.
     cell.emit(PublishStatus(job_id, "", progress.status, progress.team))
 
@@ -84,24 +84,24 @@
     job = Job(job_id, accepted, now - age_s, progress.status)
     cell.jobs[job_id] = job
     if job.status.is_final:
-        cell.final_jobs[job_id] = now
+        cell.job_ended_at[job_id] = now
     spec = accepted.spec
     reached = max((record.repetition + 1 for record in progress.tasks), default=0)
     while len(job.repetitions) < max(reached, 0 if spec.repetitions else 1):
-        open_repetition(job, len(job.repetitions))
+        create_repetition(job, len(job.repetitions))
     for record in progress.tasks:
         _restore_task(cell, job, record)
-    cell.publish(job)
+    cell.publish_status(job)
     if job.status.is_final:
         if not progress.tasks:
             cell.emit(ForgetAccepted((job.record_name,)))
         return
     if spec.repetitions:
-        cell.scheduled[job_id] = job
+        cell.scheduled_jobs[job_id] = job
     for steps in job.repetitions:
         for step in steps:
-            step.done = sum(task.phase is Phase.DONE for task in step.tasks)
-        open_steps(cell, steps)
+            step.done_count = sum(task.phase is Phase.DONE for task in step.tasks)
+        enqueue_ready_steps(cell, steps)
 
 
 def _restore_task(cell: Cell, job: Job, record: TaskProgress) -> None:
@@ -113,14 +113,14 @@
     task.checkpoint = record.checkpoint
     # When its phase began is not on record. Left at 0, a task that lasts was cleared of its crashes
     # by the first report, as if it had worked since this machine's start.
-    task.since = task.ordered_at = cell.now
+    task.phase_since = task.ordered_at = cell.now
     if record.done:
         task.phase = Phase.DONE
     if not record.life:
         return
     task.life = record.life
-    cell.team_use.hold(record.life, task.id, record.run, job.team, task.step.spec.size)
+    cell.team_usage.add_run(record.life, task.id, record.run, job.team, task.step.spec.size)
     if not record.done:
         task.phase = Phase.RUNNING
-    orphan = Orphan(task, record.run, record.life, cell.claimed_at)
+    orphan = Orphan(task, record.run, record.life, cell.leadership_claimed_at)
     cell.orphans.setdefault(worker_of(record.life), []).append(orphan)
--- a/src/snowdock/jobs/team_use.py
+++ b/src/snowdock/jobs/team_usage.py
@@ -8,27 +8,27 @@
 from ..declarations import ZERO, Size
 from .model import TaskId
 
-__all__ = ["TeamUse"]
+__all__ = ["TeamUsage"]
 
 _Run = tuple[str, TaskId, int]
 """A worker's life, a task, and the number of its run."""
 
 
-class TeamUse:
+class TeamUsage:
     """The room that runs take of their teams' quotas."""
 
     def __init__(self) -> None:
         self._runs: dict[_Run, tuple[str, Size]] = {}
         self._used: dict[str, Size] = {}
 
-    def hold(self, life: str, task: TaskId, run: int, team: str, size: Size) -> None:
+    def add_run(self, life: str, task: TaskId, run: int, team: str, size: Size) -> None:
         """Count a run as its team's; one that is counted already stays as it is."""
         if not team or (life, task, run) in self._runs:
             return
         self._runs[life, task, run] = (team, size)
         self._used[team] = self.used(team).plus(size)
 
-    def drop(self, life: str, task: TaskId, run: int) -> None:
+    def remove_run(self, life: str, task: TaskId, run: int) -> None:
         """Count a run no more that surely neither is nor will be at a worker."""
         found = self._runs.pop((life, task, run), None)
         if found is None:
@@ -44,6 +44,6 @@
         """Give what a team has running."""
         return self._used.get(team, ZERO)
 
-    def teams(self) -> dict[str, Size]:
+    def used_by_team(self) -> dict[str, Size]:
         """Give what each team has running that runs anything."""
         return dict(self._used)
--- a/src/snowdock/jobs/worker_lives.py
+++ b/src/snowdock/jobs/worker_lives.py
@@ -24,18 +24,20 @@
     worker = cell.workers.get(entry.life)
     if worker is not None:
         if entry.draining and not worker.entry.draining:
-            cell.tell("worker_draining", entry.life, remaining_ms=entry.remaining_ms)
+            cell.log_decision("worker_draining", entry.life, remaining_ms=entry.remaining_ms)
         worker.entry = entry
         worker.listed = True
         return
-    if not cell.names_service(entry.service):
-        if entry.life not in cell.unnamed:
-            cell.tell("worker_unnamed", entry.life, service=entry.service, address=entry.address)
-        cell.unnamed[entry.life] = entry
+    if not cell.is_known_service(entry.service):
+        if entry.life not in cell.unknown_service_workers:
+            cell.log_decision(
+                "worker_unnamed", entry.life, service=entry.service, address=entry.address
+            )
+        cell.unknown_service_workers[entry.life] = entry
         return
     worker = Worker(entry)
     cell.workers[entry.life] = worker
-    cell.tell("worker_listed", entry.life, service=entry.service, address=entry.address)
+    cell.log_decision("worker_listed", entry.life, service=entry.service, address=entry.address)
     for orphan in cell.orphans.pop(entry.worker, []):
         _take_orphan(cell, worker, orphan, now)
     cell.emit(OpenWorker(entry.life, entry.address))
@@ -66,7 +68,7 @@
     cell.newest_lives[entry.worker] = entry.life
     if before is None or before == entry.life:
         return
-    cell.unnamed.pop(before, None)
+    cell.unknown_service_workers.pop(before, None)
     worker = cell.workers.get(before)
     if worker is not None:
         has_crashed = not worker.entry.draining
@@ -76,7 +78,7 @@
 
 def list_named_workers(cell: Cell, now: float) -> None:
     """Take over the entries of workers whose service has come to be named."""
-    waiting, cell.unnamed = cell.unnamed, {}
+    waiting, cell.unknown_service_workers = cell.unknown_service_workers, {}
     for entry in waiting.values():
         list_worker(cell, entry, now)
 
@@ -88,7 +90,7 @@
     said so, is cut off, or is gone.
     """
     cell.ended_lives.discard(life)
-    cell.unnamed.pop(life, None)
+    cell.unknown_service_workers.pop(life, None)
     worker = cell.workers.get(life)
     if worker is None:
         _forget_name(cell, life)
@@ -98,7 +100,7 @@
     worker.listed = False
     worker.delisted_at = now
     worker.may_return = may_return
-    cell.tell("worker_delisted", life, runs=len(worker.runs), may_return=may_return)
+    cell.log_decision("worker_delisted", life, runs=len(worker.runs), may_return=may_return)
 
 
 def end_life(
@@ -123,7 +125,7 @@
     else:
         _forget_name(cell, worker.life)
     cell.emit(CloseWorker(worker.life))
-    cell.tell("worker_ended", worker.life, reason=reason)
+    cell.log_decision("worker_ended", worker.life, reason=reason)
 
 
 def _forget_name(cell: Cell, life: str) -> None:
--- a/src/snowdock/jobs/worker_reports.py
+++ b/src/snowdock/jobs/worker_reports.py
@@ -4,12 +4,12 @@
 from .cell import Cell
 from .durability import RENEW_WAIT_MS, renew
 from .events import RenewAnswered
+from .job_state import Phase, Task
 from .lost_runs import absolve, take_back_losses
 from .model import TaskId
 from .occupancy import occupy, vacate
 from .orders import EndedRun, RunningRun, WorkerReport
-from .parts import Phase, Task
-from .runs import acknowledge_ends, note_begun, send_stop, stop_run, take_end, void_run
+from .runs import acknowledge_ends, apply_run_end, mark_job_running, send_stop, stop_run, void_run
 from .speeds import note_progress, would_gain_elsewhere
 from .worker_lives import take_life_refusal
 from .workers import Worker
@@ -39,8 +39,8 @@
 def _take_silence(cell: Cell, worker: Worker, now: float) -> None:
     if worker.silent_since is None:
         worker.silent_since = now
-        cell.silences.append(now)
-        cell.tell("worker_silent", worker.life, runs=len(worker.runs))
+        cell.silence_times.append(now)
+        cell.log_decision("worker_silent", worker.life, runs=len(worker.runs))
         renew(cell, worker, now, 0)
         return
     worker.is_mute = True
@@ -51,7 +51,7 @@
     cell: Cell, worker: Worker, event: RenewAnswered, report: WorkerReport, now: float
 ) -> None:
     if worker.silent_since is not None:
-        cell.tell("worker_answers", worker.life, silent_s=now - worker.silent_since)
+        cell.log_decision("worker_answers", worker.life, silent_s=now - worker.silent_since)
         worker.silent_since = None
         worker.is_mute = False
         # Runs are lost on a worker only while it is silent.
@@ -69,15 +69,17 @@
             _tell_passed_over(cell, worker, end)
         worker.known_ends = max(worker.known_ends, end.number)
         news = True
-        take_end(cell, worker, end, now)
+        apply_run_end(cell, worker, end, now)
     for row in report.running:
         listed.add((row.task, row.run))
         _take_running(cell, worker, row, now)
     _check_missing(cell, worker, listed, event.order.sent_at, now)
     if not worker.settled:
         worker.settled = True
-        cell.placing_wanted = True
-        cell.tell("worker_settled", worker.life, runs=len(worker.runs), clock_ms=report.clock_ms)
+        cell.needs_placement = True
+        cell.log_decision(
+            "worker_settled", worker.life, runs=len(worker.runs), clock_ms=report.clock_ms
+        )
     if news:
         acknowledge_ends(cell, worker)
     elif worker.known_ends == worker.seen_ends:
@@ -86,7 +88,7 @@
 
 def _tell_passed_over(cell: Cell, worker: Worker, end: EndedRun) -> None:
     """Tell of an end that counts as known by its number, while its run counts as there."""
-    cell.tell(
+    cell.log_decision(
         "end_passed_over",
         end.task.job,
         task=end.task,
@@ -110,22 +112,22 @@
     if task is None or not task.is_current_run(row.run, worker.life):
         _stop_stray(cell, worker, row.task, row.run, now)
         return
-    task.is_told = True
+    task.is_confirmed = True
     if row.checkpoint:
         task.checkpoint = row.checkpoint
     task.percent = row.percent
     if task.step.job.status.is_final and task.phase is not Phase.DONE:
         stop_run(cell, task, now)
         return
-    note_begun(cell, task.step.job)
+    mark_job_running(cell, task.step.job)
     if task.phase in (Phase.ORDERED, Phase.UNSURE):
         task.phase = Phase.RUNNING
-        task.since = now
+        task.phase_since = now
     absolve(cell, task, now)
     note_progress(worker, task, row, now)
     if would_gain_elsewhere(cell, worker, task):
         task.moves += 1
-        cell.tell(
+        cell.log_decision(
             "run_moved",
             task.id.job,
             task=task.id,
@@ -139,7 +141,7 @@
 
 def _stop_stray(cell: Cell, worker: Worker, task: TaskId, run: int, now: float) -> None:
     """Stop a run that nothing on record accounts for any more, and count its room."""
-    if (worker.life, task, run) in cell.stops:
+    if (worker.life, task, run) in cell.pending_stops:
         return
     known = cell.find_task(task)
     if known is not None:
@@ -148,7 +150,7 @@
         # How much room it takes is on record no more; it may be all that is free.
         worker.take(task, run, worker.free.at_least(ZERO))
     send_stop(cell, worker.life, task, run, now)
-    cell.tell("stray_stopped", task.job, task=task, run=run, worker=worker.life)
+    cell.log_decision("stray_stopped", task.job, task=task, run=run, worker=worker.life)
 
 
 def _check_missing(
@@ -160,7 +162,7 @@
             continue
         task = cell.find_task(task_id)
         current = task is not None and task.is_current_run(run, worker.life)
-        stop = cell.stops.get((worker.life, task_id, run))
+        stop = cell.pending_stops.get((worker.life, task_id, run))
         if stop is not None:
             if stop.answered_at is not None and stop.answered_at < sent_at:
                 # The worker has refused it for good, or its end was forgotten.
@@ -172,20 +174,22 @@
             stop_run(cell, task, now)
         elif not worker.settled or task.phase is Phase.DONE:
             _void(cell, worker, task, task_id, run, now)
-        elif task.phase is Phase.UNSURE and task.since < sent_at:
+        elif task.phase is Phase.UNSURE and task.phase_since < sent_at:
             stop_run(cell, task, now)
-        elif task.phase is Phase.RUNNING and task.since < sent_at:
-            cell.tell("run_vanished", task_id.job, task=task_id, run=run, worker=worker.life)
+        elif task.phase is Phase.RUNNING and task.phase_since < sent_at:
+            cell.log_decision(
+                "run_vanished", task_id.job, task=task_id, run=run, worker=worker.life
+            )
             stop_run(cell, task, now)
 
 
 def _void(
     cell: Cell, worker: Worker, task: Task | None, task_id: TaskId, run: int, now: float
 ) -> None:
-    cell.stops.pop((worker.life, task_id, run), None)
-    cell.tell("run_void", task_id.job, task=task_id, run=run, worker=worker.life)
+    cell.pending_stops.pop((worker.life, task_id, run), None)
+    cell.log_decision("run_void", task_id.job, task=task_id, run=run, worker=worker.life)
     if task is None:
         vacate(cell, worker.life, task_id, run)
-        cell.placing_wanted = True
+        cell.needs_placement = True
     else:
         void_run(cell, task, now)
--- a/src/snowdock/jobs/worker_watch.py
+++ b/src/snowdock/jobs/worker_watch.py
@@ -1,6 +1,6 @@
 """What time brings at workers: renewals that are due, leases that are over, stops to repeat."""
 
-from .cell import Cell, Stop
+from .cell import Cell, PendingStop
 from .durability import RENEW_WAIT_MS, renew
 from .events import SendStop
 from .lost_runs import lose_orphan, lose_runs
@@ -32,7 +32,7 @@
     for worker in list(cell.workers.values()):
         _watch_worker(cell, worker, now)
     _lose_orphans(cell, now)
-    for (life, task, run), stop in list(cell.stops.items()):
+    for (life, task, run), stop in list(cell.pending_stops.items()):
         _watch_stop(cell, life, task, run, stop, now)
 
 
@@ -74,19 +74,21 @@
     """Whether no lease that an earlier leader gave can still hold."""
     # Leases are counted from the claim: reading the records may take seconds on a store that loses
     # answers, and tasks that last stand meanwhile.
-    return _is_lapsed(cell, cell.claimed_at, now)
+    return _is_lapsed(cell, cell.leadership_claimed_at, now)
 
 
 def _is_lapsed(cell: Cell, since: float, now: float) -> bool:
     """Whether no lease that was given until a moment can still hold, where workers had a say."""
     has_heard = now - cell.started_at >= HEARING_SECONDS
-    return has_heard and now - since >= cell.settings.takeover_lapse_s
+    return has_heard and now - since >= cell.settings.unreached_run_expiry_s
 
 
-def _watch_stop(cell: Cell, life: str, task: TaskId, run: int, stop: Stop, now: float) -> None:
+def _watch_stop(
+    cell: Cell, life: str, task: TaskId, run: int, stop: PendingStop, now: float
+) -> None:
     worker = cell.workers.get(life)
     if worker is None:
-        del cell.stops[life, task, run]
+        del cell.pending_stops[life, task, run]
         return
     patience = _STOP_RETRY_SECONDS
     if stop.answered_at is not None:
--- a/src/snowdock/jobs/workers.py
+++ b/src/snowdock/jobs/workers.py
@@ -5,9 +5,9 @@
 import math
 
 from ..declarations import ZERO, Size
+from .job_state import Step
 from .lives import worker_of
 from .model import StepKey, TaskId
-from .parts import Step
 from .times import SLOWEST_CLOCK_RATE
 
 __all__ = ["AsideCause", "Charge", "Hold", "Worker", "WorkerEntry"]
--- a/tests/jobs_tools.py
+++ b/tests/jobs_tools.py
@@ -6,16 +6,16 @@
 from snowdock.declarations import Size
 from snowdock.emulator import Emulator
 from snowdock.emulator.workload import DrawnJob
-from snowdock.jobs.cell import Cell, CellSettings, Policy
+from snowdock.jobs.cell import Cell, CellSettings, SchedulingPolicy
 from snowdock.jobs.events import (
-    Decided,
     Effect,
     Event,
     JobAccepted,
+    LogDecision,
     Persist,
     Persisted,
     RenewAnswered,
-    SendRenew,
+    SendRenewal,
     SendStart,
     StartAnswered,
     Ticked,
@@ -46,14 +46,14 @@
 
 SETTINGS = CellSettings(
     lease_s=4.5,
-    takeover_lapse_s=10.0,
+    unreached_run_expiry_s=10.0,
     gang_wait_s=3.0,
     early_s=0.25,
     stop_s=0.4,
     retention_s=600.0,
 )
 
-POLICY = Policy(
+POLICY = SchedulingPolicy(
     rank=lambda step, now: -step.job.submitted_at,
     score=lambda step, worker, there: float(worker.free.cpu),
     backoff_seconds=lambda step, failures: 0.0,
@@ -74,26 +74,26 @@
         )
         self.cell.configuration = Configuration(1, (queue,), (Service("pool"),))
         self.effects: list[Effect] = []
-        self.seen: list[Effect] = []
-        self.told: list[Effect] = []
+        self.all_effects: list[Effect] = []
+        self.decisions: list[Effect] = []
         self.renewals: dict[str, RenewOrder] = {}
         self.recorded: dict[str, bytes] = {}
-        self.holds_store = False
+        self.is_store_paused = False
         self._jobs = itertools.count(1)
         self._ends = itertools.count(1)
 
     def feed(self, event: Event) -> list[Effect]:
         """Feed one event; batches are on record at once unless the store is held."""
         effects = reduce(self.cell, event, self.now, self.now * 1000)
-        self.told += of_type(effects, Decided)
+        self.decisions += filter_by_type(effects, LogDecision)
         for effect in list(effects):
-            if isinstance(effect, SendRenew):
+            if isinstance(effect, SendRenewal):
                 self.renewals[effect.life] = effect.order
-            if isinstance(effect, Persist) and not self.holds_store:
+            if isinstance(effect, Persist) and not self.is_store_paused:
                 self.recorded |= {record.job: record.data for record in effect.records}
                 effects += self.feed(Persisted(effect.number))
         self.effects = effects
-        self.seen += [effect for effect in effects if effect not in self.seen[-50:]]
+        self.all_effects += [effect for effect in effects if effect not in self.all_effects[-50:]]
         return effects
 
     def restore(self, recorded: RecordedJobs) -> list[Effect]:
@@ -101,22 +101,22 @@
 
     def tick(self, seconds: float) -> list[Effect]:
         """Let time pass in ticks; give all that was wanted meanwhile."""
-        found = []
+        effects = []
         for _ in range(round(seconds * 10)):
             self.now += 0.1
-            found += self.feed(Ticked(2))
-        return found
+            effects += self.feed(Ticked(2))
+        return effects
 
     def add_worker(
-        self, life: str = "w", cpu: int = 4000, settled: bool = True, address: str = "a:1"
+        self, life: str = "w", cpu: int = 4000, is_settled: bool = True, address: str = "a:1"
     ) -> None:
         size = Size(cpu, 9000, 0)
         entry = WorkerEntry(life, "pool", address, "hall", "r1", frozenset(), size)
         self.feed(WorkerListed(entry))
-        if settled:
+        if is_settled:
             self.report(life)
 
-    def renewal(self, life: str) -> RenewOrder:
+    def await_renewal(self, life: str) -> RenewOrder:
         """Give the renewal of a worker that is on its way, after waiting for one."""
         for _ in range(50):
             if life in self.renewals:
@@ -126,25 +126,25 @@
 
     def report(self, life: str, running=(), ended=()) -> list[Effect]:
         """Answer a worker's renewal with what runs and what has ended."""
-        order = self.renewal(life)
+        order = self.await_renewal(life)
         rows = [RunningRun(task, run, "", percent, 0.0) for task, run, percent in running]
         ends = [EndedRun(next(self._ends), task, run, kind, "") for task, run, kind in ended]
         self.now += 0.001
         outcome = WorkerReport(self.now * 1000, rows, ends)
         return self.feed(RenewAnswered(life, order, outcome))
 
-    def miss(self, life: str) -> list[Effect]:
+    def leave_unanswered(self, life: str) -> list[Effect]:
         """Leave a worker's renewal without an answer."""
-        return self.feed(RenewAnswered(life, self.renewal(life), None))
+        return self.feed(RenewAnswered(life, self.await_renewal(life), None))
 
     def submit(self, *steps: StepSpec) -> str:
         job = f"{next(self._jobs):016x}"
-        self.feed(JobAccepted(job, accepted(*steps)))
+        self.feed(JobAccepted(job, make_accepted_job(*steps)))
         return job
 
     def end_life(self, life: str) -> list[Effect]:
         """Have another life answer at a worker's address."""
-        return self.feed(RenewAnswered(life, self.renewal(life), Refusal.OTHER_LIFE))
+        return self.feed(RenewAnswered(life, self.await_renewal(life), Refusal.OTHER_LIFE))
 
     def drain(self, life: str) -> None:
         """Have a worker's entry say that it leaves."""
@@ -153,8 +153,8 @@
 
     def new_starts(self) -> list[SendStart]:
         """Give what was started since this was asked for last."""
-        found = of_type(self.seen, SendStart)
-        self.seen.clear()
+        found = filter_by_type(self.all_effects, SendStart)
+        self.all_effects.clear()
         return found
 
     def starts(self, effects: list[Effect] | None = None):
@@ -167,21 +167,21 @@
         return self.feed(StartAnswered(start.life, order.task, order.run, result))
 
 
-def cut_off(bench: Bench, life: str, seconds: float = 9.0) -> None:
+def disconnect_worker(bench: Bench, life: str, seconds: float = 9.0) -> None:
     """Let a worker give no answer for longer than its leases hold."""
     end = bench.now + seconds
     while bench.now < end:
         if life in bench.renewals:
-            bench.miss(life)
+            bench.leave_unanswered(life)
         bench.tick(0.1)
 
 
-class Leaders:
+class LeaderSequence:
     """Leaders that follow one another, each with what the one before has put on record."""
 
     def __init__(self, *steps: StepSpec, workers: int = 1) -> None:
         self.bench = Bench()
-        self._accepted = accepted(*steps)
+        self._accepted = make_accepted_job(*steps)
         self._token = 1
         self._lives = 0
         for _ in range(workers):
@@ -207,7 +207,7 @@
             found = self.bench.new_starts()
         return found
 
-    def take_over(self) -> None:
+    def replace_leader(self) -> None:
         """Have another leader begin with what is on record; it knows of no worker yet."""
         self._token += 1
         before = self.bench
@@ -219,23 +219,23 @@
 
     def list_worker(self, life: str, draining: bool = False) -> None:
         """Have the leader find the entry of a worker."""
-        self.bench.add_worker(life, settled=False)
+        self.bench.add_worker(life, is_settled=False)
         if draining:
             self.bench.drain(life)
 
 
-def accepted(*steps: StepSpec, queue: str = "q") -> AcceptedJob:
+def make_accepted_job(*steps: StepSpec, queue: str = "q") -> AcceptedJob:
     spec = JobSpec(queue, "payload", tuple(steps or (SMALL,)))
     return AcceptedJob(spec, 100_000, "pool", 0, 3)
 
 
-def unended(emulator: Emulator, jobs: list[DrawnJob]) -> list[str]:
+def find_unended_jobs(emulator: Emulator, jobs: list[DrawnJob]) -> list[str]:
     """Give the jobs of an emulated day that callers were not shown the end of."""
     statuses = emulator.statuses
     return [job.job for job in jobs if job.job not in statuses or not statuses[job.job].is_final]
 
 
-def of_type(effects, kind):
+def filter_by_type(effects, kind):
     """Give the effects of one type."""
     return [effect for effect in effects if isinstance(effect, kind)]
 
--- a/tests/test_jobs_capacity.py
+++ b/tests/test_jobs_capacity.py
@@ -11,7 +11,7 @@
 from snowdock.emulator.workload import default_mixes
 from snowdock.jobs.events import Persist, Persisted, WorkerListed
 from snowdock.jobs.model import JobStatus
-from tests.jobs_tools import DONE, SMALL, Bench, of_type, unended
+from tests.jobs_tools import DONE, SMALL, Bench, filter_by_type, find_unended_jobs
 
 SECONDS = 20
 SETTLE_SECONDS = 30
@@ -29,33 +29,33 @@
         entry = self.bench.cell.workers["w"].entry
         return self.bench.feed(WorkerListed(dataclasses.replace(entry, capacity=capacity)))
 
-    def place_without_record(self) -> Persist:
+    def place_with_paused_store(self) -> Persist:
         """Place two tasks whose placement is on its way to the record."""
-        self.bench.holds_store = True
+        self.bench.is_store_paused = True
         self.bench.submit(PAIR)
-        (batch,) = of_type(self.bench.effects, Persist)
+        (batch,) = filter_by_type(self.bench.effects, Persist)
         return batch
 
     def test_room_that_shrinks_before_a_start_goes_out(self) -> None:
         """Of two tasks that were placed, only one starts where room for one is left."""
-        batch = self.place_without_record()
+        batch = self.place_with_paused_store()
         self.resize(Size(1000, 9000))
         found = self.bench.feed(Persisted(batch.number))
         self.assertEqual(len(self.bench.starts(found)), 1)
 
-    def test_worker_that_has_nothing_left(self) -> None:
+    def test_no_start_on_a_worker_without_capacity(self) -> None:
         """Neither starts where the worker has no room at all, and both wait again."""
-        batch = self.place_without_record()
+        batch = self.place_with_paused_store()
         self.resize(ZERO)
         found = self.bench.feed(Persisted(batch.number))
         self.assertEqual(self.bench.starts(found), [])
-        self.bench.holds_store = False
-        self.bench.feed(Persisted(self.bench.cell.batch))
+        self.bench.is_store_paused = False
+        self.bench.feed(Persisted(self.bench.cell.batch_number))
         self.resize(Size(2000, 9000))
         self.bench.tick(0.3)
-        self.assertEqual(len(self.bench.starts(self.bench.seen)), 2)
+        self.assertEqual(len(self.bench.starts(self.bench.all_effects)), 2)
 
-    def test_what_runs_is_left_to_end(self) -> None:
+    def test_runs_over_capacity_continue(self) -> None:
         """Runs beyond a room that has shrunk go on; nothing starts beside them before they end."""
         job = self.bench.submit(PAIR)
         starts = self.bench.starts()
@@ -66,33 +66,33 @@
         self.assertEqual(self.bench.starts(), [])
         self.bench.report("w", ended=[(starts[0].order.task, 1, DONE)])
         self.bench.tick(0.2)
-        self.bench.seen.clear()
+        self.bench.all_effects.clear()
         self.bench.report("w", ended=[(starts[1].order.task, 1, DONE)])
         self.bench.tick(0.2)
         self.assertEqual(self.bench.cell.jobs[job].status, JobStatus.COMPLETED)
-        self.assertEqual(len(self.bench.starts(self.bench.seen)), 1)
+        self.assertEqual(len(self.bench.starts(self.bench.all_effects)), 1)
 
     def test_room_that_grows_is_used_at_once(self) -> None:
         """A task that waits for room starts as soon as the entry tells of it."""
         self.bench.submit(msgspec.structs.replace(SMALL, count=4))
-        self.assertEqual(len(self.bench.starts(self.bench.seen)), 2)
+        self.assertEqual(len(self.bench.starts(self.bench.all_effects)), 2)
         self.bench.now += 0.1
         self.resize(Size(4000, 9000))
         self.bench.tick(0.1)
-        self.assertEqual(len(self.bench.starts(self.bench.seen)), 4)
+        self.assertEqual(len(self.bench.starts(self.bench.all_effects)), 4)
 
 
-class TestTroubles(unittest.TestCase):
-    def test_no_start_beyond_what_a_worker_says(self) -> None:
+class TestFaults(unittest.TestCase):
+    def test_no_start_exceeds_capacity(self) -> None:
         """Rooms that shrink, to nothing too, and grow again beside lost answers and new leaders."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                emulator, jobs = self.play(seed)
+                emulator, jobs = self.run_emulation(seed)
                 self.assertEqual(emulator.checks.violations, [])
-                self.assertEqual(unended(emulator, jobs), [])
+                self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     @staticmethod
-    def play(seed: int):
+    def run_emulation(seed: int):
         source = random.Random(seed)
         workload = WorkloadOptions(SECONDS, 0.4, default_mixes(seed % 2 == 0))
         jobs = draw_workload(seed, workload)
@@ -112,7 +112,7 @@
             if source.random() < 0.05:
                 # What was placed before is put on record long after its worker told of less room.
                 emulator.faults.store_down = True
-                emulator.timeline.after(6.0, lambda: _bring_back(emulator))
+                emulator.timeline.after(6.0, lambda: _restore_store(emulator))
         emulator.faults.store_down = False
         emulator.faults.lost_answers = 0.0
         for life in list(emulator.workers):
@@ -121,7 +121,7 @@
         return emulator, jobs
 
 
-def _bring_back(emulator: Emulator) -> None:
+def _restore_store(emulator: Emulator) -> None:
     emulator.faults.store_down = False
 
 
--- a/tests/test_jobs_chaos.py
+++ b/tests/test_jobs_chaos.py
@@ -6,7 +6,7 @@
 
 from snowdock.emulator import Emulator, EmulatorOptions, WorkloadOptions, draw_workload
 from snowdock.emulator.workload import DrawnJob, default_mixes
-from tests.jobs_tools import unended
+from tests.jobs_tools import find_unended_jobs
 
 SECONDS = 20
 SETTLE_SECONDS = 40
@@ -97,7 +97,7 @@
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed)
                 self.assertEqual(emulator.checks.violations, [])
-                self.assertEqual(unended(emulator, jobs), [])
+                self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def test_tasks_that_end_their_workers(self) -> None:
         """Beside all troubles they are given up within their bound, and nothing else hangs."""
@@ -109,7 +109,7 @@
                 self.assertTrue(crashing)
                 for job in crashing:
                     self.assertLessEqual(emulator.checks.crashes_under(job.crashing), 5)
-                self.assertEqual(unended(emulator, jobs), [])
+                self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def test_workers_that_restart_under_their_ids(self) -> None:
         """Beside all other troubles, no life's runs, ends or leases are taken for another's."""
@@ -117,7 +117,7 @@
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed, kinds=RESTART + 1)
                 self.assertEqual(emulator.checks.violations, [])
-                self.assertEqual(unended(emulator, jobs), [])
+                self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def test_calm_day_wastes_nothing(self) -> None:
         """Without troubles no gang waits in vain and all jobs end as they should."""
--- a/tests/test_jobs_crash_replay.py
+++ b/tests/test_jobs_crash_replay.py
@@ -4,13 +4,13 @@
 import unittest
 
 from snowdock.jobs.events import Persist, Persisted, StartAnswered, StopAnswered
+from snowdock.jobs.job_state import Task
 from snowdock.jobs.model import JobStatus
 from snowdock.jobs.orders import EndKind
-from snowdock.jobs.parts import Task
 from specs import crash_model
 from specs.crash_model import Phase, State
 from specs.tools import Rules
-from tests.jobs_tools import SMALL, Leaders, cut_off, of_type
+from tests.jobs_tools import SMALL, LeaderSequence, disconnect_worker, filter_by_type
 
 WALKS = 150
 STEPS = 60
@@ -22,9 +22,9 @@
     """Feeds what happens in a walk to the reducer."""
 
     def __init__(self) -> None:
-        self.leaders = Leaders(SMALL, workers=0)
+        self.leaders = LeaderSequence(SMALL, workers=0)
         # Batches wait until the walk says that they are on record.
-        self.leaders.bench.holds_store = True
+        self.leaders.bench.is_store_paused = True
         self.life = ""
         self.is_listed = True
 
@@ -47,7 +47,7 @@
             "another life answers": self._end_life,
             "another life answers, it had drained": self._end_draining_life,
             "its worker is not known": lambda: self.leaders.bench.tick(_LAPSE_SECONDS),
-            "leases are over": lambda: cut_off(self.leaders.bench, self.life),
+            "leases are over": lambda: disconnect_worker(self.leaders.bench, self.life),
             "is told as broken off": self._break_off,
         }.get(label)
         if take is not None:
@@ -63,19 +63,19 @@
 
     def _record(self) -> None:
         bench = self.leaders.bench
-        while bench.cell.batch_held is not None:
-            batch = [each for each in of_type(bench.seen, Persist)][-1]
+        while bench.cell.batch_deferred is not None:
+            batch = [each for each in filter_by_type(bench.all_effects, Persist)][-1]
             bench.recorded |= {record.job: record.data for record in batch.records}
             bench.feed(Persisted(batch.number))
 
     def _take_over(self) -> None:
-        self.leaders.take_over()
-        self.leaders.bench.holds_store = True
+        self.leaders.replace_leader()
+        self.leaders.bench.is_store_paused = True
         self.life = self.task.life
         self.is_listed = False
 
     def _answer(self, is_answered: bool) -> None:
-        (start,) = self.leaders.bench.starts(self.leaders.bench.seen)[-1:]
+        (start,) = self.leaders.bench.starts(self.leaders.bench.all_effects)[-1:]
         if is_answered:
             self.leaders.bench.confirm(start)
         else:
--- a/tests/test_jobs_crashes.py
+++ b/tests/test_jobs_crashes.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from snowdock.jobs.events import (
-    Decided,
+    LogDecision,
     Persist,
     Persisted,
     SendStart,
@@ -16,7 +16,14 @@
 from snowdock.jobs.progress import decode_progress
 from snowdock.jobs.runs import stop_run
 from snowdock.jobs.takeover import RecordedJobs
-from tests.jobs_tools import DONE, SMALL, Bench, accepted, cut_off, of_type
+from tests.jobs_tools import (
+    DONE,
+    SMALL,
+    Bench,
+    disconnect_worker,
+    filter_by_type,
+    make_accepted_job,
+)
 from tests.standins.entry_cluster import EntryCluster
 
 MOST_STARTS = 5
@@ -56,7 +63,7 @@
                 run = (start.order.task, start.order.run, DONE)
                 self.bench.report(start.life, ended=[run])
         for life in crashed:
-            self.bench.miss(life)
+            self.bench.leave_unanswered(life)
             self.bench.tick(3.5)
             self.bench.end_life(life)
             self.add_worker()
@@ -85,7 +92,7 @@
     def test_successors_count_on(self) -> None:
         """It is given up as soon where another leader takes over after each crash."""
         crashes = Crashes()
-        spec = accepted(SMALL)
+        spec = make_accepted_job(SMALL)
         job = crashes.bench.submit(SMALL)
         token = 1
 
@@ -132,11 +139,11 @@
         """Give the start that the task gets on a new worker."""
         self.bench.add_worker("v")
         self.bench.tick(0.2)
-        (again,) = [each for each in self.bench.starts(self.bench.seen) if each.life == "v"]
+        (again,) = [each for each in self.bench.starts(self.bench.all_effects) if each.life == "v"]
         return again
 
     def fall_silent(self, seconds: float) -> None:
-        cut_off(self.bench, "w", seconds)
+        disconnect_worker(self.bench, "w", seconds)
 
     def test_another_life_is_a_crash(self) -> None:
         """A worker whose next life answers has crashed."""
@@ -184,7 +191,9 @@
         bench.add_worker("w0")
         job = bench.submit(msgspec.structs.replace(SMALL, long_running=True))
         for number in range(8):
-            (start,) = [each for each in bench.starts(bench.seen) if each.order.run == number + 1]
+            (start,) = [
+                each for each in bench.starts(bench.all_effects) if each.order.run == number + 1
+            ]
             bench.confirm(start)
             self.bench.drain(start.life)
             bench.add_worker(f"w{number + 1}")
@@ -213,9 +222,9 @@
         """A start that waits for its record has done nothing to the worker."""
         bench = self.bench = Bench()
         bench.add_worker("w")
-        bench.holds_store = True
+        bench.is_store_paused = True
         bench.submit(SMALL)
-        (batch,) = of_type(bench.effects, Persist)
+        (batch,) = filter_by_type(bench.effects, Persist)
         self.assertEqual(decode_progress(batch.records[0].data).tasks[0].life, "w")
         self.bench.end_life("w")
         (task,) = next(iter(bench.cell.jobs.values())).all_tasks()
@@ -226,14 +235,16 @@
         self.bench.confirm(self.start)
         self.bench.end_life("w")
         self.bench.tick(10.0)
-        self.bench.holds_store = True
+        self.bench.is_store_paused = True
         self.bench.add_worker("v")
         self.bench.tick(0.2)
-        self.bench.miss("v")
-        self.bench.seen.clear()
+        self.bench.leave_unanswered("v")
+        self.bench.all_effects.clear()
         self.bench.end_life("v")
         (line,) = [
-            each for each in of_type(self.bench.seen, Decided) if each.decision == "run_lost"
+            each
+            for each in filter_by_type(self.bench.all_effects, LogDecision)
+            if each.decision == "run_lost"
         ]
         self.assertLess(dict(line.fields)["silent_after_s"], 5.0)
 
@@ -241,7 +252,9 @@
         """A run whose worker a new leader never gets to know is charged as a loss."""
         progress = decode_progress(self.bench.recorded[self.job])
         self.bench = Bench(2)
-        self.bench.restore(RecordedJobs({self.job: accepted(SMALL)}, set(), {self.job: progress}))
+        self.bench.restore(
+            RecordedJobs({self.job: make_accepted_job(SMALL)}, set(), {self.job: progress})
+        )
         self.bench.tick(12.0)
         self.assertEqual(self.counts(), (0, 1))
 
@@ -281,9 +294,9 @@
         """A run is as old as its order: its placement may wait for the store for seconds."""
         bench = self.bench = Bench()
         bench.add_worker("w")
-        bench.holds_store = True
+        bench.is_store_paused = True
         self.job = bench.submit(SMALL)
-        (batch,) = of_type(bench.effects, Persist)
+        (batch,) = filter_by_type(bench.effects, Persist)
         self.pass_time(3.0)
         bench.feed(Persisted(batch.number))
         (self.start,) = bench.starts()
@@ -349,10 +362,10 @@
         ((step,),) = bench.cell.jobs[job].repetitions
         (task,) = step.tasks
         for _ in range(7):
-            (start,) = bench.starts(bench.seen)
-            bench.seen.clear()
+            (start,) = bench.starts(bench.all_effects)
+            bench.all_effects.clear()
             bench.confirm(start)
-            cut_off(bench, "w")
+            disconnect_worker(bench, "w")
             self.assertEqual(len(task.lost_runs), 1)
             for _ in range(3):
                 bench.report("w")
@@ -369,7 +382,7 @@
         job = bench.submit(SMALL)
         (start,) = bench.new_starts()
         bench.confirm(start)
-        cut_off(bench, "w")
+        disconnect_worker(bench, "w")
         bench.add_worker("v")
         bench.tick(0.2)
         (again,) = bench.new_starts()
--- a/tests/test_jobs_failed_runs.py
+++ b/tests/test_jobs_failed_runs.py
@@ -5,19 +5,19 @@
 
 from snowdock.declarations import Size
 from snowdock.jobs import failed_runs
-from snowdock.jobs.events import Decided
+from snowdock.jobs.events import LogDecision
+from snowdock.jobs.job_state import Job, Step
 from snowdock.jobs.model import StepSpec
-from snowdock.jobs.parts import Job, Step
-from snowdock.jobs.runs import open_repetition
-from tests.jobs_tools import DONE, SMALL, Bench, accepted
+from snowdock.jobs.runs import create_repetition
+from tests.jobs_tools import DONE, SMALL, Bench, make_accepted_job
 
 WIDE = StepSpec(count=4, size=Size(1000, 1000), estimate_ms=1000)
 
 
 def make_step() -> Step:
     """Make a step of a job that is not handed in."""
-    job = Job(secrets.token_hex(8), accepted(SMALL), 100.0)
-    return open_repetition(job, 0)[0]
+    job = Job(secrets.token_hex(8), make_accepted_job(SMALL), 100.0)
+    return create_repetition(job, 0)[0]
 
 
 class FailedRuns(unittest.TestCase):
@@ -94,7 +94,7 @@
             bad = self.step()
             for life in ("w1", "w2", "w3"):
                 self.fail_runs(life, bad)
-        self.assertGreater(self.cell.bad_share["pool"], 0.5)
+        self.assertGreater(self.cell.failing_step_share["pool"], 0.5)
         self.fail_runs("w0", self.step(), self.step())
         self.assertNotIn("w0", self.aside)
 
@@ -126,7 +126,7 @@
         self.assertEqual(self.aside, [])
         for number in range(6, 10):
             self.end_well(f"w{number}", good)
-        told = [each for each in self.cell.effects if isinstance(each, Decided)]
+        told = [each for each in self.cell.effects if isinstance(each, LogDecision)]
         aside = [each.subject for each in told if each.decision == "worker_set_aside"]
         self.assertEqual(aside, failing)
 
--- a/tests/test_jobs_leader_changes.py
+++ b/tests/test_jobs_leader_changes.py
@@ -12,7 +12,7 @@
 from snowdock.jobs.forecast import room_to_come
 from snowdock.jobs.model import JobStatus
 from snowdock.jobs.orders import EndKind
-from tests.jobs_tools import SMALL, Leaders, unended
+from tests.jobs_tools import SMALL, LeaderSequence, find_unended_jobs
 
 MOST_STARTS = 5
 """After three crashes under a task, fewer than three more starts."""
@@ -37,29 +37,29 @@
 class TestDrainingWorkers(unittest.TestCase):
     def test_crash_of_a_draining_worker_under_a_new_leader(self) -> None:
         """It is charged, though the new leader does not know when the run began."""
-        leaders = Leaders(SMALL)
+        leaders = LeaderSequence(SMALL)
         self.assertLessEqual(self.count_starts(leaders), MOST_STARTS)
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     def test_task_that_lasts(self) -> None:
         """One that lasts is charged as well where its worker went before it told of the run."""
-        self.assertLessEqual(self.count_starts(Leaders(LASTING)), MOST_STARTS)
+        self.assertLessEqual(self.count_starts(LeaderSequence(LASTING)), MOST_STARTS)
 
     @staticmethod
-    def count_starts(leaders: Leaders) -> int:
+    def count_starts(leaders: LeaderSequence) -> int:
         """Have each worker drain, and crash as the leader changes; give how often one is tried."""
         starts = 0
         while starts < ROUNDS and (found := leaders.next_starts()):
             (start,) = found
             starts += 1
-            leaders.take_over()
+            leaders.replace_leader()
             leaders.list_worker(start.life, draining=True)
             leaders.bench.end_life(start.life)
         return starts
 
     def test_leader_that_was_away(self) -> None:
         """A leader that stood still knows not when the worker went: what it heard last counts."""
-        leaders = Leaders(SMALL)
+        leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
         leaders.bench.confirm(start)
         leaders.list_worker(start.life, draining=True)
@@ -78,13 +78,13 @@
 
     def test_task_that_lasts_is_cleared_by_its_work(self) -> None:
         """A takeover does not count as 30 seconds of work."""
-        leaders = Leaders(LASTING)
+        leaders = LeaderSequence(LASTING)
         for _ in range(2):
             (start,) = leaders.next_starts()
             leaders.bench.confirm(start)
             leaders.bench.end_life(start.life)
         (start,) = leaders.next_starts()
-        leaders.take_over()
+        leaders.replace_leader()
         leaders.list_worker(start.life)
         running = [(start.order.task, start.order.run, 100.0)]
         leaders.bench.report(start.life, running=running)
@@ -97,9 +97,9 @@
 
     def test_run_that_goes_once_it_was_told_of(self) -> None:
         """On a draining worker it is charged, however old the new leader's machine is."""
-        leaders = Leaders(SMALL)
+        leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
-        leaders.take_over()
+        leaders.replace_leader()
         leaders.list_worker(start.life, draining=True)
         leaders.bench.report(start.life, running=[(start.order.task, 1, 1.0)])
         leaders.bench.end_life(start.life)
@@ -108,12 +108,12 @@
 
     def test_crashes_are_counted_on(self) -> None:
         """Three crashes that were seen as such are the most, though a new leader saw the third."""
-        leaders = Leaders(SMALL)
+        leaders = LeaderSequence(SMALL)
         starts = 0
         while starts < ROUNDS and (found := leaders.next_starts()):
             starts += 1
             if starts == 3:
-                leaders.take_over()
+                leaders.replace_leader()
                 leaders.list_worker(found[0].life)
                 running = [(found[0].order.task, found[0].order.run, 1.0)]
                 leaders.bench.report(found[0].life, running=running)
@@ -125,23 +125,23 @@
 
     def test_member_that_is_done(self) -> None:
         """Its worker may never become known to a new leader, which charges nobody."""
-        leaders = Leaders(GANG, msgspec.structs.replace(SMALL, after=(0,)))
+        leaders = LeaderSequence(GANG, msgspec.structs.replace(SMALL, after=(0,)))
         one, other = leaders.next_starts()
         losses = frozenset({-1, -2, -3, -4})
         leaders.bench.cell.find_task(other.order.task).lost_runs = losses
         for start in (one, other):
             leaders.bench.confirm(start)
         leaders.bench.report(one.life, ended=[(one.order.task, one.order.run, EndKind.DONE)])
-        leaders.take_over()
+        leaders.replace_leader()
         leaders.bench.tick(12.0)
         self.assertEqual(leaders.bench.cell.find_task(other.order.task).lost_runs, losses)
         self.assertEqual(leaders.status, JobStatus.RUNNING)
 
     def test_time_to_come_of_a_run_that_was_taken_over(self) -> None:
         """Room that a run takes is expected back after its estimate, not after days."""
-        leaders = Leaders(SMALL)
+        leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
-        leaders.take_over()
+        leaders.replace_leader()
         leaders.list_worker(start.life)
         worker = leaders.bench.cell.workers[start.life]
         ((at, _),) = room_to_come(leaders.bench.cell, worker, leaders.bench.now)
@@ -153,10 +153,10 @@
 
     def test_member_that_is_broken_off(self) -> None:
         """After three losses under a member, a start of it counts though the gang broke first."""
-        leaders = Leaders(GANG)
+        leaders = LeaderSequence(GANG)
         for _ in range(3):
             starts = self.start_all(leaders)
-            leaders.take_over()
+            leaders.replace_leader()
             for start in starts:
                 leaders.list_worker(start.life)
             leaders.bench.report(starts[0].life, ended=[self.broken(starts[0])])
@@ -170,7 +170,7 @@
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     @staticmethod
-    def start_all(leaders: Leaders) -> list[SendStart]:
+    def start_all(leaders: LeaderSequence) -> list[SendStart]:
         """Start both members, the guilty one last; give none once the job is given up."""
         starts = sorted(leaders.next_starts(), key=lambda start: start.order.task.index)
         for start in starts:
@@ -213,7 +213,7 @@
         emulator.run_until(at)
         change(emulator, source)
     emulator.run_until(SECONDS + SETTLE_SECONDS)
-    return emulator, unended(emulator, jobs)
+    return emulator, find_unended_jobs(emulator, jobs)
 
 
 def change(emulator: Emulator, source: random.Random) -> None:
--- a/tests/test_jobs_lives.py
+++ b/tests/test_jobs_lives.py
@@ -11,17 +11,17 @@
 from snowdock.entry.leader_handle import LeaderHandle
 from snowdock.errors import PlatformError
 from snowdock.jobs.events import (
-    Decided,
+    LogDecision,
     RenewAnswered,
     SendStop,
     StopAnswered,
     WorkerDelisted,
     WorkerListed,
 )
+from snowdock.jobs.job_state import Phase
 from snowdock.jobs.lives import life_of, worker_of
 from snowdock.jobs.model import JobStatus
 from snowdock.jobs.orders import AdviceWanted, Refusal, WorkerReport
-from snowdock.jobs.parts import Phase
 from snowdock.jobs.progress import decode_progress
 from snowdock.jobs.takeover import RecordedJobs
 from snowdock.platform.advice import AdviceClient
@@ -29,7 +29,7 @@
 from snowdock.platform.store import KeyedRecord
 from snowdock.platform.worker_calls import decode_renewal
 from snowdock.platform.worker_list import decode_worker_entry
-from tests.jobs_tools import DONE, SMALL, Bench, accepted, of_type
+from tests.jobs_tools import DONE, SMALL, Bench, filter_by_type, make_accepted_job
 from tests.standins.platform import AdviceStandin
 
 FIRST, SECOND, BEFORE_FIRST = life_of("i-1", 100), life_of("i-1", 200), life_of("i-1", 50)
@@ -114,9 +114,11 @@
         self.take(entry(born=100), 0)
         self.take(entry(born=200), 1)
         self.take(None, 2)
-        lives = [event.entry.life for event in of_type(self.told, WorkerListed)]
+        lives = [event.entry.life for event in filter_by_type(self.told, WorkerListed)]
         self.assertEqual(lives, [FIRST, SECOND])
-        self.assertEqual([each.life for each in of_type(self.told, WorkerDelisted)], [SECOND])
+        self.assertEqual(
+            [each.life for each in filter_by_type(self.told, WorkerDelisted)], [SECOND]
+        )
 
     def test_entry_of_a_life_before_is_read_again(self) -> None:
         """Entries are read again after a page that shows later ones: they change nothing."""
@@ -124,7 +126,7 @@
         self.take(entry(born=100), 5)
         self.take(None, 6)
         self.take(entry(born=200), 7)
-        lives = [event.entry.life for event in of_type(self.told, WorkerListed)]
+        lives = [event.entry.life for event in filter_by_type(self.told, WorkerListed)]
         self.assertEqual((lives, len(self.told)), ([SECOND, SECOND], 2))
 
 
@@ -135,7 +137,7 @@
 
     def begin(self, life: str = SECOND, settled: bool = True) -> None:
         self.bench._ends = itertools.count(1)
-        self.bench.add_worker(life, settled=settled)
+        self.bench.add_worker(life, is_settled=settled)
 
     def start(self):
         self.job = self.bench.submit()
@@ -168,7 +170,7 @@
     def test_late_answer_of_the_life_before(self) -> None:
         """It changes nothing of the next one."""
         order = self.start().order
-        late = self.bench.renewal(FIRST)
+        late = self.bench.await_renewal(FIRST)
         self.begin()
         before = self.bench.cell.workers[SECOND].known_ends
         report = WorkerReport(self.bench.now * 1000, [], [])
@@ -183,8 +185,8 @@
 
     def test_ended_life_is_listed_again(self) -> None:
         """The entry of a life that is over brings it not back; the next one does."""
-        self.bench.feed(RenewAnswered(FIRST, self.bench.renewal(FIRST), Refusal.NEXT_LIFE))
-        self.bench.add_worker(FIRST, settled=False)
+        self.bench.feed(RenewAnswered(FIRST, self.bench.await_renewal(FIRST), Refusal.NEXT_LIFE))
+        self.bench.add_worker(FIRST, is_settled=False)
         self.assertEqual(list(self.bench.cell.workers), [])
         self.begin()
         self.assertEqual(list(self.bench.cell.workers), [SECOND])
@@ -207,11 +209,11 @@
         self.bench.add_worker(FIRST)
         self.job = self.bench.submit()
         (self.first,) = self.bench.new_starts()
-        refused = RenewAnswered(FIRST, self.bench.renewal(FIRST), Refusal.NEXT_LIFE)
+        refused = RenewAnswered(FIRST, self.bench.await_renewal(FIRST), Refusal.NEXT_LIFE)
         self.bench.feed(refused)
         self.bench.tick(0.5)
         self.assertEqual(self.bench.new_starts(), [])
-        self.bench.add_worker(SECOND, settled=False)
+        self.bench.add_worker(SECOND, is_settled=False)
 
     def test_next_life_has_carried_it_out(self) -> None:
         """The run goes on there, and no other begins."""
@@ -225,7 +227,7 @@
     def test_next_life_does_not_have_it(self) -> None:
         """It is refused there for good before the task starts again."""
         self.bench.report(SECOND)
-        (stop,) = of_type(self.bench.seen, SendStop)
+        (stop,) = filter_by_type(self.bench.all_effects, SendStop)
         self.assertEqual((stop.life, stop.order.run), (SECOND, self.first.order.run))
         self.assertEqual(self.bench.new_starts(), [])
         self.bench.feed(StopAnswered(SECOND, stop.order.task, stop.order.run, True))
@@ -238,7 +240,11 @@
 
     def test_start_in_doubt_is_charged_twice(self) -> None:
         """A loss is told and counted when its life ends, and not again with the next life."""
-        charged = [e for e in of_type(self.bench.told, Decided) if e.decision == "task_charged"]
+        charged = [
+            e
+            for e in filter_by_type(self.bench.decisions, LogDecision)
+            if e.decision == "task_charged"
+        ]
         self.assertEqual(len(charged), 1)
 
     def test_no_next_life_is_listed(self) -> None:
@@ -248,7 +254,7 @@
         bench.add_worker(FIRST)
         bench.submit()
         bench.new_starts()
-        bench.feed(RenewAnswered(FIRST, bench.renewal(FIRST), Refusal.NEXT_LIFE))
+        bench.feed(RenewAnswered(FIRST, bench.await_renewal(FIRST), Refusal.NEXT_LIFE))
         bench.add_worker("other", address="b:1")
         bench.tick(9.0)
         self.assertEqual(bench.new_starts(), [])
@@ -268,7 +274,7 @@
         progress = {name: decode_progress(data) for name, data in before.recorded.items()}
         after = Bench(token=2)
         after.now = before.now + 0.5
-        after.restore(RecordedJobs({job: accepted(SMALL)}, set(), progress))
+        after.restore(RecordedJobs({job: make_accepted_job(SMALL)}, set(), progress))
         self.task = after.cell.jobs[job].repetitions[0][0].tasks[0]
         return after
 
@@ -276,7 +282,7 @@
         """Its worker's next life proves it over, and it is charged as lost once."""
         bench = self.take_over(FIRST)
         bench.add_worker(SECOND)
-        (stop,) = of_type(bench.seen, SendStop)
+        (stop,) = filter_by_type(bench.all_effects, SendStop)
         bench.feed(StopAnswered(SECOND, stop.order.task, stop.order.run, True))
         bench.report(SECOND)
         bench.tick(0.6)
@@ -288,11 +294,11 @@
     def test_record_without_a_start(self) -> None:
         """A run on record for an id alone goes on in the life that has it."""
         bench = self.take_over("i-1")
-        bench.add_worker(FIRST, settled=False)
+        bench.add_worker(FIRST, is_settled=False)
         bench.report(FIRST, running=[(self.task.id, 1, 30)])
         self.assertEqual((self.task.life, self.task.phase), (FIRST, Phase.RUNNING))
         self.assertEqual(self.task.lost_runs, set())
-        self.assertEqual(of_type(bench.seen, SendStop), [])
+        self.assertEqual(filter_by_type(bench.all_effects, SendStop), [])
         self.assertEqual(bench.cell.workers[FIRST].used, Size(1000, 1000))
 
 
--- a/tests/test_jobs_placing.py
+++ b/tests/test_jobs_placement.py
@@ -18,7 +18,7 @@
 from snowdock.jobs.model import AdviceTerms, Configuration, Queue, Service
 from snowdock.jobs.orders import AdviceGiven
 from snowdock.jobs.reducer import reduce
-from tests.jobs_tools import SMALL, Bench, accepted, of_type
+from tests.jobs_tools import SMALL, Bench, filter_by_type, make_accepted_job
 
 
 class TestBacklog(unittest.TestCase):
@@ -66,16 +66,18 @@
         self.scored = 0
         for _ in range(1000):
             self.bench.now += 0.001
-            self.bench.cell.placing_wanted = True
+            self.bench.cell.needs_placement = True
             self.bench.feed(JobCancelled("no-such-job"))
         self.assertLessEqual(self.scored, 1.0 * 0.3 / 10e-6 + 1_600)
 
-    def test_every_step_gets_its_turn(self) -> None:
+    def test_every_step_is_eventually_searched(self) -> None:
         """A small job is placed although many that find no room rank before it."""
         self.submit_backlog()
         small = self.bench.submit()
         self.bench.tick(self.STEPS * self.WORKERS / 750 * 0.1 + 0.5)
-        self.assertIn(small, [start.order.task.job for start in self.bench.starts(self.bench.seen)])
+        self.assertIn(
+            small, [start.order.task.job for start in self.bench.starts(self.bench.all_effects)]
+        )
 
     def test_ranks_are_renewed_a_few_at_a_time(self) -> None:
         """All ranks are renewed in turn, a few in each round."""
@@ -85,7 +87,7 @@
         self.bench.tick(0.1)
         self.assertLessEqual(self.ranked, 40)
         self.bench.tick(self.STEPS / 20 * 0.1 + 0.5)
-        oldest = min(step.ranked_at for step in self.bench.cell.waiting.values())
+        oldest = min(step.ranked_at for step in self.bench.cell.waiting_steps.values())
         self.assertGreater(oldest, self.bench.now - 3.0)
 
     def test_placing_waits_while_events_do(self) -> None:
@@ -95,18 +97,18 @@
         bench.feed(Ticked(2))
         bench.submit()
         bench.now += 0.01
-        event = JobAccepted("00000000000000ff", accepted())
+        event = JobAccepted("00000000000000ff", make_accepted_job())
         effects = reduce(bench.cell, event, bench.now, bench.now * 1000, is_last=False)
-        self.assertEqual(of_type(effects, Persist), [])
+        self.assertEqual(filter_by_type(effects, Persist), [])
         bench.now += 0.02
-        late = JobAccepted("00000000000000fe", accepted())
+        late = JobAccepted("00000000000000fe", make_accepted_job())
         effects = reduce(bench.cell, late, bench.now, bench.now * 1000, is_last=False)
-        (batch,) = of_type(effects, Persist)
+        (batch,) = filter_by_type(effects, Persist)
         self.assertEqual(len(bench.starts(bench.feed(Persisted(batch.number)))), 2)
 
 
-class TestQuestions(unittest.TestCase):
-    def test_long_questions_keep_no_short_one_waiting(self) -> None:
+class TestAdviceRequests(unittest.TestCase):
+    def test_long_requests_do_not_delay_short_ones(self) -> None:
         """However many long questions wait, a step with a short one is asked about at once."""
         bench = Bench()
         slow, quick = AdviceTerms(500, 5, 2000), AdviceTerms(5, 0.1, 2000)
@@ -118,44 +120,46 @@
         bench.add_worker(cpu=64_000)
         for number in range(20):
             bench.now += 0.01
-            bench.feed(JobAccepted(f"{number:016x}", accepted(queue="slow")))
-        asked = len(of_type(bench.seen, AskAdvice))
+            bench.feed(JobAccepted(f"{number:016x}", make_accepted_job(queue="slow")))
+        asked = len(filter_by_type(bench.all_effects, AskAdvice))
         self.assertLess(asked, 20)
         bench.now += 0.01
-        bench.feed(JobAccepted("f" * 16, accepted(queue="quick")))
+        bench.feed(JobAccepted("f" * 16, make_accepted_job(queue="quick")))
         bench.tick(0.1)
-        self.assertIn("f" * 16, [each.wanted.job for each in of_type(bench.seen, AskAdvice)])
+        self.assertIn(
+            "f" * 16, [each.request.job for each in filter_by_type(bench.all_effects, AskAdvice)]
+        )
 
 
 class TestExpiredTickets(unittest.TestCase):
     TERMS = AdviceTerms(decide_ms=10, each_ms=1, valid_ms=2000)
 
-    def place(self, count: int, gang: bool) -> Bench:
+    def place_with_expired_tickets(self, count: int, gang: bool) -> Bench:
         """Have a step placed while the store takes so long that its tickets expire."""
         bench = Bench(advice=self.TERMS)
         for number in range(count):
             bench.add_worker(f"w{number}", cpu=1000)
         bench.submit(msgspec.structs.replace(SMALL, count=count, gang=gang))
-        (asked,) = of_type(bench.seen, AskAdvice)
-        bench.holds_store = True
+        (asked,) = filter_by_type(bench.all_effects, AskAdvice)
+        bench.is_store_paused = True
         bench.now += 0.01
         tickets = {f"w{number}": "t" for number in range(count)}
-        bench.feed(AdviceAnswered(AdviceGiven(asked.wanted, tickets)))
-        (batch,) = of_type(bench.effects, Persist)
+        bench.feed(AdviceAnswered(AdviceGiven(asked.request, tickets)))
+        (batch,) = filter_by_type(bench.effects, Persist)
         bench.now += 2.5
         bench.feed(Persisted(batch.number))
         return bench
 
     def test_start_is_not_sent(self) -> None:
         """A start whose ticket has expired meanwhile is not sent; the task waits again."""
-        bench = self.place(1, gang=False)
-        self.assertEqual(bench.starts(bench.seen), [])
-        self.assertEqual(of_type(bench.seen, SendStop), [])
-        self.assertEqual(len(bench.cell.waiting), 1)
+        bench = self.place_with_expired_tickets(1, gang=False)
+        self.assertEqual(bench.starts(bench.all_effects), [])
+        self.assertEqual(filter_by_type(bench.all_effects, SendStop), [])
+        self.assertEqual(len(bench.cell.waiting_steps), 1)
 
     def test_no_member_of_a_gang_is_sent(self) -> None:
         """A gang is started whole or not at all."""
-        bench = self.place(3, gang=True)
-        self.assertEqual(bench.starts(bench.seen), [])
-        self.assertEqual(of_type(bench.seen, SendStop), [])
-        self.assertEqual(len(bench.cell.waiting), 1)
+        bench = self.place_with_expired_tickets(3, gang=True)
+        self.assertEqual(bench.starts(bench.all_effects), [])
+        self.assertEqual(filter_by_type(bench.all_effects, SendStop), [])
+        self.assertEqual(len(bench.cell.waiting_steps), 1)
