--- a/tests/test_jobs_preempting.py
+++ b/tests/test_jobs_preemption.py
@@ -6,16 +6,16 @@
 import msgspec
 
 from snowdock.declarations import Size
+from snowdock.jobs.candidates import count_fitting
 from snowdock.jobs.events import SendStart, SendStop
 from snowdock.jobs.orders import EndKind
-from snowdock.jobs.seats import fitting
-from tests.jobs_tools import SMALL, Bench, of_type
+from tests.jobs_tools import SMALL, Bench, filter_by_type
 
-YIELDING = msgspec.structs.replace(SMALL, checkpointing=True)
+PREEMPTIBLE = msgspec.structs.replace(SMALL, checkpointing=True)
 GANG = msgspec.structs.replace(SMALL, gang=True)
 
 
-class TestMakingRoom(unittest.TestCase):
+class TestPreemption(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench()
         self.yields = True
@@ -27,7 +27,7 @@
         for life in ("w1", "w2"):
             self.bench.add_worker(life, cpu=2000)
 
-    def fill(self, spec=YIELDING, count: int = 4) -> list[SendStart]:
+    def fill_workers(self, spec=PREEMPTIBLE, count: int = 4) -> list[SendStart]:
         """Have all room taken by runs of one step, as their workers report."""
         self.bench.submit(msgspec.structs.replace(spec, count=count))
         starts = self.bench.starts()
@@ -38,11 +38,11 @@
     def submit_gang(self, count: int = 3) -> list[SendStop]:
         self.bench.now += 0.01
         self.bench.submit(msgspec.structs.replace(GANG, count=count))
-        return of_type(self.bench.effects, SendStop)
+        return filter_by_type(self.bench.effects, SendStop)
 
-    def end_stopped(self, stops: list[SendStop]) -> list[SendStart]:
+    def end_stopped_runs(self, stops: list[SendStop]) -> list[SendStart]:
         """Have workers list the ends of stopped runs; give the starts that follow."""
-        before = len(self.bench.starts(self.bench.seen))
+        before = len(self.bench.starts(self.bench.all_effects))
         for life in sorted({stop.life for stop in stops}):
             self.bench.now += 0.01
             ends = [
@@ -52,14 +52,14 @@
             ]
             self.bench.report(life, ended=ends)
         self.bench.tick(0.2)
-        return self.bench.starts(self.bench.seen)[before:]
+        return self.bench.starts(self.bench.all_effects)[before:]
 
     def test_yielding_runs_make_room(self) -> None:
         """As many runs are stopped as the gang needs, and it starts once they have ended."""
-        self.fill()
+        self.fill_workers()
         stops = self.submit_gang()
         self.assertEqual(len(stops), 3)
-        started = self.end_stopped(stops)
+        started = self.end_stopped_runs(stops)
         gang = [start for start in started if start.order.task.job.endswith("2")]
         self.assertEqual(len(gang), 3)
         # What has yielded waits for room to come and may have reserved it; the gang keeps none.
@@ -68,68 +68,68 @@
         gangs = {start.order.task.job for start in gang}
         self.assertEqual([key for keys in kept for key in keys if key[0] in gangs], [])
 
-    def test_nothing_is_stopped_in_vain(self) -> None:
+    def test_nothing_is_stopped_without_enough_room(self) -> None:
         """Where all that yields would not be enough, nothing is stopped."""
-        self.fill()
+        self.fill_workers()
         self.assertEqual(self.submit_gang(count=5), [])
 
-    def test_only_what_saves_its_progress_yields(self) -> None:
+    def test_runs_without_checkpoints_are_not_preempted(self) -> None:
         """A run without checkpoints would have to begin again; it is left alone."""
-        self.fill(SMALL)
+        self.fill_workers(SMALL)
         self.assertEqual(self.submit_gang(), [])
 
     def test_policy_decides(self) -> None:
         """What the operators' program does not name yields to nobody."""
         self.yields = False
-        self.fill()
+        self.fill_workers()
         self.assertEqual(self.submit_gang(), [])
 
     def test_claimed_room_is_kept(self) -> None:
         """Room that is being made goes to nobody else meanwhile."""
-        self.fill(count=2)
+        self.fill_workers(count=2)
         stops = self.submit_gang(count=4)
         self.assertEqual(len(stops), 2)
-        before = len(self.bench.starts(self.bench.seen))
+        before = len(self.bench.starts(self.bench.all_effects))
         self.bench.now += 0.01
         self.bench.submit()
         self.bench.tick(0.2)
-        self.assertEqual(len(self.bench.starts(self.bench.seen)), before)
+        self.assertEqual(len(self.bench.starts(self.bench.all_effects)), before)
 
     def test_claim_without_an_outcome_ends(self) -> None:
         """Room is given back where the stopped runs do not end in time."""
-        self.fill(count=2)
+        self.fill_workers(count=2)
         self.submit_gang(count=4)
-        before = len(self.bench.starts(self.bench.seen))
+        before = len(self.bench.starts(self.bench.all_effects))
         self.bench.submit()
         self.bench.tick(2.0)
-        self.assertEqual(len(self.bench.starts(self.bench.seen)), before + 1)
+        self.assertEqual(len(self.bench.starts(self.bench.all_effects)), before + 1)
 
     def test_fewest_runs_are_stopped(self) -> None:
         """Of workers with room to make, those are taken where the fewest runs have to yield."""
-        half = msgspec.structs.replace(YIELDING, size=Size(500, 100))
+        half = msgspec.structs.replace(PREEMPTIBLE, size=Size(500, 100))
         self.bench.cell.workers["w2"].aside_until = self.bench.now + 0.005
-        self.fill(half, count=4)
+        self.fill_workers(half, count=4)
         self.bench.now += 0.01
-        self.fill(YIELDING, count=2)
+        self.fill_workers(PREEMPTIBLE, count=2)
         stops = self.submit_gang(count=2)
         self.assertEqual([stop.life for stop in stops], ["w2", "w2"])
 
-    def test_worker_on_trial_counts_for_nothing(self) -> None:
+    def test_worker_on_trial_offers_no_room(self) -> None:
         """Room on a worker that is being proved is not counted as free, nor made there."""
-        self.fill(count=1)
+        self.fill_workers(count=1)
         (busy,) = [w for w in self.bench.cell.workers.values() if w.runs]
         busy.trial = next(iter(busy.runs))
         busy.trial_until = self.bench.now + 60
         self.assertEqual(self.submit_gang(count=3), [])
         self.assertEqual(self.bench.cell.claims, {})
 
-    def test_task_yields_a_few_times_only(self) -> None:
+    def test_preemptions_of_a_task_are_bounded(self) -> None:
         """A task that was stopped twice to make room is left alone."""
-        starts = self.fill()
+        starts = self.fill_workers()
         for start in starts:
-            self.bench.cell.find_task(start.order.task).yields = 2
+            self.bench.cell.find_task(start.order.task).preemptions = 2
         self.assertEqual(self.submit_gang(), [])
 
     def test_room_is_never_negative(self) -> None:
         """Where more is claimed than is free, nothing fits; it does not count backwards."""
-        self.assertEqual(fitting(Size(-1500, 100, 0), Size(1000, 10, 0)), 0)
+        self.assertEqual(count_fitting(Size(-1500, 100, 0), Size(1000, 10, 0)), 0)
--- a/tests/test_jobs_reducer.py
+++ b/tests/test_jobs_reducer.py
@@ -16,7 +16,7 @@
     Persist,
     Persisted,
     PublishStatus,
-    SendRenew,
+    SendRenewal,
     SendStart,
     SendStop,
     StartAnswered,
@@ -25,12 +25,12 @@
     WorkerDelisted,
     WorkerListed,
 )
+from snowdock.jobs.job_state import Advice, Phase
 from snowdock.jobs.model import AdviceTerms, JobStatus, TaskId
 from snowdock.jobs.orders import AdviceGiven, EndKind, Refusal, StartResult
-from snowdock.jobs.parts import Advice, Phase
 from snowdock.jobs.progress import JobProgress, TaskProgress, decode_progress
 from snowdock.jobs.takeover import RecordedJobs
-from tests.jobs_tools import DONE, FAILED, SMALL, Bench, accepted, of_type
+from tests.jobs_tools import DONE, FAILED, SMALL, Bench, filter_by_type, make_accepted_job
 
 
 class TestDurability(unittest.TestCase):
@@ -38,9 +38,9 @@
         """No start is sent before its placement is on record."""
         bench = Bench()
         bench.add_worker()
-        bench.holds_store = True
+        bench.is_store_paused = True
         bench.submit()
-        (batch,) = of_type(bench.effects, Persist)
+        (batch,) = filter_by_type(bench.effects, Persist)
         self.assertEqual(bench.starts(), [])
         progress = decode_progress(batch.records[0].data)
         self.assertEqual(progress.tasks[0].life, "w")
@@ -51,15 +51,15 @@
         """What changes while a batch is on its way goes with the next."""
         bench = Bench()
         bench.add_worker()
-        bench.holds_store = True
+        bench.is_store_paused = True
         bench.submit()
-        (first,) = of_type(bench.effects, Persist)
+        (first,) = filter_by_type(bench.effects, Persist)
         bench.submit()
-        self.assertEqual(of_type(bench.effects, Persist), [])
+        self.assertEqual(filter_by_type(bench.effects, Persist), [])
         bench.now += 0.01
         bench.feed(Persisted(first.number))
         bench.tick(0.1)
-        self.assertEqual(bench.cell.batch, 2)
+        self.assertEqual(bench.cell.batch_number, 2)
 
     def test_end_is_forgotten_after_its_record(self) -> None:
         """A worker may forget an end, and callers see it, once it is on record."""
@@ -68,17 +68,17 @@
         job = bench.submit()
         (start,) = bench.starts()
         bench.confirm(start)
-        bench.holds_store = True
+        bench.is_store_paused = True
         effects = bench.report("w", ended=[(start.order.task, 1, DONE)])
-        self.assertEqual(of_type(effects, PublishStatus), [])
-        self.assertTrue(all(e.order.seen_ends == 0 for e in of_type(effects, SendRenew)))
-        (batch,) = of_type(effects, Persist)
+        self.assertEqual(filter_by_type(effects, PublishStatus), [])
+        self.assertTrue(all(e.order.seen_ends == 0 for e in filter_by_type(effects, SendRenewal)))
+        (batch,) = filter_by_type(effects, Persist)
         effects = bench.feed(Persisted(batch.number))
         self.assertEqual(
-            [(e.job, e.status) for e in of_type(effects, PublishStatus)],
+            [(e.job, e.status) for e in filter_by_type(effects, PublishStatus)],
             [(job, JobStatus.COMPLETED)],
         )
-        self.assertEqual(of_type(effects, SendRenew)[-1].order.seen_ends, 1)
+        self.assertEqual(filter_by_type(effects, SendRenewal)[-1].order.seen_ends, 1)
 
 
 class TestSilentWorker(unittest.TestCase):
@@ -91,41 +91,41 @@
         self.bench.confirm(start)
         self.bench.report("w", running=[(self.order.task, 1, 10.0)])
 
-    def miss_for(self, seconds: float) -> list:
+    def leave_unanswered_for(self, seconds: float) -> list:
         found = []
         end = self.bench.now + seconds
         while self.bench.now < end:
             if "w" in self.bench.renewals:
-                found += self.bench.miss("w")
+                found += self.bench.leave_unanswered("w")
             found += self.bench.tick(0.1)
         return found
 
     def test_lease_of_a_silent_worker_is_not_renewed(self) -> None:
         """Renewals to a worker that does not answer only look, so its leases run out."""
-        found = self.miss_for(3.0)
-        looks = [effect.order.lease_until_ms for effect in of_type(found, SendRenew)]
-        self.assertGreater(len(looks), 3)
-        self.assertEqual(set(looks), {0})
+        found = self.leave_unanswered_for(3.0)
+        lease_ends = [effect.order.lease_until_ms for effect in filter_by_type(found, SendRenewal)]
+        self.assertGreater(len(lease_ends), 3)
+        self.assertEqual(set(lease_ends), {0})
 
-    def test_runs_begin_again_after_the_lease(self) -> None:
+    def test_runs_restart_after_the_lease(self) -> None:
         """Not before its leases are over, at the slowest rate of its clock, then elsewhere."""
         self.bench.add_worker("v")
-        found = self.miss_for(9.0)
-        again = [effect for effect in of_type(found, SendStart) if effect.life == "v"]
+        found = self.leave_unanswered_for(9.0)
+        again = [effect for effect in filter_by_type(found, SendStart) if effect.life == "v"]
         self.assertEqual([effect.order.run for effect in again], [2])
 
-    def test_not_before_the_lease(self) -> None:
+    def test_runs_do_not_restart_within_the_lease(self) -> None:
         """Within the lease nothing begins again."""
         self.bench.add_worker("v")
-        found = self.miss_for(3.5)
-        self.assertEqual(of_type(found, SendStart), [])
+        found = self.leave_unanswered_for(3.5)
+        self.assertEqual(filter_by_type(found, SendStart), [])
 
-    def test_other_life_ends_all_at_once(self) -> None:
+    def test_other_life_ends_all_runs(self) -> None:
         """Where another life answers, the runs of the one meant are over."""
         self.bench.add_worker("v")
         event = StartAnswered("w", self.order.task, 1, StartResult(Refusal.OTHER_LIFE))
         found = self.bench.feed(event) + self.bench.tick(0.2)
-        self.assertEqual([effect.life for effect in of_type(found, SendStart)], ["v"])
+        self.assertEqual([effect.life for effect in filter_by_type(found, SendStart)], ["v"])
 
 
 class TestUnansweredStart(unittest.TestCase):
@@ -136,46 +136,48 @@
         (self.start,) = self.bench.starts()
         self.order = self.start.order
 
-    def unanswered(self) -> list:
+    def leave_start_unanswered(self) -> list:
         return self.bench.feed(StartAnswered("w", self.order.task, 1, None))
 
     def test_listed_run_is_adopted(self) -> None:
         """A run that the worker lists has started."""
         self.bench.report("w", running=[(self.order.task, 1, 0.0)])
-        self.unanswered()
+        self.leave_start_unanswered()
         self.bench.report("w", running=[(self.order.task, 1, 5.0)])
         task = self.bench.cell.find_task(self.order.task)
         self.assertEqual((task.phase, task.run), (Phase.RUNNING, 1))
 
-    def missing(self) -> list:
+    def report_missing_run(self) -> list:
         """Report, after the lost answer, that nothing runs."""
         self.bench.report("w")
-        self.unanswered()
+        self.leave_start_unanswered()
         self.bench.now += 0.01
         self.bench.report("w")
         return self.bench.report("w")
 
     def test_missing_run_is_stopped_before_it_begins_again(self) -> None:
         """A run that is not listed may come later, so the worker must refuse it first."""
-        found = self.missing()
-        self.assertEqual(len(of_type(found, SendStop)), 1)
-        self.assertEqual(of_type(found, SendStart), [])
+        found = self.report_missing_run()
+        self.assertEqual(len(filter_by_type(found, SendStop)), 1)
+        self.assertEqual(filter_by_type(found, SendStart), [])
         self.bench.feed(StopAnswered("w", self.order.task, 1, True))
         self.bench.now += 0.01
-        self.bench.seen.clear()
+        self.bench.all_effects.clear()
         for _ in range(5):
             self.bench.report("w")
             self.bench.tick(0.3)
-        self.assertEqual([e.order.run for e in of_type(self.bench.seen, SendStart)], [2])
+        self.assertEqual(
+            [e.order.run for e in filter_by_type(self.bench.all_effects, SendStart)], [2]
+        )
 
     def test_repeated_stop_keeps_its_first_answer(self) -> None:
         """Stops that are sent again do not put off what follows from the first answer."""
-        self.missing()
+        self.report_missing_run()
         self.bench.feed(StopAnswered("w", self.order.task, 1, True))
-        stop = next(iter(self.bench.cell.stops.values()))
+        stop = next(iter(self.bench.cell.pending_stops.values()))
         first = stop.answered_at
         found = self.bench.tick(4.0)
-        self.assertTrue(of_type(found, SendStop))
+        self.assertTrue(filter_by_type(found, SendStop))
         self.bench.feed(StopAnswered("w", self.order.task, 1, True))
         self.assertEqual(stop.answered_at, first)
 
@@ -193,7 +195,7 @@
         bench.feed(StartAnswered("w", order.task, order.run, refused))
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.PENDING)
         bench.tick(1.5)
-        bench.confirm(bench.starts(bench.seen)[-1])
+        bench.confirm(bench.starts(bench.all_effects)[-1])
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
 
 
@@ -209,7 +211,7 @@
             bench.confirm(start)
             found = bench.report("w", ended=[(start.order.task, run, FAILED)])
             bench.effects = found + bench.tick(3.0)
-        statuses = [e.status for e in of_type(bench.effects, PublishStatus)]
+        statuses = [e.status for e in filter_by_type(bench.effects, PublishStatus)]
         self.assertEqual(statuses, [JobStatus.FAILED])
         self.assertEqual(bench.starts(), [])
 
@@ -229,7 +231,7 @@
         """Two failed members of one run are one failure of the gang."""
         bench = Bench(attempts=2)
         bench.add_worker()
-        job = bench.submit(gang_of(3))
+        job = bench.submit(make_gang(3))
         starts = bench.starts()
         for start in starts:
             bench.confirm(start)
@@ -246,7 +248,7 @@
         self.assertEqual({bench.cell.find_task(task).failures for task in tasks}, {1})
 
 
-def gang_of(count: int):
+def make_gang(count: int):
     return msgspec.structs.replace(SMALL, count=count, gang=True)
 
 
@@ -255,27 +257,27 @@
         """A gang without room for all its members starts none."""
         bench = Bench()
         bench.add_worker("w", cpu=4000)
-        bench.submit(gang_of(5))
+        bench.submit(make_gang(5))
         self.assertEqual(bench.starts(), [])
         bench.add_worker("v", cpu=1000)
         found = bench.effects + bench.tick(0.2)
         self.assertEqual(len(bench.starts(found)), 5)
         self.assertEqual({start.order.run for start in bench.starts(found)}, {1})
 
-    def test_refused_member_takes_the_others_along(self) -> None:
+    def test_refused_member_stops_the_other_members(self) -> None:
         """Where one member cannot start, the others are stopped before they wait in vain."""
         bench = Bench()
         bench.add_worker()
-        bench.submit(gang_of(3))
+        bench.submit(make_gang(3))
         first, *others = bench.starts()
         result = StartResult(Refusal.UNWELL)
         found = bench.feed(StartAnswered("w", first.order.task, 1, result))
-        stopped = {effect.order.task for effect in of_type(found, SendStop)}
+        stopped = {effect.order.task for effect in filter_by_type(found, SendStop)}
         self.assertEqual(stopped, {start.order.task for start in others})
 
 
 class TestPlacing(unittest.TestCase):
-    def test_room_is_never_oversold(self) -> None:
+    def test_stopping_run_still_takes_room(self) -> None:
         """What is being stopped still takes room."""
         bench = Bench()
         bench.add_worker("w", cpu=1000)
@@ -283,7 +285,7 @@
         (start,) = bench.starts()
         bench.confirm(start)
         found = bench.feed(JobCancelled(job))
-        self.assertEqual(len(of_type(found, SendStop)), 1)
+        self.assertEqual(len(filter_by_type(found, SendStop)), 1)
         bench.submit()
         self.assertEqual(bench.starts(bench.effects + bench.tick(0.3)), [])
         bench.report("w", ended=[(start.order.task, 1, EndKind.STOPPED)])
@@ -325,14 +327,14 @@
         self.assertIn("w", bench.renewals)
         self.assertEqual(len(bench.cell.workers["w"].runs), 1)
 
-    def test_worker_that_goes_without_a_word_gets_nothing_new(self) -> None:
+    def test_worker_delisted_without_draining_gets_nothing_new(self) -> None:
         """A worker whose entry goes while the store is well is leaving, though it answers."""
         bench = Bench()
         bench.add_worker("w")
         bench.feed(WorkerDelisted("w", may_return=False))
         bench.submit()
         bench.tick(1.0)
-        self.assertEqual(bench.starts(bench.seen), [])
+        self.assertEqual(bench.starts(bench.all_effects), [])
 
     def test_entry_that_lapsed_with_the_store_may_return(self) -> None:
         """A worker whose entry went with an outage is used while it may come back, no longer."""
@@ -344,7 +346,7 @@
         bench.now += 3.5
         bench.submit()
         bench.tick(0.2)
-        self.assertEqual(len(bench.starts(bench.seen)), 1)
+        self.assertEqual(len(bench.starts(bench.all_effects)), 1)
 
     def test_failed_run_goes_elsewhere(self) -> None:
         """The next try of a failed run avoids the worker that it failed on."""
@@ -367,141 +369,143 @@
 
     def answer(self, asked: AskAdvice, *fit: str) -> list:
         tickets = {life: f"ticket-{life}" for life in fit}
-        return self.bench.feed(AdviceAnswered(AdviceGiven(asked.wanted, tickets)))
+        return self.bench.feed(AdviceAnswered(AdviceGiven(asked.request, tickets)))
 
     def test_start_carries_the_ticket(self) -> None:
         """Only advised workers are used, with the ticket for the worker's life."""
         self.bench.submit()
-        (asked,) = of_type(self.bench.effects, AskAdvice)
-        self.assertEqual(set(asked.wanted.workers), {"w", "v"})
+        (asked,) = filter_by_type(self.bench.effects, AskAdvice)
+        self.assertEqual(set(asked.request.workers), {"w", "v"})
         found = self.answer(asked, "v") + self.bench.tick(0.1)
         (start,) = self.bench.starts(found)
         self.assertEqual((start.life, start.order.ticket), ("v", "ticket-v"))
 
-    def test_questions_are_few_and_the_highest_rank_goes_first(self) -> None:
+    def test_pending_requests_are_bounded(self) -> None:
         """No more than two questions a node are on their way, whatever waits."""
         for _ in range(20):
             self.bench.submit()
         self.bench.tick(0.2)
-        self.assertEqual(len(self.bench.cell.questions), 4)
+        self.assertEqual(len(self.bench.cell.advice_requests), 4)
 
     def test_unfit_workers_are_not_asked_about_again(self) -> None:
         """What the service has told stays; only tickets are renewed."""
         self.bench.submit(msgspec.structs.replace(SMALL, size=Size(4000, 1000)))
-        (asked,) = of_type(self.bench.effects, AskAdvice)
+        (asked,) = filter_by_type(self.bench.effects, AskAdvice)
         self.bench.cell.workers["w"].used = Size(4000, 0)
         self.answer(asked, "w")
         self.bench.tick(2.5)
         self.bench.cell.workers["w"].used = Size(0, 0)
-        (again,) = of_type(self.bench.tick(0.1), AskAdvice)
-        self.assertEqual(again.wanted.workers, ("w",))
+        (again,) = filter_by_type(self.bench.tick(0.1), AskAdvice)
+        self.assertEqual(again.request.workers, ("w",))
 
     def test_gang_asks_about_as_many_workers_as_it_needs(self) -> None:
         """A question about all of many workers would outlast its tickets."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(90):
             bench.add_worker(f"x{number}")
-        bench.cell.askers = 8
-        bench.submit(gang_of(8))
-        asked = [effect.wanted.workers for effect in of_type(bench.effects, AskAdvice)]
+        bench.cell.advice_node_count = 8
+        bench.submit(make_gang(8))
+        asked = [effect.request.workers for effect in filter_by_type(bench.effects, AskAdvice)]
         self.assertTrue(all(len(workers) < 45 for workers in asked))
         self.assertGreaterEqual(len(asked[0]), 10)
 
-    def test_gang_learns_of_all_workers_at_once(self) -> None:
+    def test_gang_asks_about_all_workers_in_parallel(self) -> None:
         """Several nodes are asked at the same time, about each worker once."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(90):
             bench.add_worker(f"x{number}")
-        bench.submit(gang_of(8))
-        asked = [life for e in of_type(bench.effects, AskAdvice) for life in e.wanted.workers]
+        bench.submit(make_gang(8))
+        asked = [
+            life for e in filter_by_type(bench.effects, AskAdvice) for life in e.request.workers
+        ]
         self.assertEqual(len(asked), 90)
         self.assertEqual(len(set(asked)), 90)
 
-    def test_gang_counts_the_tickets_that_hold(self) -> None:
+    def test_gang_counts_valid_tickets(self) -> None:
         """Only what is missing beside valid tickets is asked for, among those known to be fit."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(4):
             bench.add_worker(f"x{number}", cpu=1000)
-        bench.submit(gang_of(4))
-        (asked,) = of_type(bench.effects, AskAdvice)
-        self.assertEqual(len(asked.wanted.workers), 4)
+        bench.submit(make_gang(4))
+        (asked,) = filter_by_type(bench.effects, AskAdvice)
+        self.assertEqual(len(asked.request.workers), 4)
         bench.cell.workers["x3"].used = Size(1000, 0)
-        bench.feed(AdviceAnswered(AdviceGiven(asked.wanted, {f"x{n}": "t" for n in range(4)})))
-        step = bench.cell.jobs[asked.wanted.job].repetitions[0][0]
+        bench.feed(AdviceAnswered(AdviceGiven(asked.request, {f"x{n}": "t" for n in range(4)})))
+        step = bench.cell.jobs[asked.request.job].repetitions[0][0]
         step.advice.tickets["x0"] = ("t", 0.0)
         bench.cell.workers["x3"].used = Size(0, 0)
-        (again,) = of_type(bench.tick(0.1), AskAdvice)
-        self.assertEqual(again.wanted.workers, ("x0",))
+        (again,) = filter_by_type(bench.tick(0.1), AskAdvice)
+        self.assertEqual(again.request.workers, ("x0",))
 
     def test_answer_from_before_the_terms_changed(self) -> None:
         """A queue whose advice was taken away and given back is asked about as before."""
         cell = self.bench.cell
         self.bench.submit(msgspec.structs.replace(SMALL, size=Size(4000, 1000)))
-        (asked,) = of_type(self.bench.effects, AskAdvice)
+        (asked,) = filter_by_type(self.bench.effects, AskAdvice)
         cell.workers["w"].used = Size(4000, 0)
-        (step,) = cell.waiting.values()
+        (step,) = cell.waiting_steps.values()
         step.advice = Advice(step.advice.terms)
         self.answer(asked)
-        self.assertEqual(step.advice.asking, 0)
+        self.assertEqual(step.advice.pending_requests, 0)
 
     def test_failed_question_is_asked_again(self) -> None:
         """A question without an answer is repeated a little later."""
         self.bench.submit()
-        (asked,) = of_type(self.bench.effects, AskAdvice)
-        self.bench.feed(AdviceFailed(asked.wanted))
-        self.assertEqual(len(of_type(self.bench.tick(0.5), AskAdvice)), 1)
+        (asked,) = filter_by_type(self.bench.effects, AskAdvice)
+        self.bench.feed(AdviceFailed(asked.request))
+        self.assertEqual(len(filter_by_type(self.bench.tick(0.5), AskAdvice)), 1)
 
 
 class TestTakeover(unittest.TestCase):
-    def recorded(self, job: str, life: str, **fields) -> RecordedJobs:
+    def make_recorded_jobs(self, job: str, life: str, **fields) -> RecordedJobs:
         task = TaskProgress(0, 0, 0, run=3, life=life, **fields)
         progress = JobProgress(JobStatus.RUNNING, [task])
-        return RecordedJobs({job: accepted()}, set(), {job: progress})
+        return RecordedJobs({job: make_accepted_job()}, set(), {job: progress})
 
-    def restored(self, life: str = "w") -> tuple[Bench, str]:
+    def restore_bench(self, life: str = "w") -> tuple[Bench, str]:
         bench = Bench(token=9)
         job = "a" * 16
-        bench.restore(self.recorded(job, life))
+        bench.restore(self.make_recorded_jobs(job, life))
         return bench, job
 
     def test_running_run_is_adopted(self) -> None:
         """What the worker lists goes on; nothing is started or stopped."""
-        bench, job = self.restored()
-        bench.add_worker("w", settled=False)
+        bench, job = self.restore_bench()
+        bench.add_worker("w", is_settled=False)
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
         found = bench.report("w", running=[(task.id, 3, 50.0)]) + bench.tick(1.0)
-        self.assertEqual(of_type(found, SendStart) + of_type(found, SendStop), [])
+        self.assertEqual(filter_by_type(found, SendStart) + filter_by_type(found, SendStop), [])
 
     def test_statuses_are_shown_at_once(self) -> None:
         """A new leader shows all jobs on record before it takes any event."""
         bench = Bench(token=9)
         job = "a" * 16
-        effects = bench.restore(self.recorded(job, "w"))
-        shown = [(e.job, e.status) for e in of_type(effects, PublishStatus)]
+        effects = bench.restore(self.make_recorded_jobs(job, "w"))
+        shown = [(e.job, e.status) for e in filter_by_type(effects, PublishStatus)]
         self.assertEqual(shown, [(job, JobStatus.RUNNING)])
 
     def test_failure_on_record_is_not_counted_again(self) -> None:
         """An end that is on record, and that the worker lists again, counts once."""
         bench = Bench(token=9, attempts=2)
         job = "a" * 16
-        bench.restore(self.recorded(job, "", failed_runs=[3]))
+        bench.restore(self.make_recorded_jobs(job, "", failed_runs=[3]))
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
-        bench.add_worker("w", settled=False)
+        bench.add_worker("w", is_settled=False)
         bench.report("w", ended=[(task.id, 3, FAILED)])
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
         bench.tick(0.3)
-        self.assertEqual([start.order.run for start in bench.starts(bench.seen)], [4])
+        self.assertEqual([start.order.run for start in bench.starts(bench.all_effects)], [4])
 
-    def test_run_that_never_arrived_begins_again(self) -> None:
+    def test_run_that_never_arrived_is_restarted(self) -> None:
         """The first report under the new token settles what runs there."""
-        bench, _ = self.restored()
-        bench.add_worker("w", settled=False)
+        bench, _ = self.restore_bench()
+        bench.add_worker("w", is_settled=False)
         found = bench.report("w") + bench.tick(0.2)
         self.assertEqual([start.order.run for start in bench.starts(found)], [4])
 
     def test_worker_never_seen_again(self) -> None:
         """Its runs are over only after the longest lease and a cut-off leader's silence."""
-        bench, _ = self.restored(life="gone")
+        bench, _ = self.restore_bench(life="gone")
         bench.add_worker("w")
         self.assertEqual(bench.starts(bench.tick(9.5)), [])
         self.assertEqual(len(bench.starts(bench.tick(1.0))), 1)
@@ -511,9 +515,9 @@
         bench = Bench(token=9)
         job = "a" * 16
         progress = JobProgress(JobStatus.PENDING, [TaskProgress(0, 0, 0, run=1, life="w")])
-        bench.restore(RecordedJobs({job: accepted()}, set(), {job: progress}))
+        bench.restore(RecordedJobs({job: make_accepted_job()}, set(), {job: progress}))
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.PENDING)
-        bench.add_worker("w", settled=False)
+        bench.add_worker("w", is_settled=False)
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0].id
         bench.report("w", running=[(task, 1, 5.0)])
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
@@ -522,21 +526,21 @@
         """A run of a job that was cancelled is stopped where it is found."""
         bench = Bench(token=9)
         job = "a" * 16
-        recorded = self.recorded(job, "w")
+        recorded = self.make_recorded_jobs(job, "w")
         bench.restore(RecordedJobs(recorded.accepted, {job}, recorded.progress))
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
-        bench.add_worker("w", settled=False)
+        bench.add_worker("w", is_settled=False)
         found = bench.report("w", running=[(task.id, 3, 50.0)]) + bench.tick(0.6)
-        self.assertTrue(of_type(found, SendStop))
-        self.assertEqual(of_type(found, SendStart), [])
+        self.assertTrue(filter_by_type(found, SendStop))
+        self.assertEqual(filter_by_type(found, SendStart), [])
 
-    def test_run_that_nothing_accounts_for_is_stopped(self) -> None:
+    def test_unrecorded_run_is_stopped(self) -> None:
         """A run under no record takes room until it has ended, and is stopped."""
-        bench, job = self.restored(life="elsewhere")
+        bench, job = self.restore_bench(life="elsewhere")
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
-        bench.add_worker("w", settled=False)
+        bench.add_worker("w", is_settled=False)
         found = bench.report("w", running=[(task.id, 2, 50.0)])
-        self.assertEqual([e.order.run for e in of_type(found, SendStop)], [2])
+        self.assertEqual([e.order.run for e in filter_by_type(found, SendStop)], [2])
         self.assertEqual(bench.cell.workers["w"].used.cpu, 1000)
 
     def test_job_that_ended_is_known_by_its_end_alone(self) -> None:
@@ -546,21 +550,23 @@
         job = "a" * 16
         ended = JobProgress(JobStatus.COMPLETED, [])
         effects = bench.restore(RecordedJobs({}, set(), {job: ended}))
-        shown = [(e.job, e.status) for e in of_type(effects, PublishStatus)]
+        shown = [(e.job, e.status) for e in filter_by_type(effects, PublishStatus)]
         self.assertEqual(shown, [(job, JobStatus.COMPLETED)])
-        found = bench.feed(JobAccepted(job, accepted())) + bench.tick(1.0)
-        self.assertEqual(of_type(found, SendStart) + of_type(found, PublishStatus), [])
-        self.assertEqual([e.names for e in of_type(found, ForgetAccepted)], [(job,)])
+        found = bench.feed(JobAccepted(job, make_accepted_job())) + bench.tick(1.0)
+        self.assertEqual(
+            filter_by_type(found, SendStart) + filter_by_type(found, PublishStatus), []
+        )
+        self.assertEqual([e.names for e in filter_by_type(found, ForgetAccepted)], [(job,)])
 
     def test_run_of_a_job_that_ended_takes_all_that_is_free(self) -> None:
         """How much it takes is known no more; nothing is placed beside it until it has ended."""
         bench = Bench(token=9)
         job = "a" * 16
         bench.restore(RecordedJobs({}, set(), {job: JobProgress(JobStatus.COMPLETED, [])}))
-        bench.add_worker("w", settled=False)
+        bench.add_worker("w", is_settled=False)
         stray = TaskId(job, 0, 0, 0)
         found = bench.report("w", running=[(stray, 2, 50.0)])
-        self.assertEqual([e.order.task for e in of_type(found, SendStop)], [stray])
+        self.assertEqual([e.order.task for e in filter_by_type(found, SendStop)], [stray])
         bench.submit()
         self.assertEqual(bench.starts(bench.tick(0.5)), [])
         found = bench.report("w", ended=[(stray, 2, EndKind.STOPPED)]) + bench.tick(0.2)
@@ -574,7 +580,7 @@
         (start,) = bench.starts()
         result = StartResult(Refusal.FENCED)
         found = bench.feed(StartAnswered("w", start.order.task, 1, result))
-        self.assertEqual(len(of_type(found, StepDown)), 1)
+        self.assertEqual(len(filter_by_type(found, StepDown)), 1)
 
 
 class TestForgetting(unittest.TestCase):
@@ -587,48 +593,48 @@
         (self.start,) = self.bench.starts()
         self.bench.confirm(self.start)
 
-    def forgotten(self, effects) -> list[tuple[str, ...]]:
-        return [effect.names for effect in of_type(effects, ForgetAccepted)]
+    def forgotten_names(self, effects) -> list[tuple[str, ...]]:
+        return [effect.names for effect in filter_by_type(effects, ForgetAccepted)]
 
-    def end(self, kind: EndKind) -> list:
+    def end_run(self, kind: EndKind) -> list:
         return self.bench.report("w", ended=[(self.start.order.task, 1, kind)])
 
     def test_not_before_its_end_is_on_record(self) -> None:
         """While the store is away, a successor needs to know what is to be done."""
-        self.bench.holds_store = True
-        found = self.end(DONE) + self.bench.tick(1.0)
-        self.assertEqual(self.forgotten(found), [])
-        self.bench.holds_store = False
-        found = self.bench.feed(Persisted(self.bench.cell.batch))
-        self.assertEqual(self.forgotten(found), [(self.job,)])
+        self.bench.is_store_paused = True
+        found = self.end_run(DONE) + self.bench.tick(1.0)
+        self.assertEqual(self.forgotten_names(found), [])
+        self.bench.is_store_paused = False
+        found = self.bench.feed(Persisted(self.bench.cell.batch_number))
+        self.assertEqual(self.forgotten_names(found), [(self.job,)])
 
     def test_handed_in_again_while_its_end_waits(self) -> None:
         """Until its end is on record, a successor knows of it by how it was taken in alone."""
-        self.bench.holds_store = True
-        self.end(DONE)
-        found = self.bench.feed(JobAccepted(self.job, accepted())) + self.bench.tick(1.0)
-        self.assertEqual(self.forgotten(found), [])
-        self.bench.holds_store = False
-        found = self.bench.feed(Persisted(self.bench.cell.batch)) + self.bench.tick(0.2)
-        self.assertIn((self.job,), self.forgotten(found))
+        self.bench.is_store_paused = True
+        self.end_run(DONE)
+        found = self.bench.feed(JobAccepted(self.job, make_accepted_job())) + self.bench.tick(1.0)
+        self.assertEqual(self.forgotten_names(found), [])
+        self.bench.is_store_paused = False
+        found = self.bench.feed(Persisted(self.bench.cell.batch_number)) + self.bench.tick(0.2)
+        self.assertIn((self.job,), self.forgotten_names(found))
 
     def test_not_while_something_runs(self) -> None:
         """A successor counts the room of runs that are being stopped."""
         found = self.bench.feed(JobCancelled(self.job)) + self.bench.tick(0.3)
-        self.assertEqual(self.forgotten(found), [])
-        found = self.end(EndKind.STOPPED) + self.bench.tick(0.1)
-        self.assertEqual(self.forgotten(found), [(self.job,)])
+        self.assertEqual(self.forgotten_names(found), [])
+        found = self.end_run(EndKind.STOPPED) + self.bench.tick(0.1)
+        self.assertEqual(self.forgotten_names(found), [(self.job,)])
 
 
 class TestCancelling(unittest.TestCase):
-    def test_cancelling_may_come_first(self) -> None:
+    def test_cancellation_may_precede_its_job(self) -> None:
         """A cancelling on record before its job keeps the job from running."""
         bench = Bench()
         bench.add_worker()
         bench.feed(JobCancelled("a" * 16))
-        found = bench.feed(JobAccepted("a" * 16, accepted())) + bench.tick(0.3)
+        found = bench.feed(JobAccepted("a" * 16, make_accepted_job())) + bench.tick(0.3)
         self.assertEqual(bench.starts(found), [])
-        statuses = [e.status for e in of_type(found, PublishStatus)]
+        statuses = [e.status for e in filter_by_type(found, PublishStatus)]
         self.assertEqual(statuses[-1], JobStatus.CANCELLED)
 
 
@@ -643,8 +649,10 @@
         bench.add_worker("v")
         stops = []
         for _ in range(40):
-            stops += of_type(bench.report("w", running=[(start.order.task, 1, 1.0)]), SendStop)
-            stops += of_type(bench.tick(0.3), SendStop)
+            stops += filter_by_type(
+                bench.report("w", running=[(start.order.task, 1, 1.0)]), SendStop
+            )
+            stops += filter_by_type(bench.tick(0.3), SendStop)
             if stops:
                 break
         self.assertEqual([stop.order.task for stop in stops[:1]], [start.order.task])
@@ -660,7 +668,7 @@
         bench.add_worker("v")
         for percent in (5, 35, 65, 95):
             found = bench.report("w", running=[(start.order.task, 1, percent)])
-            self.assertEqual(of_type(found, SendStop), [])
+            self.assertEqual(filter_by_type(found, SendStop), [])
             bench.tick(0.3)
         self.assertLess(bench.cell.workers["w"].slowness, 1.3)
 
--- a/tests/test_jobs_reserving.py
+++ b/tests/test_jobs_reservations.py
@@ -9,7 +9,7 @@
 from snowdock.jobs.events import AdviceAnswered, AskAdvice, SendStart, SendStop
 from snowdock.jobs.model import AdviceTerms
 from snowdock.jobs.orders import AdviceGiven
-from tests.jobs_tools import DONE, SMALL, Bench, of_type
+from tests.jobs_tools import DONE, SMALL, Bench, filter_by_type
 
 BULKY = msgspec.structs.replace(SMALL, size=Size(4000, 100), estimate_ms=2000)
 QUICK = msgspec.structs.replace(SMALL, estimate_ms=100)
@@ -42,7 +42,7 @@
         ends = [(start.order.task, start.order.run, DONE) for start in self.running]
         self.bench.report("w", ended=ends)
 
-    def test_smaller_work_does_not_take_the_pieces(self) -> None:
+    def test_smaller_work_does_not_take_reserved_room(self) -> None:
         """What would end after a bulky task can begin waits for it, and it begins first."""
         self.assertEqual(self.submit(BULKY), [])
         self.assertEqual(self.submit(SMALL), [])
@@ -50,12 +50,12 @@
         (start,) = self.bench.starts()
         self.assertEqual(start.order.task.job, f"{2:016x}")
 
-    def test_what_ends_before_may_use_it(self) -> None:
+    def test_run_that_ends_in_time_may_use_reserved_room(self) -> None:
         """Room that is reserved is used meanwhile by what ends in time."""
         self.assertEqual(self.submit(BULKY), [])
         self.assertEqual(len(self.submit(QUICK)), 1)
 
-    def test_what_ranks_higher_may_use_it(self) -> None:
+    def test_higher_rank_may_use_reserved_room(self) -> None:
         """A reservation holds nothing back that is more urgent."""
         self.assertEqual(self.submit(BULKY), [])
         self.bench.cell.policy = dataclasses.replace(
@@ -71,17 +71,21 @@
         self.assertEqual(self.bench.cell.claims, {})
         self.assertEqual(self.bench.cell.workers["w"].claims, {})
 
-    def test_overdue_run_keeps_nobody_waiting_for_long(self) -> None:
+    def test_overdue_run_blocks_others_briefly(self) -> None:
         """Where a run does not end as expected, small work is let in after as long again."""
         self.submit(BULKY)
         self.submit(SMALL)
         job = f"{3:016x}"
         self.bench.tick(0.5)
-        self.assertNotIn(job, [each.order.task.job for each in self.bench.starts(self.bench.seen)])
+        self.assertNotIn(
+            job, [each.order.task.job for each in self.bench.starts(self.bench.all_effects)]
+        )
         self.bench.tick(3.0)
-        self.assertIn(job, [each.order.task.job for each in self.bench.starts(self.bench.seen)])
+        self.assertIn(
+            job, [each.order.task.job for each in self.bench.starts(self.bench.all_effects)]
+        )
 
-    def test_reservation_keeps_nobody_from_running_anything_for_long(self) -> None:
+    def test_reservation_blocks_a_step_without_runs_briefly(self) -> None:
         """Beside free room that is only reserved, a job of small tasks has one let in soon."""
         long = msgspec.structs.replace(SMALL, size=Size(1000, 100), estimate_ms=60_000)
         self.end_running()
@@ -91,12 +95,14 @@
         self.submit(msgspec.structs.replace(long, count=3, estimate_ms=100_000))
         job = f"{4:016x}"
         self.bench.tick(0.5)
-        self.assertNotIn(job, [each.order.task.job for each in self.bench.starts(self.bench.seen)])
+        self.assertNotIn(
+            job, [each.order.task.job for each in self.bench.starts(self.bench.all_effects)]
+        )
         self.bench.tick(2.0)
-        started = [each.order.task.job for each in self.bench.starts(self.bench.seen)]
+        started = [each.order.task.job for each in self.bench.starts(self.bench.all_effects)]
         self.assertEqual(started.count(job), 1)
 
-    def test_bulky_task_has_room_made(self) -> None:
+    def test_bulky_task_preempts_runs(self) -> None:
         """Runs that save their progress yield to a single bulky task, too."""
         self.bench.cell.policy = dataclasses.replace(
             self.bench.cell.policy, yields=lambda step, other, now: True
@@ -106,7 +112,7 @@
         for start in self.submit(yielding):
             self.bench.confirm(start)
         self.submit(BULKY)
-        self.assertEqual(len(of_type(self.bench.effects, SendStop)), 4)
+        self.assertEqual(len(filter_by_type(self.bench.effects, SendStop)), 4)
 
 
 class TestAdviceInTime(unittest.TestCase):
@@ -120,12 +126,12 @@
     def answer(self, asked: AskAdvice, *fit: str) -> None:
         self.bench.now += 0.01
         tickets = {life: "t" for life in fit}
-        self.bench.feed(AdviceAnswered(AdviceGiven(asked.wanted, tickets)))
+        self.bench.feed(AdviceAnswered(AdviceGiven(asked.request, tickets)))
 
     def asked(self) -> list[AskAdvice]:
-        return of_type(self.bench.effects, AskAdvice)
+        return filter_by_type(self.bench.effects, AskAdvice)
 
-    def fill(self, life: str) -> SendStart:
+    def fill_worker(self, life: str) -> SendStart:
         """Have a bulky run take all of a worker."""
         self.bench.now += 0.01
         self.bench.submit(BULKY)
@@ -135,30 +141,30 @@
         self.bench.confirm(start)
         return start
 
-    def test_workers_without_room_are_learned_of(self) -> None:
+    def test_request_includes_workers_without_room(self) -> None:
         """A question whose fixed part costs most names all workers, room or not."""
-        self.fill("w1")
+        self.fill_worker("w1")
         self.bench.now += 0.01
         self.bench.submit(BULKY)
         (asked,) = self.asked()
-        self.assertEqual(set(asked.wanted.workers), {"w1", "w2"})
+        self.assertEqual(set(asked.request.workers), {"w1", "w2"})
 
-    def test_ticket_is_there_when_room_is(self) -> None:
+    def test_ticket_is_renewed_before_room_comes_free(self) -> None:
         """The ticket for a worker whose room comes free is renewed before that."""
-        running = self.fill("w1")
+        running = self.fill_worker("w1")
         self.bench.now += 0.01
         self.bench.submit(BULKY)
         self.answer(self.asked()[0], "w1")
         # The first ticket expires after 1.85 s, the run takes 2 s.
-        renewed = of_type(self.bench.tick(1.9), AskAdvice)
-        self.assertEqual([each.wanted.workers for each in renewed], [("w1",)])
+        renewed = filter_by_type(self.bench.tick(1.9), AskAdvice)
+        self.assertEqual([each.request.workers for each in renewed], [("w1",)])
         self.answer(renewed[0], "w1")
         self.bench.now += 0.01
         self.bench.report("w1", ended=[(running.order.task, running.order.run, DONE)])
         self.assertEqual(len(self.bench.starts()), 1)
 
 
-class TestRankBesideTickets(unittest.TestCase):
+class TestRankWithTickets(unittest.TestCase):
     """Who ranks higher goes first, also where another one's ticket is there sooner."""
 
     CHECK = msgspec.structs.replace(SMALL, size=Size(1000, 100), estimate_ms=1000)
@@ -175,34 +181,34 @@
             self.bench.cell.policy, rank=lambda step, now: float(rank(step))
         )
 
-    def take(self, effects) -> None:
+    def process_effects(self, effects) -> None:
         """Confirm starts, and answer questions half a second after they were asked."""
-        self.asked += [(self.bench.now + 0.5, each) for each in of_type(effects, AskAdvice)]
+        self.asked += [(self.bench.now + 0.5, each) for each in filter_by_type(effects, AskAdvice)]
         for start in self.bench.starts(effects):
             self.started.append(start.order.task.job)
-            self.take(self.bench.confirm(start))
+            self.process_effects(self.bench.confirm(start))
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         for _ in range(round(seconds * 10)):
-            self.take(self.bench.tick(0.1))
+            self.process_effects(self.bench.tick(0.1))
             due = [each for at, each in self.asked if at <= self.bench.now]
             self.asked = [(at, each) for at, each in self.asked if at > self.bench.now]
             for asked in due:
-                tickets = {life: "t" for life in self.fit[asked.wanted.job]}
-                given = AdviceGiven(asked.wanted, tickets)
-                self.take(self.bench.feed(AdviceAnswered(given)))
+                tickets = {life: "t" for life in self.fit[asked.request.job]}
+                given = AdviceGiven(asked.request, tickets)
+                self.process_effects(self.bench.feed(AdviceAnswered(given)))
 
     def submit(self, spec, *fit: str) -> str:
         self.bench.now += 0.01
         job = self.bench.submit(spec)
         self.fit[job] = fit
-        self.take(self.bench.effects)
+        self.process_effects(self.bench.effects)
         return job
 
-    def end(self, life: str, job: str) -> None:
+    def end_run(self, life: str, job: str) -> None:
         task = self.bench.cell.jobs[job].repetitions[0][0].tasks[0]
         self.bench.now += 0.01
-        self.take(self.bench.report(life, ended=[(task.id, task.run, DONE)]))
+        self.process_effects(self.bench.report(life, ended=[(task.id, task.run, DONE)]))
 
     def test_small_step_beside_large_ones_with_tickets(self) -> None:
         """A step of small tasks is not passed by a late large one whose ticket is renewed."""
@@ -210,29 +216,29 @@
         self.bench.add_worker("w1", cpu=4000)
         self.bench.add_worker("w2", cpu=4000)
         first = self.submit(BULKY, "w1")
-        self.pass_time(0.8)
+        self.advance(0.8)
         self.assertEqual(self.started, [first])
         check = self.submit(self.CHECK, "w1")
         late = self.submit(BULKY, "w1")
         # The check's ticket lapses meanwhile; the large step's is renewed for when room comes.
-        self.pass_time(2.6)
-        self.end("w1", first)
-        self.pass_time(1.2)
+        self.advance(2.6)
+        self.end_run("w1", first)
+        self.advance(1.2)
         self.assertEqual(self.started[1], check)
         self.assertNotIn(late, self.started)
 
-    def test_room_that_is_asked_about_is_kept_only_so_long(self) -> None:
+    def test_room_held_for_a_request_is_released(self) -> None:
         """Where the service does not answer, a lower step is let in soon."""
         self.rank_by(lambda step: -step.spec.size.cpu)
         self.bench.add_worker("w1", cpu=4000)
         first = self.submit(BULKY, "w1")
-        self.pass_time(0.8)
+        self.advance(0.8)
         self.submit(self.CHECK, "w1")
         late = self.submit(BULKY, "w1")
-        self.pass_time(2.6)
-        self.end("w1", first)
+        self.advance(2.6)
+        self.end_run("w1", first)
         self.asked.clear()
-        self.take(self.bench.tick(1.5))
+        self.process_effects(self.bench.tick(1.5))
         self.assertIn(late, self.started)
 
     def test_large_step_beside_reserved_room(self) -> None:
@@ -242,11 +248,11 @@
         for life in ("w1", "w2", "w3"):
             self.bench.add_worker(life, cpu=4000)
         running = self.submit(self.LONG, "w2")
-        self.pass_time(0.8)
+        self.advance(0.8)
         self.assertEqual(self.started, [running])
         gang = msgspec.structs.replace(self.LONG, count=2, gang=True)
         self.submit(gang, "w1", "w2")
-        self.pass_time(1.5)
+        self.advance(1.5)
         lower = self.submit(msgspec.structs.replace(self.LONG, estimate_ms=100_000), "w1")
-        self.pass_time(4.0)
+        self.advance(4.0)
         self.assertIn(lower, self.started)
--- a/tests/test_jobs_returning.py
+++ b/tests/test_jobs_returning.py
@@ -6,7 +6,7 @@
 from snowdock.emulator import Emulator, EmulatorOptions, WorkloadOptions, draw_workload
 from snowdock.emulator.worker_model import WorkerTerms
 from snowdock.emulator.workload import DrawnJob, default_mixes
-from tests.jobs_tools import unended
+from tests.jobs_tools import find_unended_jobs
 from tests.standins.entry_cluster import EntryCluster
 
 SECONDS = 20
@@ -53,7 +53,7 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed, forgets_anew=False)
-                self.assertEqual(unended(emulator, jobs)[:5], [])
+                self.assertEqual(find_unended_jobs(emulator, jobs)[:5], [])
 
     def test_leaders_change_as_workers_return(self) -> None:
         """Nothing runs twice, and every job ends, whichever leader knew the life before."""
@@ -61,7 +61,7 @@
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed, changes_leader=True)
                 self.assertEqual(emulator.checks.violations[:3], [])
-                self.assertEqual(unended(emulator, jobs)[:5], [])
+                self.assertEqual(find_unended_jobs(emulator, jobs)[:5], [])
 
 
 class TestWholePath(unittest.TestCase):
--- a/tests/test_jobs_starving.py
+++ b/tests/test_jobs_starving.py
@@ -2,16 +2,16 @@
 
 import unittest
 
-from snowdock.jobs.events import Decided
+from snowdock.jobs.events import LogDecision
 from snowdock.jobs.model import JobStatus
 from snowdock.jobs.orders import EndKind
 from snowdock.jobs.set_aside import set_aside
 from snowdock.jobs.workers import AsideCause
-from tests.jobs_tools import Bench, of_type
+from tests.jobs_tools import Bench, filter_by_type
 
 
 def told(effects, decision: str) -> list[dict]:
-    found = of_type(effects, Decided)
+    found = filter_by_type(effects, LogDecision)
     return [dict(each.fields) for each in found if each.decision == decision]
 
 
@@ -25,9 +25,9 @@
         worker = self.bench.cell.workers["w"]
         set_aside(self.bench.cell, worker, AsideCause.REFUSED, 1.0, self.bench.now)
         self.bench.tick(0.1)
-        (aside,) = told(self.bench.seen, "worker_set_aside")
+        (aside,) = told(self.bench.all_effects, "worker_set_aside")
         self.assertEqual((aside["cause"], aside["aside"], aside["workers"]), ("refused", 1, 1))
-        self.assertEqual(told(self.bench.seen, "worker_back"), [])
+        self.assertEqual(told(self.bench.all_effects, "worker_back"), [])
         (back,) = told(self.bench.tick(1.5), "worker_back")
         self.assertEqual((back["cause"], back["aside"]), ("refused", 0))
 
--- a/tests/test_jobs_suspects.py
+++ b/tests/test_jobs_suspects.py
@@ -12,7 +12,7 @@
 from snowdock.jobs.progress import decode_progress
 from snowdock.jobs.suspects import next_tasks
 from snowdock.jobs.takeover import RecordedJobs
-from tests.jobs_tools import DONE, SMALL, Bench, accepted
+from tests.jobs_tools import DONE, SMALL, Bench, make_accepted_job
 
 PAIR = msgspec.structs.replace(SMALL, count=2)
 
@@ -108,11 +108,11 @@
         (start,) = self.bench.new_starts()
         self.assertEqual(start.order.task.job, job)
         recorded = {name: decode_progress(self.bench.recorded[name]) for name in (job, other)}
-        jobs = {name: accepted(SMALL) for name in (job, other)}
+        jobs = {name: make_accepted_job(SMALL) for name in (job, other)}
         before, self.bench = self.bench, Bench(2)
         self.bench.now = before.now
         self.bench.restore(RecordedJobs(jobs, set(), recorded))
-        self.bench.add_worker(one, settled=False)
+        self.bench.add_worker(one, is_settled=False)
         self.bench.report(one, running=[(start.order.task, start.order.run, 1.0)])
         self.bench.tick(1.0)
         self.assertEqual(self.bench.new_starts(), [])
@@ -125,7 +125,7 @@
         job = self.bench.submit(PAIR)
         ((step,),) = self.bench.cell.jobs[job].repetitions
         step.tasks[0].lost_runs = frozenset({1})
-        step.tasks[0].since = self.bench.now
+        step.tasks[0].phase_since = self.bench.now
         self.add_workers(1)
         entry = self.bench.cell.workers["w0"].entry
         for placed in range(2):
@@ -166,7 +166,7 @@
         for chosen in itertools.product(pasts, repeat=2):
             for task, (losses, waited) in zip(step.tasks, chosen, strict=True):
                 task.lost_runs = frozenset(range(losses))
-                task.since = now - waited
+                task.phase_since = now - waited
             tasks, _ = next_tasks(step, now)
             self.assertTrue(tasks, chosen)
 
@@ -179,7 +179,7 @@
         for start in self.bench.new_starts():
             self.bench.confirm(start)
         for life in lives:
-            self.bench.miss(life)
+            self.bench.leave_unanswered(life)
         for life in lives:
             self.bench.end_life(life)
         tasks = self.bench.cell.jobs[job].all_tasks()
@@ -203,7 +203,7 @@
         while self.bench.now < end:
             for life in lives:
                 if life in self.bench.renewals:
-                    self.bench.miss(life)
+                    self.bench.leave_unanswered(life)
             self.bench.tick(0.1)
         for life in lives:
             self.bench.end_life(life)
--- a/tests/test_jobs_waiting.py
+++ b/tests/test_jobs_waiting.py
@@ -12,7 +12,7 @@
 BURSTS = (Burst("lookups", 4.0, 4.0, 2.3), Burst("payouts", 12.0, 4.0, 1.8))
 
 
-class TestCrowd(unittest.TestCase):
+class TestCrowdedCluster(unittest.TestCase):
     """Nothing fails but what is drawn to fail; the processors are never all in use."""
 
     reports: dict[str, QueueReport]
@@ -28,16 +28,16 @@
         cls.violations = report.violations
         cls.reports = {each.queue: each for each in report.queues}
 
-    def test_no_promise_is_broken(self) -> None:
+    def test_no_invariant_is_violated(self) -> None:
         """No task runs twice, none where it may not, no worker is overfull."""
         self.assertEqual(self.violations, 0)
 
-    def test_wide_steps_are_not_passed_over(self) -> None:
+    def test_wide_steps_are_not_starved(self) -> None:
         """Steps are looked at while the advice about them holds, however many wait."""
         self.assertGreater(self.reports["recons"].worth, 0.95)
         self.assertGreater(self.reports["payouts"].worth, 0.95)
 
-    def test_small_work_beside_them(self) -> None:
+    def test_small_jobs_beside_wide_steps(self) -> None:
         """Callers who wait are served through a burst that doubles their number."""
         self.assertGreater(self.reports["lookups"].worth, 0.85)
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -29,7 +29,7 @@
 from snowdock.platform.configuration import decode_configuration
 from snowdock.platform.store import KeyedRecord
 from snowdock.teams import Team, TeamBook, digest_key
-from tests.jobs_tools import Bench, accepted, of_type
+from tests.jobs_tools import Bench, filter_by_type, make_accepted_job
 from tests.standins.entry_cluster import CONFIGURATION, EntryCluster, wait_until
 from tests.standins.proxy import Mode, Proxy
 
@@ -166,7 +166,7 @@
 class TestOwners(unittest.TestCase):
     def test_old_records_have_no_team(self) -> None:
         """Records of jobs from before there were teams are read as nobody's."""
-        new = accepted()
+        new = make_accepted_job()
         old = encode(new)
         # An array of one less, without the team at its end.
         self.assertEqual(old[0] & 0xF0, 0x90)
@@ -186,7 +186,7 @@
         mine = self.owned_job("a")
         bench.feed(JobAccepted(JOB, mine))
         bench.feed(JobAccepted(JOB, self.owned_job("b")))
-        (dropped,) = of_type(bench.effects, ForgetAccepted)
+        (dropped,) = filter_by_type(bench.effects, ForgetAccepted)
         self.assertEqual(dropped.names, (record_name(JOB, "b"),))
         bench.feed(JobCancelled(record_name(JOB, "b")))
         bench.feed(JobCancelled(JOB))
@@ -219,7 +219,7 @@
 
     @staticmethod
     def owned_job(name: str, at: int = 1000) -> AcceptedJob:
-        spec = accepted().spec
+        spec = make_accepted_job().spec
         return AcceptedJob(spec, at, "pool", 0, 3, name)
 
 
--- a/tests/test_leader_settings.py
+++ b/tests/test_leader_settings.py
@@ -11,7 +11,7 @@
 from snowdock.jobs.takeover import RecordedJobs
 from snowdock.jobs.times import ISOLATED_SECONDS, LEASE_SECONDS
 from snowdock.platform.node_settings import read_node_environment
-from tests.jobs_tools import Bench, accepted
+from tests.jobs_tools import Bench, make_accepted_job
 from tests.standins.entry_cluster import SETTINGS
 
 JOB = "a" * 16
@@ -34,23 +34,23 @@
         """What workers would grant beyond it was never asked."""
         found = leader_settings(hold_max_ms=10_000)
         self.assertEqual(found.lease_s, LEASE_SECONDS)
-        self.assertGreater(found.takeover_lapse_s, ISOLATED_SECONDS + LEASE_SECONDS / 0.98)
-        self.assertLess(found.takeover_lapse_s, ISOLATED_SECONDS + LEASE_SECONDS + 1.0)
+        self.assertGreater(found.unreached_run_expiry_s, ISOLATED_SECONDS + LEASE_SECONDS / 0.98)
+        self.assertLess(found.unreached_run_expiry_s, ISOLATED_SECONDS + LEASE_SECONDS + 1.0)
 
     def test_shorter_worker_limit_shortens_lapse(self) -> None:
         """Workers that grant less than is asked for bound it as well."""
         found = leader_settings(hold_max_ms=2000)
         self.assertEqual(found.lease_s, 2.0)
-        self.assertLess(found.takeover_lapse_s, ISOLATED_SECONDS + 3.0)
+        self.assertLess(found.unreached_run_expiry_s, ISOLATED_SECONDS + 3.0)
 
 
 class TestLapseAfterClaim(unittest.TestCase):
     def make_bench(self, claimed_before_s: float) -> Bench:
         """Make a leader that has read all records so long after its claim."""
         bench = Bench(token=9)
-        bench.cell.claimed_at = bench.now - claimed_before_s
+        bench.cell.leadership_claimed_at = bench.now - claimed_before_s
         progress = JobProgress(JobStatus.RUNNING, [TaskProgress(0, 0, 0, run=3, life="gone")])
-        bench.restore(RecordedJobs({JOB: accepted()}, set(), {JOB: progress}))
+        bench.restore(RecordedJobs({JOB: make_accepted_job()}, set(), {JOB: progress}))
         bench.add_worker("w")
         return bench
 
--- a/tests/test_malformed_records.py
+++ b/tests/test_malformed_records.py
@@ -24,7 +24,7 @@
 from snowdock.platform.job_bodies import decode_job
 from snowdock.platform.store import KeyedRecord, StoreClient, _unframe
 from snowdock.platform.worker_list import decode_worker_entry
-from tests.jobs_tools import Bench, accepted, of_type
+from tests.jobs_tools import Bench, filter_by_type, make_accepted_job
 from tests.standins.entry_cluster import CONFIGURATION, EntryCluster, wait_until
 from tests.standins.platform import StoreStandin
 
@@ -134,7 +134,7 @@
         """Cut, changed and nested records of every table bring the typed failure or are taken."""
         source = random.Random(SEED)
         leader = msgspec.msgpack.encode(NodeIdentity("n", "i", "1.2.3.4:5").make_record(3))
-        job = encode(accepted())
+        job = encode(make_accepted_job())
         body = json.dumps({"spec": "x", "steps": [{"count": 1}]}).encode()
         decoders = (
             (decode_configuration, json.dumps(CONFIGURATION).encode()),
@@ -215,16 +215,18 @@
         """A worker of a service that nothing names is not called, until one names it."""
         self.bench.feed(WorkerListed(self.entry))
         self.bench.tick(3.0)
-        self.assertEqual(of_type(self.bench.seen, OpenWorker), [])
+        self.assertEqual(filter_by_type(self.bench.all_effects, OpenWorker), [])
         self.configure_service()
-        self.assertEqual([each.life for each in of_type(self.bench.seen, OpenWorker)], ["w"])
+        self.assertEqual(
+            [each.life for each in filter_by_type(self.bench.all_effects, OpenWorker)], ["w"]
+        )
 
     def test_worker_delisted_before_its_service_is_configured(self) -> None:
         """One that is gone before its service is named is never called."""
         self.bench.feed(WorkerListed(self.entry))
         self.bench.feed(WorkerDelisted("w", False))
         self.configure_service()
-        self.assertEqual(of_type(self.bench.seen, OpenWorker), [])
+        self.assertEqual(filter_by_type(self.bench.all_effects, OpenWorker), [])
 
 
 class TestLeaderRecord(unittest.TestCase):
@@ -248,19 +250,19 @@
     def test_unreadable_submission_record(self) -> None:
         """The others are taken over, and this one is told apart from no job at all."""
         other = "f" * 16
-        records = [KeyedRecord(self.JOB, b"\xc1"), KeyedRecord(other, encode(accepted()))]
+        records = [KeyedRecord(self.JOB, b"\xc1"), KeyedRecord(other, encode(make_accepted_job()))]
         recorded = classify_records(records, {})
         self.assertEqual((set(recorded.accepted), recorded.unstartable), ({other}, {self.JOB}))
 
     def test_unreadable_progress_record(self) -> None:
         """It is not run again, also when it is handed in again: it may have run already."""
-        records = [KeyedRecord(self.JOB, encode(accepted()))]
+        records = [KeyedRecord(self.JOB, encode(make_accepted_job()))]
         recorded = classify_records(records, {}, frozenset({self.JOB}))
         bench = Bench()
         bench.restore(recorded)
         bench.add_worker()
         bench.tick(1.0)
-        self.assertEqual(bench.starts(bench.seen), [])
+        self.assertEqual(bench.starts(bench.all_effects), [])
 
     def test_unreadable_job_is_not_reported_as_gone(self) -> None:
         """Callers of it hear that it cannot be told now, not that there is no such job."""
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -101,7 +101,7 @@
         for (host, path), name in cases.items():
             queue = found.find_queue(host, path)
             self.assertEqual(queue.name if queue else None, name)
-        self.assertEqual(found.queue_named("advised").advice.valid_ms, 2000)
+        self.assertEqual(found.find_queue_by_name("advised").advice.valid_ms, 2000)
         self.assertEqual(found.limits.max_body_bytes, 20_000)
 
     def test_malformed_configuration(self) -> None:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -22,19 +22,19 @@
 from snowdock.jobs.progress import JobProgress, TaskProgress
 from snowdock.jobs.takeover import RecordedJobs
 from snowdock.teams import UNBOUNDED, Team, TeamBook
-from tests.jobs_tools import DONE, Bench, accepted, of_type, unended
+from tests.jobs_tools import DONE, Bench, filter_by_type, find_unended_jobs, make_accepted_job
 
 ONE = Size(1000, 100)
 WIDE = StepSpec(count=10, size=ONE, estimate_ms=1000)
 GANG = StepSpec(count=4, size=ONE, estimate_ms=1000, gang=True)
 
 
-def team(cpu: int, memory: int = UNBOUNDED, name: str = "a") -> Team:
+def make_team(cpu: int, memory: int = UNBOUNDED, name: str = "a") -> Team:
     return Team(name, 1.0, Size(cpu, memory, UNBOUNDED))
 
 
-def of_team(*steps: StepSpec, name: str = "a"):
-    return msgspec.structs.replace(accepted(*steps), team=name)
+def make_team_job(*steps: StepSpec, name: str = "a"):
+    return msgspec.structs.replace(make_accepted_job(*steps), team=name)
 
 
 class QuotaBench(Bench):
@@ -52,22 +52,22 @@
 
     def submit_as(self, name: str, *steps: StepSpec) -> str:
         job = f"{next(self._jobs):016x}"
-        self.feed(JobAccepted(job, of_team(*steps, name=name)))
+        self.feed(JobAccepted(job, make_team_job(*steps, name=name)))
         return job
 
     @property
     def started(self) -> list:
-        return self.starts(self.seen)
+        return self.starts(self.all_effects)
 
     @property
     def used(self) -> int:
-        return self.cell.team_use.used("a").cpu
+        return self.cell.team_usage.used("a").cpu
 
 
 class TestWaves(unittest.TestCase):
     def test_wide_step_goes_in_waves(self) -> None:
         """No more tasks run than the quota holds; each end lets the next begin."""
-        bench = QuotaBench(team(3000))
+        bench = QuotaBench(make_team(3000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
         self.assertEqual(len(bench.started), 3)
@@ -81,14 +81,14 @@
 
     def test_every_kind_of_room_counts(self) -> None:
         """A quota of memory binds as well as one of processors."""
-        bench = QuotaBench(team(UNBOUNDED, memory=250))
+        bench = QuotaBench(make_team(UNBOUNDED, memory=250))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
         self.assertEqual(len(bench.started), 2)
 
     def test_other_teams_are_not_held_up(self) -> None:
         """A team at its quota keeps nobody else waiting."""
-        bench = QuotaBench(team(1000), team(5000, name="b"))
+        bench = QuotaBench(make_team(1000), make_team(5000, name="b"))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
         bench.submit_as("b", WIDE)
@@ -98,14 +98,14 @@
 
     def test_jobs_of_no_team_are_not_bound(self) -> None:
         """What needed no key has no quota."""
-        bench = QuotaBench(team(1000))
+        bench = QuotaBench(make_team(1000))
         bench.add_worker(cpu=20_000)
         bench.submit(WIDE)
         self.assertEqual(len(bench.started), 10)
 
     def test_task_larger_than_the_quota_runs_alone(self) -> None:
         """It may pass the quota by itself, but by no second one."""
-        bench = QuotaBench(team(500))
+        bench = QuotaBench(make_team(500))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
         self.assertEqual(len(bench.started), 1)
@@ -114,7 +114,7 @@
 class TestGangs(unittest.TestCase):
     def test_gang_starts_whole_or_not_at_all(self) -> None:
         """Beside other work of its team a gang waits until all of it is within the quota."""
-        bench = QuotaBench(team(4500))
+        bench = QuotaBench(make_team(4500))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", StepSpec(count=1, size=ONE))
         (small,) = bench.started
@@ -127,7 +127,7 @@
 
     def test_gang_without_room_keeps_no_quota_for_long(self) -> None:
         """What no worker holds for now may not keep its team's other gangs from starting."""
-        bench = QuotaBench(team(10_000))
+        bench = QuotaBench(make_team(10_000))
         bench.add_worker(cpu=4000)
         bench.submit_as("a", msgspec.structs.replace(GANG, size=Size(2000, 100)))
         bench.submit_as("a", GANG)
@@ -138,19 +138,19 @@
 
     def test_gang_that_can_never_run_waits_and_is_not_failed(self) -> None:
         """A quota may rise again: then it runs; until then it is shown as waiting."""
-        bench = QuotaBench(team(2000))
+        bench = QuotaBench(make_team(2000))
         bench.add_worker(cpu=20_000)
         job = bench.submit_as("a", GANG)
         bench.tick(30.0)
         self.assertEqual(bench.started, [])
         self.assertIs(bench.cell.jobs[job].status, JobStatus.PENDING)
-        bench.set_teams(team(4000))
+        bench.set_teams(make_team(4000))
         bench.tick(0.2)
         self.assertEqual(len(bench.started), 4)
 
-    def test_gang_is_not_passed_by_its_own_team(self) -> None:
+    def test_gang_is_not_starved_by_its_own_team(self) -> None:
         """Freed quota is kept for a gang that waits, and not given to tasks that rank lower."""
-        bench = QuotaBench(team(4000))
+        bench = QuotaBench(make_team(4000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", StepSpec(count=3, size=ONE, estimate_ms=1000))
         running = bench.started[:]
@@ -168,7 +168,7 @@
 
     def test_gang_larger_than_the_quota_keeps_nothing(self) -> None:
         """What can never run holds up nobody."""
-        bench = QuotaBench(team(2000))
+        bench = QuotaBench(make_team(2000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", GANG)
         bench.now += 0.1
@@ -177,11 +177,11 @@
         self.assertEqual(len(bench.started), 2)
 
 
-class TestCounted(unittest.TestCase):
+class TestCountedRuns(unittest.TestCase):
     """Each kind of run that is or may be at a worker is counted until it surely is not."""
 
     def setUp(self) -> None:
-        self.bench = QuotaBench(team(1000))
+        self.bench = QuotaBench(make_team(1000))
         self.bench.add_worker("w")
         self.bench.add_worker("v")
 
@@ -190,9 +190,9 @@
         (start,) = self.bench.started
         return start
 
-    def test_held_start(self) -> None:
+    def test_deferred_start(self) -> None:
         """A placement that is not on record yet."""
-        self.bench.holds_store = True
+        self.bench.is_store_paused = True
         self.bench.submit_as("a", WIDE)
         self.bench.tick(1.0)
         self.assertEqual(self.bench.used, 1000)
@@ -209,7 +209,7 @@
         """Until its end is listed, or its worker has refused it for good."""
         start = self.start_one()
         self.bench.feed(StartAnswered(start.life, start.order.task, 1, None))
-        while not of_type(self.bench.seen, SendStop):
+        while not filter_by_type(self.bench.all_effects, SendStop):
             self.bench.tick(0.1)
             self.bench.report(start.life)
         self.bench.tick(0.2)
@@ -232,7 +232,7 @@
         self.bench.feed(WorkerDelisted(start.life))
         for _ in range(20):
             if start.life in self.bench.renewals:
-                self.bench.miss(start.life)
+                self.bench.leave_unanswered(start.life)
             self.bench.tick(0.1)
         self.assertEqual(len(self.bench.started), 1)
 
@@ -240,13 +240,13 @@
         """They count before their worker is known, and after."""
         job = "a" * 16
         progress = JobProgress(JobStatus.RUNNING, [TaskProgress(0, 0, 0, 1, "u")], "a")
-        bench = QuotaBench(team(1000))
-        bench.restore(RecordedJobs({job: of_team(WIDE)}, set(), {job: progress}))
+        bench = QuotaBench(make_team(1000))
+        bench.restore(RecordedJobs({job: make_team_job(WIDE)}, set(), {job: progress}))
         self.assertEqual(bench.used, 1000)
         bench.add_worker("w", cpu=20_000)
         bench.tick(0.5)
         self.assertEqual(bench.started, [])
-        bench.add_worker("u", settled=False)
+        bench.add_worker("u", is_settled=False)
         self.assertEqual(bench.used, 1000)
         bench.report("u")
         bench.tick(0.2)
@@ -261,45 +261,45 @@
         second = self.bench.started[-1]
         self.bench.confirm(second)
         self.bench.report(second.life, ended=[(second.order.task, 1, DONE)])
-        self.assertEqual(self.bench.cell.team_use.teams(), {})
+        self.assertEqual(self.bench.cell.team_usage.used_by_team(), {})
 
 
 class TestChangedQuotas(unittest.TestCase):
     def test_lowered_quota_holds_starts_back(self) -> None:
         """A start that waits for its record does not go out over the quota of then."""
-        bench = QuotaBench(team(4000))
+        bench = QuotaBench(make_team(4000))
         bench.add_worker(cpu=20_000)
-        bench.holds_store = True
+        bench.is_store_paused = True
         bench.submit_as("a", WIDE)
-        (batch,) = [effect for effect in bench.seen if isinstance(effect, Persist)]
-        bench.set_teams(team(1000))
-        bench.holds_store = False
+        (batch,) = [effect for effect in bench.all_effects if isinstance(effect, Persist)]
+        bench.set_teams(make_team(1000))
+        bench.is_store_paused = False
         bench.feed(Persisted(batch.number))
         bench.tick(0.5)
         self.assertLessEqual(len(bench.started), 2)
 
     def test_raised_quota_is_used_at_once(self) -> None:
         """What waited for it begins with the next look for room."""
-        bench = QuotaBench(team(1000))
+        bench = QuotaBench(make_team(1000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
-        bench.set_teams(team(6000))
+        bench.set_teams(make_team(6000))
         bench.tick(0.1)
         self.assertEqual(len(bench.started), 6)
 
 
-class TestTroubles(unittest.TestCase):
+class TestFaults(unittest.TestCase):
     SECONDS = 15
 
-    def test_quotas_hold_in_all_troubles(self) -> None:
+    def test_quotas_hold_under_faults(self) -> None:
         """Late orders, lost answers, takeovers and changed quotas: checked at the workers."""
         for seed in range(6):
             with self.subTest(seed=seed):
-                emulator, jobs = self.play(seed)
+                emulator, jobs = self.run_emulation(seed)
                 self.assertEqual(emulator.checks.violations, [])
-                self.assertEqual(unended(emulator, jobs), [])
+                self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
-    def play(self, seed: int):
+    def run_emulation(self, seed: int):
         source = random.Random(seed)
         total = Size(24 * 16_000, 24 * 65_536, UNBOUNDED)
         teams = uneven_teams(5, total)
@@ -313,7 +313,7 @@
         while at < self.SECONDS:
             at += source.uniform(0.5, 2)
             emulator.run_until(at)
-            self.trouble(emulator, source, total)
+            self.inject_fault(emulator, source, total)
         emulator.faults.lost_answers = emulator.faults.late_orders = 0
         emulator.faults.cut.clear()
         emulator.change_teams(uneven_teams(5, total.times(4)))
@@ -321,7 +321,7 @@
         return emulator, jobs
 
     @staticmethod
-    def trouble(emulator: Emulator, source: random.Random, total: Size) -> None:
+    def inject_fault(emulator: Emulator, source: random.Random, total: Size) -> None:
         match source.randrange(8):
             case 0:
                 emulator.faults.late_orders = 0.1
--- a/tests/test_room_use.py
+++ b/tests/test_room_use.py
@@ -7,11 +7,11 @@
 
 from snowdock.cli.room_table import format_room, read_room
 from snowdock.declarations import Size
-from snowdock.jobs.events import AdviceAnswered, AskAdvice, Decided
+from snowdock.jobs.events import AdviceAnswered, AskAdvice, LogDecision
 from snowdock.jobs.model import AdviceTerms
 from snowdock.jobs.orders import AdviceGiven
 from snowdock.logs import format_line
-from tests.jobs_tools import FAILED, SMALL, Bench, of_type
+from tests.jobs_tools import FAILED, SMALL, Bench, filter_by_type
 
 HALF = msgspec.structs.replace(SMALL, size=Size(2000, 3000), estimate_ms=60_000)
 WHOLE = msgspec.structs.replace(SMALL, size=Size(4000, 3000), estimate_ms=60_000)
@@ -19,7 +19,7 @@
 
 def told(effects) -> list[dict]:
     """Give the fields of the lines about room among some effects."""
-    lines = [each for each in of_type(effects, Decided) if each.decision == "room_use"]
+    lines = [each for each in filter_by_type(effects, LogDecision) if each.decision == "room_use"]
     return [dict(each.fields) for each in lines]
 
 
@@ -50,14 +50,14 @@
         bench.submit(WHOLE)
         (fields,) = told(bench.tick(1.1))
         self.assertEqual((fields["ticket"], fields["both"]), (1, 0))
-        (asked,) = of_type(bench.seen, AskAdvice)
-        bench.feed(AdviceAnswered(AdviceGiven(asked.wanted, {"w": "t"})))
+        (asked,) = filter_by_type(bench.all_effects, AskAdvice)
+        bench.feed(AdviceAnswered(AdviceGiven(asked.request, {"w": "t"})))
         bench.tick(0.1)
-        bench.confirm(bench.starts(bench.seen)[0])
+        bench.confirm(bench.starts(bench.all_effects)[0])
         bench.submit(WHOLE)
         (fields,) = told(bench.tick(1.0))
         self.assertEqual((fields["ticket"], fields["both"]), (0, 1))
-        question = next(iter(bench.cell.questions), None)
+        question = next(iter(bench.cell.advice_requests), None)
         if question is not None:
             bench.feed(AdviceAnswered(AdviceGiven(question, {"w": "t"})))
         (fields,) = told(bench.tick(1.0))
