--- a/src/snowdock/entry/advice_dispatcher.py
+++ b/src/snowdock/entry/advice_dispatcher.py
@@ -20,7 +20,7 @@
 from ..node.peers import Peers
 from ..platform.advice import AdviceClient
 from ..threads import ServiceThread
-from .messages import AdviceReply, AdviceRequest
+from .messages import AdviceReply, AdviceRelayRequest
 
 __all__ = ["AdviceDispatcher", "LocalAdviceClient"]
 
@@ -238,8 +238,8 @@
     def _ask_peer(self, node: str, question: AskAdvice, seconds: float) -> dict[str, str] | None:
         request = question.request
 
-        def build_request(number: int) -> AdviceRequest:
-            return AdviceRequest(
+        def build_request(number: int) -> AdviceRelayRequest:
+            return AdviceRelayRequest(
                 number,
                 request.job,
                 request.repetition,
--- a/src/snowdock/entry/messages.py
+++ b/src/snowdock/entry/messages.py
@@ -11,7 +11,7 @@
 __all__ = [
     "ENTRY_MESSAGES",
     "AdviceReply",
-    "AdviceRequest",
+    "AdviceRelayRequest",
     "ConfigurationNotice",
     "CountReply",
     "CountRequest",
@@ -104,7 +104,7 @@
     is_sure: bool
 
 
-class AdviceRequest(_EntryMessage, tag="a"):
+class AdviceRelayRequest(_EntryMessage, tag="a"):
     """The leader has a node ask the advice service."""
 
     number: int
@@ -171,7 +171,7 @@
     | StatusReply
     | CountRequest
     | CountReply
-    | AdviceRequest
+    | AdviceRelayRequest
     | AdviceReply
     | RecordRequest
     | RecordNotice
@@ -197,7 +197,7 @@
     questions=(
         StatusRequest,
         CountRequest,
-        AdviceRequest,
+        AdviceRelayRequest,
         RecordRequest,
         RecordNotice,
         ConfigurationNotice,
--- a/src/snowdock/entry/peer_requests.py
+++ b/src/snowdock/entry/peer_requests.py
@@ -11,7 +11,7 @@
 from .leader_queries import LeaderQueries
 from .messages import (
     AdviceReply,
-    AdviceRequest,
+    AdviceRelayRequest,
     ConfigurationNotice,
     CountReply,
     CountRequest,
@@ -59,7 +59,7 @@
             case CountRequest(number, queue):
                 waiting = queries.local_count(queue)
                 return CountReply(number, waiting or 0, waiting is not None)
-            case AdviceRequest():
+            case AdviceRelayRequest():
                 return _ask_advice(adviser, request)
             case RecordRequest(number, job, key, value, seconds):
                 return RecordReply(number, record_locally(job, KeyedRecord(key, value), seconds))
@@ -72,7 +72,7 @@
     return handle_request
 
 
-def _ask_advice(adviser: LocalAdviceClient, request: AdviceRequest) -> AdviceReply:
+def _ask_advice(adviser: LocalAdviceClient, request: AdviceRelayRequest) -> AdviceReply:
     wanted = AdviceWanted(request.job, request.repetition, request.step, tuple(request.workers))
     try:
         advice = adviser.ask(wanted, request.timeout_s)
--- a/src/snowdock/jobs/preemption.py
+++ b/src/snowdock/jobs/preemption.py
@@ -140,10 +140,10 @@
     chosen: list[_PreemptionOption] = []
     while heap and len(chosen) < wanted:
         _, number, slot = heapq.heappop(heap)
-        offer = options[number]
-        chosen.append(offer)
-        if slot + 1 < len(offer.victims):
-            heapq.heappush(heap, (len(offer.victims[slot + 1]), number, slot + 1))
+        option = options[number]
+        chosen.append(option)
+        if slot + 1 < len(option.victims):
+            heapq.heappush(heap, (len(option.victims[slot + 1]), number, slot + 1))
     return chosen
 
 
