--- a/bench/failures.py
+++ b/bench/failures.py
@@ -91,7 +91,7 @@
                 emulator.workers[life].fails_all = spoils
             emulator.run_until(at)
             for life, worker in emulator.leader_cell.workers.items():
-                if worker.aside_until > at and (spoils or life not in self.spoiling):
+                if worker.quarantined_until > at and (spoils or life not in self.spoiling):
                     self.aside[life] += 0.1
 
 
--- a/src/snowdock/cli/explain.py
+++ b/src/snowdock/cli/explain.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..jobs.availability import Closed
+from ..jobs.availability import ExclusionReason
 
 __all__ = ["LogLine", "Story", "format_story", "parse_line", "tell_story"]
 
@@ -16,7 +16,7 @@
 """How long before a line a lost dependency of its node may explain it."""
 
 _DEPENDENCIES = ("dependency_lost", "renewal_failed", "election_call_failed", "deposed")
-_CLOSED = ("open", *(reason.value for reason in Closed))
+_CLOSED = ("open", *(reason.value for reason in ExclusionReason))
 _ABOUT = ("job", "subject", "task", "path")
 
 
--- a/src/snowdock/emulator/checks.py
+++ b/src/snowdock/emulator/checks.py
@@ -182,7 +182,7 @@
         self.quotas.ended(task, life)
         if kind is EndKind.DONE:
             history.done_runs.add(run)
-        elif kind is EndKind.ALONE and task.job not in self._cancelled and self.is_calm:
+        elif kind is EndKind.GANG_TIMEOUT and task.job not in self._cancelled and self.is_calm:
             self._broken("alone", at, task, f"run {run} waited too long on {life}")
 
     def crashed(self, tasks: Iterable[TaskId]) -> None:
--- a/src/snowdock/emulator/emulator.py
+++ b/src/snowdock/emulator/emulator.py
@@ -29,12 +29,12 @@
     WorkerListed,
 )
 from ..jobs.model import JobStatus, StepSpec, TaskId
-from ..jobs.orders import AdviceGiven, StartOrder
+from ..jobs.orders import AdviceResult, StartOrder
 from ..jobs.policy import make_policy
-from ..jobs.progress import AcceptedJob, JobProgress, decode_progress, job_of_record, record_name
+from ..jobs.progress import AcceptedJob, JobProgress, decode_progress, parse_job_id, record_name
 from ..jobs.reducer import reduce
 from ..jobs.takeover import RecordedJobs, restore
-from ..jobs.times import RETENTION_FACTOR, TICK_SECONDS, takeover_lapse_seconds
+from ..jobs.timeouts import RETENTION_FACTOR, TICK_SECONDS, lease_expiry_after_claim_seconds
 from ..teams import Team, TeamBook
 from .checks import Checks
 from .fleet import Fleet
@@ -196,7 +196,7 @@
         options = self._options
         settings = CellSettings(
             lease_s=options.lease_s,
-            unreached_run_expiry_s=takeover_lapse_seconds(options.lease_s),
+            unreached_run_expiry_s=lease_expiry_after_claim_seconds(options.lease_s),
             gang_wait_s=options.terms.gang_wait_s,
             early_s=0.25,
             stop_s=options.terms.stop_s,
@@ -313,7 +313,7 @@
         }
         self.timeline.after(
             effect.expected_ms / 1000 + self._delay(self._options.call_s),
-            lambda: self._post(leader, AdviceAnswered(AdviceGiven(wanted, tickets))),
+            lambda: self._post(leader, AdviceAnswered(AdviceResult(wanted, tickets))),
         )
 
     def _may_run(self, job: str, step: int, life: str) -> bool:
@@ -326,7 +326,7 @@
 
     def _forget_accepted(self, _: _Leader, effect: ForgetAccepted) -> None:
         for name in effect.names:
-            self._accepted.pop(job_of_record(name), None)
+            self._accepted.pop(parse_job_id(name), None)
             self._cancelled.discard(name)
 
     def _publish(self, _: _Leader, effect: PublishStatus) -> None:
--- a/src/snowdock/emulator/fleet.py
+++ b/src/snowdock/emulator/fleet.py
@@ -6,7 +6,7 @@
 
 from ..declarations import Size
 from ..jobs.events import Event, WorkerDelisted, WorkerListed
-from ..jobs.lives import life_of, worker_of
+from ..jobs.lives import format_life, worker_id_of
 from ..jobs.model import TaskId
 from ..jobs.workers import WorkerEntry
 from .checks import Checks
@@ -103,7 +103,7 @@
         """Add a worker, at an address of its own unless one is given; give its life."""
         self._lives += 1
         entry = WorkerEntry(
-            life=life_of(f"w-{self._lives}", self._born_ms()),
+            life=format_life(f"w-{self._lives}", self._born_ms()),
             service="pool",
             address=address or f"address-{self._lives}",
             hall="",
@@ -163,7 +163,7 @@
 
     def _delist(self, model: WorkerModel) -> None:
         life = model.entry.life
-        if worker_of(model.successor) != model.entry.worker:
+        if worker_id_of(model.successor) != model.entry.worker:
             self._lingering.discard(life)
             self._tell(WorkerDelisted(life))
 
@@ -172,7 +172,7 @@
 
         Until its first heartbeat, its entry is that of the life before.
         """
-        life = life_of(model.entry.worker, self._born_ms())
+        life = format_life(model.entry.worker, self._born_ms())
         model.successor = life
         began = self._random.uniform(0.001, _LATEST_CLOCK_SECONDS)
         entry = dataclasses.replace(model.entry, life=life)
--- a/src/snowdock/emulator/options.py
+++ b/src/snowdock/emulator/options.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from ..declarations import Size
-from ..jobs.times import LEASE_SECONDS
+from ..jobs.timeouts import LEASE_SECONDS
 from .worker_model import WorkerTerms
 from .workload import WorkloadOptions
 
--- a/src/snowdock/emulator/worker_calls.py
+++ b/src/snowdock/emulator/worker_calls.py
@@ -12,7 +12,7 @@
     StartAnswered,
     StopAnswered,
 )
-from ..jobs.lives import worker_of
+from ..jobs.lives import worker_id_of
 from ..jobs.model import StepSpec
 from ..jobs.orders import Refusal, StartOrder, StartResult
 from .options import Faults
@@ -88,7 +88,7 @@
             last = self._workers[last.successor]
         if last.entry.life == life or self._reach(last.entry.life) is None:
             return None
-        is_next = last.entry.worker == worker_of(life)
+        is_next = last.entry.worker == worker_id_of(life)
         return Refusal.NEXT_LIFE if is_next else Refusal.OTHER_LIFE
 
     def send_start(self, post: Post, effect: SendStart) -> None:
--- a/src/snowdock/emulator/worker_model.py
+++ b/src/snowdock/emulator/worker_model.py
@@ -292,7 +292,7 @@
             answer(Refusal.FENCED)
             return
         self._token = order.token
-        self._forget_ends(order.seen_ends)
+        self._forget_ends(order.last_recorded_end)
         if order.lease_until_ms:
             self._extend(order.lease_until_ms)
         answered = False
@@ -343,11 +343,11 @@
         if self._lease_until < self.clock_ms:
             self._lapsed_at = self._timeline.now
             for run in list(self._runs.values()):
-                self._end(run, EndKind.LAPSED)
+                self._end(run, EndKind.LEASE_EXPIRED)
 
     def _give_up_alone(self, run: RunModel) -> None:
         if run.working_since is None:
-            self._end(run, EndKind.ALONE)
+            self._end(run, EndKind.GANG_TIMEOUT)
 
     def _finish(self, run: RunModel) -> None:
         if run.is_over or not self.is_up:
@@ -369,7 +369,7 @@
     def break_member(self, run: RunModel) -> None:
         """End a gang's member because another one ended."""
         self._gangs.leave(run)
-        self._end(run, EndKind.BROKEN)
+        self._end(run, EndKind.GANG_BROKEN)
 
     def _end(self, run: RunModel, kind: EndKind) -> None:
         if run.is_over or not self.is_up:
@@ -383,7 +383,7 @@
         self._ended_at[self._end_number] = self._timeline.now
         self._ends.append(EndedRun(self._end_number, run.task, run.run, kind, run.checkpoint))
         self._checks.ended(run.task, run.run, self.entry.life, kind, self._timeline.now)
-        if run.step.gang and kind not in (EndKind.DONE, EndKind.BROKEN):
+        if run.step.gang and kind not in (EndKind.DONE, EndKind.GANG_BROKEN):
             for member in self._gangs.leave(run):
                 if member.working_since is not None:
                     member.worker.break_member(member)
--- a/src/snowdock/entry/advice_dispatcher.py
+++ b/src/snowdock/entry/advice_dispatcher.py
@@ -13,14 +13,14 @@
 from ..clocks import steady_seconds
 from ..errors import PlatformError
 from ..jobs.events import AdviceAnswered, AdviceFailed, AskAdvice, Event
-from ..jobs.orders import AdviceGiven, AdviceWanted
-from ..jobs.times import LONG_QUESTION_MS
+from ..jobs.orders import AdviceRequest, AdviceResult
+from ..jobs.timeouts import LONG_ADVICE_REQUEST_MS
 from ..logs import log_error, log_event
 from ..node.metrics import Metrics
 from ..node.peers import Peers
 from ..platform.advice import AdviceClient
 from ..threads import ServiceThread
-from .messages import AdviceReply, AdviceRelayRequest
+from .messages import AdviceRelayRequest, AdviceReply
 
 __all__ = ["AdviceDispatcher", "LocalAdviceClient"]
 
@@ -59,7 +59,7 @@
         """Ask at another address from now on."""
         self._client = AdviceClient(address)
 
-    def ask(self, request: AdviceWanted, seconds: float) -> AdviceGiven:
+    def ask(self, request: AdviceRequest, seconds: float) -> AdviceResult:
         """Ask, waiting for questions before it."""
         with self._lock:
             return self._client.ask(request, seconds)
@@ -79,7 +79,7 @@
 
     @property
     def is_long(self) -> bool:
-        return self.question.expected_ms > LONG_QUESTION_MS
+        return self.question.expected_ms > LONG_ADVICE_REQUEST_MS
 
 
 class AdviceDispatcher:
@@ -118,7 +118,7 @@
         self._metrics = metrics
         self._short_questions: collections.deque[_PendingQuestion] = collections.deque()
         self._long_questions: collections.deque[_PendingQuestion] = collections.deque()
-        self._pending: dict[AdviceWanted, _PendingQuestion] = {}
+        self._pending: dict[AdviceRequest, _PendingQuestion] = {}
         self._in_progress: dict[str, _PendingQuestion] = {}
         self._stopped = threading.Event()
         self._lock = threading.Lock()
@@ -226,7 +226,7 @@
                 del self._pending[request]
                 self._remove_from_queues(pending)
         if is_first and tickets is not None:
-            self._post(AdviceAnswered(AdviceGiven(request, tickets)))
+            self._post(AdviceAnswered(AdviceResult(request, tickets)))
         elif is_first and is_last:
             self._post(AdviceFailed(request))
 
--- a/src/snowdock/entry/election.py
+++ b/src/snowdock/entry/election.py
@@ -18,7 +18,7 @@
     PlatformError,
     StoreRefused,
 )
-from ..jobs.times import ISOLATED_SECONDS
+from ..jobs.timeouts import ISOLATION_TIMEOUT_SECONDS
 from ..logs import log_error, log_event
 from ..platform.store import StoreClient
 from ..threads import ServiceThread
@@ -129,9 +129,9 @@
     @property
     def is_isolated(self) -> bool:
         """Whether this node reaches neither the store nor a peer, having had peers before."""
-        if not self._last_peer_heartbeat_at or self.renewed_s < ISOLATED_SECONDS:
+        if not self._last_peer_heartbeat_at or self.renewed_s < ISOLATION_TIMEOUT_SECONDS:
             return False
-        return steady_seconds() - self._last_peer_heartbeat_at > ISOLATED_SECONDS
+        return steady_seconds() - self._last_peer_heartbeat_at > ISOLATION_TIMEOUT_SECONDS
 
     @property
     def leader_finds_store_slow(self) -> bool:
--- a/src/snowdock/entry/leader.py
+++ b/src/snowdock/entry/leader.py
@@ -34,7 +34,7 @@
 from ..jobs.policy import make_policy
 from ..jobs.reducer import reduce
 from ..jobs.takeover import RecordedJobs, restore
-from ..jobs.times import TICK_SECONDS
+from ..jobs.timeouts import TICK_SECONDS
 from ..logs import log_error, log_event
 from ..node.metrics import Metrics
 from ..platform.call_loop import CallLoop
@@ -265,7 +265,7 @@
         if link is not None and self._context.may_send_orders():
             link.order(order)
         elif isinstance(effect, SendStart):
-            result = StartResult(Refusal.UNREACHED)
+            result = StartResult(Refusal.UNREACHABLE)
             self._post(StartAnswered(effect.life, order.task, order.run, result))
         else:
             self._post(StopAnswered(effect.life, order.task, order.run, False))
--- a/src/snowdock/entry/leader_handle.py
+++ b/src/snowdock/entry/leader_handle.py
@@ -16,8 +16,8 @@
     WorkerListed,
 )
 from ..jobs.model import Configuration
-from ..jobs.progress import CANCEL_PREFIX, decode_accepted, job_of_record
-from ..jobs.times import TICK_SECONDS
+from ..jobs.progress import CANCEL_PREFIX, decode_accepted, parse_job_id
+from ..jobs.timeouts import TICK_SECONDS
 from ..logs import log_error
 from ..platform.store import KeyedRecord
 from ..platform.worker_list import WORKER_TOPIC, decode_worker_entry
@@ -125,10 +125,10 @@
             return
         try:
             accepted = decode_accepted(record.value)
-            self._post(JobAccepted(job_of_record(record.key), accepted))
+            self._post(JobAccepted(parse_job_id(record.key), accepted))
         except InvalidInput as error:
             log_error("job_record_unusable", error, job=record.key)
-            self._statuses.add_unreadable([job_of_record(record.key)])
+            self._statuses.add_unreadable([parse_job_id(record.key)])
 
     def stop(self) -> None:
         """Stop leading."""
--- a/src/snowdock/entry/leader_settings.py
+++ b/src/snowdock/entry/leader_settings.py
@@ -1,7 +1,7 @@
 """What a leader goes by on one node, worked out from the node's settings."""
 
 from ..jobs.cell import CellSettings
-from ..jobs.times import LEASE_SECONDS, RETENTION_FACTOR, takeover_lapse_seconds
+from ..jobs.timeouts import LEASE_SECONDS, RETENTION_FACTOR, lease_expiry_after_claim_seconds
 from ..platform.node_settings import NodeEnvironment
 
 __all__ = ["cell_settings", "claim_delay_seconds"]
@@ -21,7 +21,7 @@
     lease_s = min(LEASE_SECONDS, environment.lease_limit_s)
     return CellSettings(
         lease_s=lease_s,
-        unreached_run_expiry_s=takeover_lapse_seconds(lease_s),
+        unreached_run_expiry_s=lease_expiry_after_claim_seconds(lease_s),
         gang_wait_s=environment.gang_wait_s,
         early_s=environment.early_s,
         stop_s=environment.stop_s,
--- a/src/snowdock/entry/messages.py
+++ b/src/snowdock/entry/messages.py
@@ -10,8 +10,8 @@
 
 __all__ = [
     "ENTRY_MESSAGES",
-    "AdviceReply",
     "AdviceRelayRequest",
+    "AdviceReply",
     "ConfigurationNotice",
     "CountReply",
     "CountRequest",
--- a/src/snowdock/entry/peer_requests.py
+++ b/src/snowdock/entry/peer_requests.py
@@ -4,14 +4,14 @@
 
 from ..errors import PlatformError
 from ..jobs.model import JobId
-from ..jobs.orders import AdviceWanted
+from ..jobs.orders import AdviceRequest
 from ..logs import log_event
 from ..platform.store import KeyedRecord
 from .advice_dispatcher import LocalAdviceClient
 from .leader_queries import LeaderQueries
 from .messages import (
-    AdviceReply,
     AdviceRelayRequest,
+    AdviceReply,
     ConfigurationNotice,
     CountReply,
     CountRequest,
@@ -73,7 +73,7 @@
 
 
 def _ask_advice(adviser: LocalAdviceClient, request: AdviceRelayRequest) -> AdviceReply:
-    wanted = AdviceWanted(request.job, request.repetition, request.step, tuple(request.workers))
+    wanted = AdviceRequest(request.job, request.repetition, request.step, tuple(request.workers))
     try:
         advice = adviser.ask(wanted, request.timeout_s)
     except PlatformError as error:
--- a/src/snowdock/entry/takeover.py
+++ b/src/snowdock/entry/takeover.py
@@ -13,7 +13,7 @@
     JobProgress,
     decode_accepted,
     decode_progress,
-    job_of_record,
+    parse_job_id,
 )
 from ..jobs.takeover import RecordedJobs
 from ..logs import log_error, log_event
@@ -92,7 +92,7 @@
         if record.key.startswith(CANCEL_PREFIX):
             cancelled.add(record.key.removeprefix(CANCEL_PREFIX))
         elif record.value:
-            job = job_of_record(record.key)
+            job = parse_job_id(record.key)
             if job in unreadable:
                 continue
             known = progress.get(job)
--- a/src/snowdock/entry/worker_link.py
+++ b/src/snowdock/entry/worker_link.py
@@ -207,7 +207,7 @@
         if self._next_life_refusal:
             return StartResult(self._next_life_refusal)
         if isinstance(outcome, CallUnanswered):
-            return StartResult(Refusal.UNREACHED) if outcome.unsent else None
+            return StartResult(Refusal.UNREACHABLE) if outcome.unsent else None
         try:
             return decode_start(outcome)
         except PlatformError as error:
--- a/src/snowdock/jobs/availability.py
+++ b/src/snowdock/jobs/availability.py
@@ -4,25 +4,25 @@
 
 from .workers import Worker
 
-__all__ = ["Closed", "why_closed"]
+__all__ = ["ExclusionReason", "find_exclusion"]
 
 _DELISTED_GRACE_SECONDS = 3.0
 """How long a worker that still answers is used after its entry lapsed with the store: such
 entries are back about two seconds after the store's return."""
 
 
-class Closed(enum.Enum):
+class ExclusionReason(enum.Enum):
     """Why nothing new is placed on a worker, by any step or by one; names a field in the log."""
 
     SILENT = "silent"
     """It has not answered this leader yet, or does not answer any more."""
     LEAVING = "leaving"
     """It drains, or its entry is gone."""
-    ASIDE = "aside"
+    QUARANTINED = "aside"
     """It is set aside, see `set_aside`."""
-    ALONE = "alone"
+    EXCLUSIVE = "alone"
     """What runs there has to be alone."""
-    ON_TRIAL = "on_trial"
+    ON_PROBATION = "on_trial"
     """It has failed, and one run at a time shows whether it still does."""
     DOUBTFUL = "doubtful"
     """Runs have failed there, and the step may not fail again."""
@@ -38,21 +38,25 @@
     """There is no good ticket for it."""
 
 
-def why_closed(worker: Worker, now: float, is_last_resort: bool = False) -> Closed | None:
+def find_exclusion(
+    worker: Worker, now: float, is_last_resort: bool = False
+) -> ExclusionReason | None:
     """Tell why nothing new at all is placed on a worker; None where something may be.
 
     As a last resort, workers count that are set aside for failures.
     """
     # Plain tests: each pass asks this of each worker.
-    if not worker.settled or worker.is_mute:
-        return Closed.SILENT
+    if not worker.is_synced or worker.is_unresponsive:
+        return ExclusionReason.SILENT
     if worker.entry.draining:
-        return Closed.LEAVING
-    if worker.aside_until > now and not (is_last_resort and worker.is_aside_for_failures):
-        return Closed.ASIDE
-    if worker.is_kept_alone:
-        return Closed.ALONE
+        return ExclusionReason.LEAVING
+    if worker.quarantined_until > now and not (
+        is_last_resort and worker.is_quarantined_for_failures
+    ):
+        return ExclusionReason.QUARANTINED
+    if worker.is_exclusive:
+        return ExclusionReason.EXCLUSIVE
     if worker.listed:
         return None
     may_return = worker.may_return and now - worker.delisted_at < _DELISTED_GRACE_SECONDS
-    return None if may_return else Closed.LEAVING
+    return None if may_return else ExclusionReason.LEAVING
--- a/src/snowdock/jobs/candidates.py
+++ b/src/snowdock/jobs/candidates.py
@@ -6,7 +6,7 @@
 
 from ..declarations import Size
 from .cell import Cell
-from .failed_runs import is_being_proved, is_doubtful, is_on_trial
+from .failed_runs import has_probation_run, is_doubtful, is_on_probation
 from .forecast import expected_end
 from .job_state import Step, Task
 from .workers import Worker
@@ -86,7 +86,7 @@
         count = min(count_fitting(free, room), max_additional_tasks(step, worker))
         if count <= 0:
             continue
-        if is_on_trial(worker, cell.now):
+        if is_on_probation(worker, cell.now):
             count = 1
         step_runs = _count_step_runs(step, worker) if spec.most_per_worker else 0
         score = cell.policy.score(step, worker, step_runs)
@@ -96,10 +96,10 @@
 
 def _available_room(cell: Cell, step: Step, worker: Worker, ignore_reservations: bool) -> Size:
     """Give the room that a run of a step may take at a worker if it began now."""
-    if not worker.claims:
+    if not worker.room_holds:
         return worker.free
     if ignore_reservations:
-        return worker.unclaimed(step.key)
+        return worker.unreserved_room(step.key)
     return worker.free_for(step.key, step.rank, expected_end(step, worker, cell.now))
 
 
@@ -132,7 +132,7 @@
     """Whether a worker where runs have failed takes another one."""
     if caution is Caution.NONE:
         return True
-    if is_being_proved(worker, cell.now):
+    if has_probation_run(worker, cell.now):
         return False
     return caution is Caution.NORMAL or not is_doubtful(worker)
 
@@ -185,10 +185,12 @@
     avoided = set()
     for task in tasks:
         avoided |= task.avoided_lives or set()
-    if avoided or any(seat.worker.aside_for for seat in candidates):
+    if avoided or any(seat.worker.quarantine_cause for seat in candidates):
         # What failed on a worker goes elsewhere while there is an elsewhere, and so does what had
         # to take workers in that are set aside.
-        candidates.sort(key=lambda seat: (seat.worker.life in avoided, bool(seat.worker.charged)))
+        candidates.sort(
+            key=lambda seat: (seat.worker.life in avoided, bool(seat.worker.failures_by_step))
+        )
     chosen: list[Worker] = []
     for seat in candidates:
         count = min(seat.count, len(tasks) - len(chosen))
--- a/src/snowdock/jobs/cell.py
+++ b/src/snowdock/jobs/cell.py
@@ -8,7 +8,7 @@
 from .events import Effect, LogDecision, PublishStatus
 from .job_state import Job, Step, Task
 from .model import Configuration, JobId, Queue, StepKey, TaskId
-from .orders import AdviceWanted
+from .orders import AdviceRequest
 from .team_usage import TeamUsage
 from .workers import Worker, WorkerEntry
 
@@ -276,7 +276,7 @@
         self.batch_deferred: list[Deferred] | None = None
         self.effects: list[Effect] = []
         self.advice_node_count = 1
-        self.advice_requests: dict[AdviceWanted, bool] = {}
+        self.advice_requests: dict[AdviceRequest, bool] = {}
         self.needs_placement = False
         self.last_placement_at = 0.0
         self.next_placement_at = 0.0
--- a/src/snowdock/jobs/durability.py
+++ b/src/snowdock/jobs/durability.py
@@ -6,9 +6,9 @@
 from .orders import RenewOrder
 from .workers import Worker
 
-__all__ = ["RENEW_WAIT_MS", "mark", "renew"]
+__all__ = ["RENEW_WAIT_MS", "mark_dirty", "send_renewal"]
 
-_STORE_RENEWAL_SECONDS = 0.5
+_RENEW_INTERVAL_SECONDS = 0.5
 """How often a worker is renewed while its ends wait to be on record."""
 
 RENEW_WAIT_MS = 500
@@ -16,25 +16,28 @@
 are not seen for so long."""
 
 
-def mark(cell: Cell, job: Job) -> None:
+def mark_dirty(cell: Cell, job: Job) -> None:
     """Have a job's progress put on record with the next batch."""
     cell.dirty_jobs[job.id] = job
 
 
-def renew(cell: Cell, worker: Worker, now: float, wait_ms: int) -> None:
+def send_renewal(cell: Cell, worker: Worker, now: float, wait_ms: int) -> None:
     """Renew a worker's lease and look at it.
 
     A worker that does not answer is only looked at: a lease that may have been renewed would
     never be known to be over.
     """
-    until = 0
+    lease_until_ms = 0
     if worker.runs and worker.clock_ms and worker.silent_since is None:
-        until = worker.extend_lease(now, cell.settings.lease_s)
-    if worker.known_ends > worker.seen_ends or not worker.settled:
+        lease_until_ms = worker.extend_lease(now, cell.settings.lease_s)
+    if worker.last_processed_end > worker.last_recorded_end or not worker.is_synced:
         # Ends that it may not forget yet make it answer at once, however long it may wait.
         wait_ms = 0
-    worker.renewing = True
-    worker.next_renew_at = now + _STORE_RENEWAL_SECONDS
+    worker.is_renewing = True
+    worker.next_renew_at = now + _RENEW_INTERVAL_SECONDS
     cell.emit(
-        SendRenewal(worker.life, RenewOrder(cell.token, worker.seen_ends, until, wait_ms, now))
+        SendRenewal(
+            worker.life,
+            RenewOrder(cell.token, worker.last_recorded_end, lease_until_ms, wait_ms, now),
+        )
     )
--- a/src/snowdock/jobs/events.py
+++ b/src/snowdock/jobs/events.py
@@ -4,8 +4,8 @@
 
 from .model import Configuration, JobId, JobStatus, TaskId
 from .orders import (
-    AdviceGiven,
-    AdviceWanted,
+    AdviceRequest,
+    AdviceResult,
     Refusal,
     RenewOrder,
     StartOrder,
@@ -124,14 +124,14 @@
 class AdviceAnswered:
     """The advice service answered."""
 
-    result: AdviceGiven
+    result: AdviceResult
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceFailed:
     """The advice service did not answer, or no node could ask it."""
 
-    request: AdviceWanted
+    request: AdviceRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -220,7 +220,7 @@
 class AskAdvice:
     """Ask the advice service; ``expected_ms`` is how long its answer takes."""
 
-    request: AdviceWanted
+    request: AdviceRequest
     expected_ms: float
 
 
--- a/src/snowdock/jobs/forecast.py
+++ b/src/snowdock/jobs/forecast.py
@@ -5,39 +5,39 @@
 from ..declarations import Size
 from .cell import Cell
 from .job_state import Phase, Step, Task
-from .speeds import usual_seconds
+from .speeds import typical_seconds
 from .workers import Worker
 
-__all__ = ["expected_end", "room_to_come", "seconds_left"]
+__all__ = ["expected_end", "remaining_seconds", "upcoming_free_room"]
 
 
 def expected_end(step: Step, worker: Worker, now: float) -> float:
     """Give when a run of a step would end that began on a worker now, in steady seconds."""
     if step.spec.long_running:
         return math.inf
-    return now + usual_seconds(step) * worker.slowness
+    return now + typical_seconds(step) * worker.slowness
 
 
-def seconds_left(cell: Cell, worker: Worker, task: Task, now: float) -> float:
+def remaining_seconds(cell: Cell, worker: Worker, task: Task, now: float) -> float:
     """Give for how many seconds a task's run is expected to take room at its worker yet.
 
     One that should have ended is expected to take as long again as it is overdue.
     """
-    return abs(_planned_seconds_left(cell, worker, task, now))
+    return abs(_planned_remaining_seconds(cell, worker, task, now))
 
 
-def _planned_seconds_left(cell: Cell, worker: Worker, task: Task, now: float) -> float:
+def _planned_remaining_seconds(cell: Cell, worker: Worker, task: Task, now: float) -> float:
     if task.phase is Phase.STOPPING:
         return task.phase_since + cell.settings.stop_s - now
     if task.step.spec.long_running:
         return math.inf
-    whole = usual_seconds(task.step) * worker.slowness
+    total = typical_seconds(task.step) * worker.slowness
     if task.phase is Phase.RUNNING and task.measured_at:
-        return whole * (1 - task.measured_percent / 100) - (now - task.measured_at)
-    return whole * (1 - task.percent / 100) - (now - task.phase_since)
+        return total * (1 - task.measured_percent / 100) - (now - task.measured_at)
+    return total * (1 - task.percent / 100) - (now - task.phase_since)
 
 
-def room_to_come(cell: Cell, worker: Worker, now: float) -> list[tuple[float, Size]]:
+def upcoming_free_room(cell: Cell, worker: Worker, now: float) -> list[tuple[float, Size]]:
     """Give when runs at a worker are expected to end, in steady seconds, and the room of each.
 
     The earliest come first. Runs that nothing on record accounts for are being stopped.
@@ -48,6 +48,6 @@
         if task is None or not task.is_current_run(run, worker.life):
             found.append((now + cell.settings.stop_s, room))
         else:
-            found.append((now + seconds_left(cell, worker, task, now), room))
+            found.append((now + remaining_seconds(cell, worker, task, now), room))
     found.sort(key=lambda entry: entry[0])
     return found
--- a/src/snowdock/jobs/lives.py
+++ b/src/snowdock/jobs/lives.py
@@ -4,12 +4,12 @@
 is kept of a worker is kept under the name of one life.
 """
 
-__all__ = ["life_of", "worker_of"]
+__all__ = ["format_life", "worker_id_of"]
 
-_BORN_MARK = "@"
+_BORN_SEPARATOR = "@"
 
 
-def life_of(worker: str, born_ms: int | None) -> str:
+def format_life(worker: str, born_ms: int | None) -> str:
     """Name one life of a worker.
 
     Parameters
@@ -20,10 +20,10 @@
         When this life began, by the worker's time of day, in ms since 1970; None where untold:
         then the id names its only life.
     """
-    return worker if born_ms is None else f"{worker}{_BORN_MARK}{born_ms}"
+    return worker if born_ms is None else f"{worker}{_BORN_SEPARATOR}{born_ms}"
 
 
-def worker_of(life: str) -> str:
+def worker_id_of(life: str) -> str:
     """Give the id of the worker whose life is named."""
-    worker, mark, born = life.rpartition(_BORN_MARK)
-    return worker if mark and born.isdecimal() else life
+    worker, separator, born = life.rpartition(_BORN_SEPARATOR)
+    return worker if separator and born.isdecimal() else life
--- a/src/snowdock/jobs/lost_runs.py
+++ b/src/snowdock/jobs/lost_runs.py
@@ -15,31 +15,31 @@
 from collections.abc import Iterator
 
 from .cell import Cell, Orphan
-from .charges import charge, may_have_ended_at_once, take_back_charge
-from .durability import mark
+from .charges import charge_run, may_have_ended_early, revoke_charge
+from .durability import mark_dirty
 from .job_state import Phase, Task
 from .occupancy import vacate
 from .runs import fail_job, void_run
 from .workers import Worker
 
 __all__ = [
-    "absolve",
-    "charge_late",
+    "charge_confirmed_crashes",
     "charge_orphan",
+    "clear_losses",
     "lose_orphan",
     "lose_runs",
-    "take_back_losses",
+    "revoke_losses",
 ]
 
-MOST_AT_ONCE = 2
+MAX_INDEPENDENT_FAILURES = 2
 """Where more workers fell silent at the same moment, a rack or a hall went, and what ran there is
 charged with losses only: else jobs that could be done are shown as failed."""
 
-_SAME_MOMENT_SECONDS = 0.1
+_CORRELATION_WINDOW_SECONDS = 0.1
 """What counts as the same moment: a worker that ends closes its connections, which is seen at
 once."""
 
-_PROVEN_SECONDS = 30.0
+_STABLE_RUN_SECONDS = 30.0
 """A task that lasts is charged with nothing any more once a run of it has worked for so long: over
 hours it outlives many workers that go for reasons of their own."""
 
@@ -64,7 +64,7 @@
 
     Those whose start was not answered wait for the worker's next life, if it has begun one.
     """
-    end = _WorkerEnd(reason, has_crashed and not _is_common(cell, worker))
+    end = _WorkerEnd(reason, has_crashed and not _is_correlated_failure(cell, worker))
     if worker.runs:
         count = len(worker.runs)
         cell.log_decision(
@@ -79,27 +79,27 @@
         _lose_run(cell, worker, task, now, end, has_next_life and _may_start_late(task))
 
 
-def charge_late(cell: Cell, worker: Worker, now: float) -> None:
+def charge_confirmed_crashes(cell: Cell, worker: Worker, now: float) -> None:
     """Take losses on a worker as crashes: its leases were over before another life answered."""
-    is_crash = not _is_common(cell, worker)
-    for task, run, is_told in _take_lost(cell, worker):
+    is_crash = not _is_correlated_failure(cell, worker)
+    for task, run, is_told in _pop_losses(cell, worker):
         if is_told:
-            _charge(cell, task, run, worker.life, now, is_crash)
+            _charge_lost_run(cell, task, run, worker.life, now, is_crash)
 
 
-def take_back_losses(cell: Cell, worker: Worker) -> None:
+def revoke_losses(cell: Cell, worker: Worker) -> None:
     """Charge nobody for the runs lost on a worker that answers again as it was.
 
     Without this, a task that met five workers that were cut off was given up.
     """
-    for task, run, _ in _take_lost(cell, worker):
+    for task, run, _ in _pop_losses(cell, worker):
         if not task.step.job.status.is_final:
-            take_back_charge(cell, task, run, worker.life)
+            revoke_charge(cell, task, run, worker.life)
 
 
-def _take_lost(cell: Cell, worker: Worker) -> Iterator[tuple[Task, int, bool]]:
+def _pop_losses(cell: Cell, worker: Worker) -> Iterator[tuple[Task, int, bool]]:
     """Give the charged runs of a worker of which it is settled now how it went, and forget them."""
-    lost, worker.lost = worker.lost, {}
+    lost, worker.unresolved_losses = worker.unresolved_losses, {}
     for (task_id, run), is_told in lost.items():
         task = cell.find_task(task_id)
         if task is not None and run in task.lost_runs:
@@ -116,16 +116,16 @@
 def charge_orphan(cell: Cell, task: Task, life: str, now: float) -> None:
     """Charge a task once with a run whose worker's life is over, and was not known here."""
     if _may_have_run(task) and task.run not in task.lost_runs:
-        _charge(cell, task, task.run, life, now, is_crash=False)
+        _charge_lost_run(cell, task, task.run, life, now, is_crash=False)
 
 
-def absolve(cell: Cell, task: Task, now: float) -> None:
+def clear_losses(cell: Cell, task: Task, now: float) -> None:
     """Charge a task that lasts with nothing any more, once a run of it has worked for long."""
     if not task.lost_runs or not task.step.spec.long_running:
         return
-    if task.phase is Phase.RUNNING and now - task.phase_since >= _PROVEN_SECONDS:
+    if task.phase is Phase.RUNNING and now - task.phase_since >= _STABLE_RUN_SECONDS:
         task.lost_runs = task.crashed_runs = frozenset()
-        mark(cell, task.step.job)
+        mark_dirty(cell, task.step.job)
         cell.log_decision("task_absolved", task.id.job, task=task.id, run=task.run)
 
 
@@ -133,8 +133,10 @@
     cell: Cell, worker: Worker, task: Task, now: float, end: _WorkerEnd, may_start_late: bool
 ) -> None:
     run = task.run
-    is_charged = _may_have_run(task) and (not worker.entry.draining or _may_be_why(worker, task))
-    _tell(cell, worker, task, end, is_charged)
+    is_charged = _may_have_run(task) and (
+        not worker.entry.draining or _may_have_caused_exit(worker, task)
+    )
+    _log_lost_run(cell, worker, task, end, is_charged)
     if may_start_late:
         task.phase = Phase.UNSURE
         task.phase_since = now
@@ -144,8 +146,8 @@
         void_run(cell, task, now)
     if not is_charged:
         return
-    worker.lost[task.id, run] = task.is_confirmed
-    _charge(cell, task, run, worker.life, now, end.is_crash and task.is_confirmed)
+    worker.unresolved_losses[task.id, run] = task.is_confirmed
+    _charge_lost_run(cell, task, run, worker.life, now, end.is_crash and task.is_confirmed)
 
 
 def _may_start_late(task: Task) -> bool:
@@ -153,9 +155,11 @@
     return not task.is_confirmed and task.phase in (Phase.ORDERED, Phase.UNSURE, Phase.STOPPING)
 
 
-def _charge(cell: Cell, task: Task, run: int, life: str, now: float, is_crash: bool) -> None:
+def _charge_lost_run(
+    cell: Cell, task: Task, run: int, life: str, now: float, is_crash: bool
+) -> None:
     """Count a run that went with its worker, and give its task up where that is too often."""
-    if charge(cell, task, run, life, is_crash):
+    if charge_run(cell, task, run, life, is_crash):
         fail_job(cell, task.step.job, now)
 
 
@@ -166,7 +170,7 @@
     return task.phase not in (Phase.RECORDED, Phase.DONE)
 
 
-def _may_be_why(worker: Worker, task: Task) -> bool:
+def _may_have_caused_exit(worker: Worker, task: Task) -> bool:
     """Whether a run may be why a worker went that had said that it would leave.
 
     Such a worker takes nothing new once that is known, and ends seconds later: charged to nobody, a
@@ -174,10 +178,12 @@
     """
     if task.is_confirmed and task.step.spec.long_running:
         return False
-    return may_have_ended_at_once(worker, task)
+    return may_have_ended_early(worker, task)
 
 
-def _tell(cell: Cell, worker: Worker, task: Task, end: _WorkerEnd, is_charged: bool) -> None:
+def _log_lost_run(
+    cell: Cell, worker: Worker, task: Task, end: _WorkerEnd, is_charged: bool
+) -> None:
     """Log a run that is lost with its worker, whether it is charged, and what that goes by."""
     silent_after_s = None
     if worker.silent_since is not None:
@@ -197,10 +203,12 @@
     )
 
 
-def _is_common(cell: Cell, worker: Worker) -> bool:
+def _is_correlated_failure(cell: Cell, worker: Worker) -> bool:
     """Whether a worker fell silent together with many: a rack, a switch, or an operator's doing."""
     since = worker.silent_since
     if since is None:
         return False
-    near = sum(abs(other - since) <= _SAME_MOMENT_SECONDS for other in cell.silence_times)
-    return near > MOST_AT_ONCE
+    silent_count = sum(
+        abs(other - since) <= _CORRELATION_WINDOW_SECONDS for other in cell.silence_times
+    )
+    return silent_count > MAX_INDEPENDENT_FAILURES
--- a/src/snowdock/jobs/occupancy.py
+++ b/src/snowdock/jobs/occupancy.py
@@ -10,7 +10,7 @@
 
 def occupy(cell: Cell, worker: Worker, task: TaskId, run: int, step: Step) -> None:
     """Count a run of a step as one that is, or may be, at a worker."""
-    worker.take(task, run, step.spec.room, step.spec.is_preemptible)
+    worker.occupy(task, run, step.spec.room, step.spec.is_preemptible)
     cell.team_usage.add_run(worker.life, task, run, step.job.team, step.spec.size)
 
 
--- a/src/snowdock/jobs/order_answers.py
+++ b/src/snowdock/jobs/order_answers.py
@@ -1,25 +1,25 @@
 """Answers of workers to starts and stops, or their absence."""
 
 from .cell import Cell
-from .durability import RENEW_WAIT_MS, renew
+from .durability import RENEW_WAIT_MS, send_renewal
 from .events import StartAnswered, StopAnswered
 from .job_state import Phase, Task
 from .orders import Refusal
+from .quarantine import quarantine
 from .runs import mark_job_running, record_malformed_run, stop_run, void_run
-from .set_aside import set_aside
-from .worker_lives import take_life_refusal
-from .workers import AsideCause, Worker
+from .worker_lives import handle_life_refusal
+from .workers import QuarantineCause, Worker
 
-__all__ = ["take_start_answer", "take_stop_answer"]
+__all__ = ["handle_start_answer", "handle_stop_answer"]
 
-_ABOUT_THE_ORDER = (Refusal.SUPERSEDED, Refusal.MALFORMED)
+_ORDER_REFUSALS = (Refusal.SUPERSEDED, Refusal.MALFORMED)
 """Refusals that say nothing of the worker; a ticket that does not hold is one more."""
 
-_UNWELL_SECONDS = 1.0
+_REFUSAL_QUARANTINE_SECONDS = 1.0
 """How long nothing is placed on a worker that turned a start away as unwell."""
 
 
-def take_start_answer(cell: Cell, event: StartAnswered, now: float) -> None:
+def handle_start_answer(cell: Cell, event: StartAnswered, now: float) -> None:
     """Take over the answer to a start, or its absence."""
     worker = cell.workers.get(event.life)
     task = cell.find_task(event.task)
@@ -27,13 +27,13 @@
         return
     result = event.result
     if result is not None:
-        worker.note_clock(result.clock_ms, now)
-        if take_life_refusal(cell, worker, result.refusal, now):
+        worker.update_clock(result.clock_ms, now)
+        if handle_life_refusal(cell, worker, result.refusal, now):
             return
     if task is None or not task.is_current_run(event.run, event.life):
         return
     if result is None:
-        _doubt_start(cell, worker, task, now)
+        _handle_unanswered_start(cell, worker, task, now)
     elif result.refusal is None:
         task.is_confirmed = True
         if task.phase is Phase.ORDERED:
@@ -41,14 +41,14 @@
             task.phase_since = now
             mark_job_running(cell, task.step.job)
     elif task.phase in (Phase.ORDERED, Phase.STOPPING):
-        _take_refusal(cell, worker, task, result.refusal, now)
+        _handle_refusal(cell, worker, task, result.refusal, now)
 
 
-def _doubt_start(cell: Cell, worker: Worker, task: Task, now: float) -> None:
+def _handle_unanswered_start(cell: Cell, worker: Worker, task: Task, now: float) -> None:
     cell.log_decision(
         "start_unanswered", task.id.job, task=task.id, run=task.run, worker=worker.life
     )
-    set_aside(cell, worker, AsideCause.UNANSWERED, _UNWELL_SECONDS, now)
+    quarantine(cell, worker, QuarantineCause.UNANSWERED, _REFUSAL_QUARANTINE_SECONDS, now)
     if task.phase is not Phase.ORDERED:
         return
     task.phase = Phase.UNSURE
@@ -56,11 +56,11 @@
     if task.step.spec.gang:
         # The others wait for it, and only for so long.
         stop_run(cell, task, now)
-    if not worker.renewing:
-        renew(cell, worker, now, 0)
+    if not worker.is_renewing:
+        send_renewal(cell, worker, now, 0)
 
 
-def _take_refusal(cell: Cell, worker: Worker, task: Task, refusal: Refusal, now: float) -> None:
+def _handle_refusal(cell: Cell, worker: Worker, task: Task, refusal: Refusal, now: float) -> None:
     cell.log_decision(
         "start_refused",
         task.id.job,
@@ -72,8 +72,8 @@
     step = task.step
     if refusal is Refusal.TICKET and step.advice is not None:
         step.advice.tickets[worker.life] = ("", 0.0)
-    elif refusal not in _ABOUT_THE_ORDER:
-        set_aside(cell, worker, AsideCause.REFUSED, _UNWELL_SECONDS, now)
+    elif refusal not in _ORDER_REFUSALS:
+        quarantine(cell, worker, QuarantineCause.REFUSED, _REFUSAL_QUARANTINE_SECONDS, now)
     run = task.run
     void_run(cell, task, now)
     if refusal is Refusal.MALFORMED:
@@ -81,12 +81,12 @@
         record_malformed_run(cell, task, run, worker.life, now)
 
 
-def take_stop_answer(cell: Cell, event: StopAnswered, now: float) -> None:
+def handle_stop_answer(cell: Cell, event: StopAnswered, now: float) -> None:
     """Take over the answer to a stop; the end itself comes with a later report."""
     worker = cell.workers.get(event.life)
     if worker is None:
         return
-    if take_life_refusal(cell, worker, event.refusal, now):
+    if handle_life_refusal(cell, worker, event.refusal, now):
         return
     stop = cell.pending_stops.get((event.life, event.task, event.run))
     if stop is None or not event.answered:
@@ -94,5 +94,5 @@
     if stop.answered_at is None:
         # The first answer counts: a repeated stop may not put off what follows from it.
         stop.answered_at = now
-    if not worker.renewing:
-        renew(cell, worker, now, RENEW_WAIT_MS)
+    if not worker.is_renewing:
+        send_renewal(cell, worker, now, RENEW_WAIT_MS)
--- a/src/snowdock/jobs/orders.py
+++ b/src/snowdock/jobs/orders.py
@@ -6,8 +6,8 @@
 from .model import JobId, TaskId
 
 __all__ = [
-    "AdviceGiven",
-    "AdviceWanted",
+    "AdviceRequest",
+    "AdviceResult",
     "EndKind",
     "EndedRun",
     "Refusal",
@@ -32,8 +32,8 @@
     NO_ROOM = "no_room"
     TICKET = "ticket"
     """The ticket is missing, expired, or not for this step and life."""
-    UNWELL = "unwell"
-    UNREACHED = "unreached"
+    UNHEALTHY = "unwell"
+    UNREACHABLE = "unreached"
     """There was not even a connection, so nothing was sent."""
     OTHER_LIFE = "other_life"
     """Another worker answered at the address: the life meant is over."""
@@ -48,11 +48,11 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     """Its lease was not renewed in time."""
-    BROKEN = "broken"
+    GANG_BROKEN = "broken"
     """Another member of its gang ended."""
-    ALONE = "alone"
+    GANG_TIMEOUT = "alone"
     """It waited too long for the other members of its gang."""
 
 
@@ -97,7 +97,7 @@
     """
 
     token: int
-    seen_ends: int
+    last_recorded_end: int
     lease_until_ms: int
     wait_ms: int
     sent_at: float
@@ -143,7 +143,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AdviceWanted:
+class AdviceRequest:
     """A question to the advice service: which of these workers may run a step."""
 
     job: JobId
@@ -153,8 +153,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AdviceGiven:
+class AdviceResult:
     """Its answer: tickets by worker for those that may run the step."""
 
-    wanted: AdviceWanted
+    request: AdviceRequest
     tickets: dict[str, str]
--- a/src/snowdock/jobs/overdue.py
+++ b/src/snowdock/jobs/overdue.py
@@ -6,35 +6,35 @@
 
 from .cell import Cell
 from .job_state import Phase, Task
-from .speeds import usual_seconds
+from .speeds import typical_seconds
 from .workers import Worker
 
-__all__ = ["tell_overdue"]
+__all__ = ["log_overdue_runs"]
 
-_TELL_SECONDS = 5.0
+_LOG_INTERVAL_SECONDS = 5.0
 """Time between two looks."""
 
-_FACTOR = 5.0
-_SLACK_SECONDS = 5.0
+_OVERDUE_FACTOR = 5.0
+_OVERDUE_SLACK_SECONDS = 5.0
 """A run is overdue after so many times its step's usual time, and so much more."""
 
-_MOST_TOLD = 5
+_MAX_LOGGED = 5
 """The most runs told of at a time, those that are overdue for longest first."""
 
 
-def tell_overdue(cell: Cell, now: float) -> None:
+def log_overdue_runs(cell: Cell, now: float) -> None:
     """Tell of runs that stay in one phase for too long, if it is time."""
-    if now - cell.overdue_logged_at < _TELL_SECONDS:
+    if now - cell.overdue_logged_at < _LOG_INTERVAL_SECONDS:
         return
     cell.overdue_logged_at = now
-    found: list[tuple[Task, Worker]] = []
+    overdue_runs: list[tuple[Task, Worker]] = []
     for worker in cell.workers.values():
         for task_id, run in worker.runs:
             task = cell.find_task(task_id)
             if task is not None and task.run == run and _is_overdue(task, worker, now):
-                found.append((task, worker))
-    found.sort(key=lambda pair: pair[0].phase_since)
-    for task, worker in found[:_MOST_TOLD]:
+                overdue_runs.append((task, worker))
+    overdue_runs.sort(key=lambda pair: pair[0].phase_since)
+    for task, worker in overdue_runs[:_MAX_LOGGED]:
         cell.log_decision(
             "run_overdue",
             task.id.job,
@@ -43,16 +43,16 @@
             worker=worker.life,
             phase=task.phase.value,
             since_s=now - task.phase_since,
-            usual_s=usual_seconds(task.step),
+            usual_s=typical_seconds(task.step),
             percent=task.percent,
-            heard_s=now - worker.heard_at,
+            heard_s=now - worker.last_report_at,
             silent=worker.silent_since is not None,
-            overdue=len(found),
+            overdue=len(overdue_runs),
         )
 
 
 def _is_overdue(task: Task, worker: Worker, now: float) -> bool:
     if task.step.spec.long_running and task.phase is Phase.RUNNING:
         return False
-    usual = usual_seconds(task.step) * max(1.0, worker.slowness)
-    return now - task.phase_since > _FACTOR * usual + _SLACK_SECONDS
+    usual = typical_seconds(task.step) * max(1.0, worker.slowness)
+    return now - task.phase_since > _OVERDUE_FACTOR * usual + _OVERDUE_SLACK_SECONDS
--- a/src/snowdock/jobs/placement.py
+++ b/src/snowdock/jobs/placement.py
@@ -3,11 +3,11 @@
 import dataclasses
 
 from ..declarations import ZERO, Size
-from .availability import why_closed
+from .availability import find_exclusion
 from .candidates import Candidate, Caution, caution_for, choose_workers, find_candidates, is_bulky
 from .cell import Cell, DeferredStart
-from .durability import mark
-from .failed_runs import begin_trial
+from .durability import mark_dirty
+from .failed_runs import begin_probation_run
 from .job_state import Phase, Step, Task
 from .occupancy import occupy
 from .placement_advice import may_request_advice, needs_advice, request_advice
@@ -15,7 +15,13 @@
 from .quotas import reserve_quotas, tasks_within_quota
 from .ranking import refresh_ranks
 from .reservations import reserve_room
-from .suspects import Company, may_join, next_tasks, note_suspect, spread
+from .suspects import (
+    IsolationLevel,
+    limit_suspect_seats,
+    may_share_worker,
+    next_tasks,
+    record_suspect,
+)
 from .workers import Worker
 
 __all__ = ["place_waiting_steps"]
@@ -110,7 +116,7 @@
     def _build_pools(self, is_last_resort: bool) -> dict[str, _WorkerPool]:
         pools: dict[str, _WorkerPool] = {}
         for worker in self._cell.workers.values():
-            if why_closed(worker, self._now, is_last_resort) is None:
+            if find_exclusion(worker, self._now, is_last_resort) is None:
                 pools.setdefault(worker.entry.service, _WorkerPool()).add(worker)
         return pools
 
@@ -192,7 +198,12 @@
 
 
 def _place_advised(
-    cell: Cell, step: Step, tasks: list[Task], isolation: Company, pool: _WorkerPool, now: float
+    cell: Cell,
+    step: Step,
+    tasks: list[Task],
+    isolation: IsolationLevel,
+    pool: _WorkerPool,
+    now: float,
 ) -> int:
     """Place on workers with tickets, or ask for more; give how many workers were looked at."""
     workers = _filter_by_isolation(isolation, _find_workers_with_ticket(step, pool, now))
@@ -212,11 +223,11 @@
     return examined
 
 
-def _filter_by_isolation(isolation: Company, workers: list[Worker]) -> list[Worker]:
+def _filter_by_isolation(isolation: IsolationLevel, workers: list[Worker]) -> list[Worker]:
     """Give the workers where tasks may run that keep such company."""
-    if isolation is Company.ANYBODY:
+    if isolation is IsolationLevel.NONE:
         return workers
-    return [worker for worker in workers if may_join(worker, isolation)]
+    return [worker for worker in workers if may_share_worker(worker, isolation)]
 
 
 def _find_step_candidates(
@@ -224,7 +235,7 @@
     step: Step,
     workers: list[Worker],
     fit: list[Worker],
-    isolation: Company,
+    isolation: IsolationLevel,
     now: float,
 ) -> list[Candidate]:
     """Give the seats of a step, one of them in reserved room where it has been kept for long.
@@ -232,8 +243,8 @@
     ``workers`` are those where it could start now, ``fit`` those where it may ever run.
     """
     candidates = list(find_candidates(cell, step, workers))
-    if isolation is not Company.ANYBODY:
-        candidates = spread(cell, step, candidates, isolation)
+    if isolation is not IsolationLevel.NONE:
+        candidates = limit_suspect_seats(cell, step, candidates, isolation)
     if candidates or step.spec.gang or not fit:
         return candidates
     if any(task.is_placed for task in step.tasks) or not _is_blocked_by_reservations(
@@ -262,7 +273,7 @@
     cell: Cell,
     step: Step,
     tasks: list[Task],
-    isolation: Company,
+    isolation: IsolationLevel,
     candidates: list[Candidate],
     now: float,
 ) -> list[Task]:
@@ -316,7 +327,7 @@
     cell: Cell,
     step: Step,
     tasks: list[Task],
-    isolation: Company,
+    isolation: IsolationLevel,
     chosen: list[Worker],
     now: float,
 ) -> None:
@@ -332,11 +343,11 @@
         if step.spec.gang:
             task.checkpoint = checkpoint
         occupy(cell, worker, task.id, task.run, step)
-        note_suspect(worker, task, isolation)
-        begin_trial(worker, (task.id, task.run), now)
+        record_suspect(worker, task, isolation)
+        begin_probation_run(worker, (task.id, task.run), now)
         cell.deferred.append(DeferredStart(task, task.run))
     step.blocked_since = None
-    mark(cell, step.job)
+    mark_dirty(cell, step.job)
     cell.log_decision(
         "placed",
         step.job.id,
--- a/src/snowdock/jobs/placement_advice.py
+++ b/src/snowdock/jobs/placement_advice.py
@@ -8,9 +8,9 @@
 from .cell import Cell
 from .events import AdviceAnswered, AdviceFailed, AskAdvice
 from .job_state import Advice, Step
-from .orders import AdviceWanted
+from .orders import AdviceRequest
 from .reservations import find_reservation, hold_room
-from .times import LONG_QUESTION_MS
+from .timeouts import LONG_ADVICE_REQUEST_MS
 from .workers import Worker
 
 __all__ = [
@@ -144,7 +144,7 @@
         hold_s = _MAX_ANSWER_TIME_FACTOR * expected_s + _ANSWER_SLACK_SECONDS
         hold_room(cell, step, known, wanted, now, hold_s)
     for part in parts:
-        request = AdviceWanted(*step.key, tuple(worker.life for worker in part))
+        request = AdviceRequest(*step.key, tuple(worker.life for worker in part))
         cell.advice_requests[request] = _may_be_long(advice)
         cell.emit(AskAdvice(request, expected_s * 1000))
     return examined
@@ -241,12 +241,12 @@
         return []
     advice = step.advice
     workers = (cell.workers.get(life) for life in claim.lives)
-    held = [worker for worker in workers if worker is not None and step.key in worker.claims]
+    held = [worker for worker in workers if worker is not None and step.key in worker.room_holds]
     answer_at = now + _MAX_ANSWER_TIME_FACTOR * _estimate_answer_seconds(advice, len(held))
     return [
         worker
         for worker in held
-        if worker.claims[step.key].due <= answer_at
+        if worker.room_holds[step.key].needed_at <= answer_at
         and advice.valid_ticket(worker.life, answer_at) is None
     ]
 
@@ -258,7 +258,8 @@
 def _may_be_long(advice: Advice) -> bool:
     """Whether a question about as many workers as one may name would be a long one."""
     return (
-        advice.terms.decide_ms + advice.terms.each_ms * _MAX_WORKERS_PER_REQUEST > LONG_QUESTION_MS
+        advice.terms.decide_ms + advice.terms.each_ms * _MAX_WORKERS_PER_REQUEST
+        > LONG_ADVICE_REQUEST_MS
     )
 
 
@@ -274,10 +275,10 @@
     bulky one, runs that yield are stopped, too.
     """
     if not step.is_bulky:
-        return worker.unclaimed(step.key)
+        return worker.unreserved_room(step.key)
     if step.blocked_since is not None:
-        return worker.unclaimed(step.key).plus(worker.yieldable)
-    return worker.free_for(step.key, step.rank).plus(worker.yieldable)
+        return worker.unreserved_room(step.key).plus(worker.preemptible_room)
+    return worker.free_for(step.key, step.rank).plus(worker.preemptible_room)
 
 
 def _has_obtainable_room(step: Step, fit: Iterable[Worker]) -> bool:
@@ -314,7 +315,7 @@
 
 def apply_advice(cell: Cell, event: AdviceAnswered, now: float) -> None:
     """Take over the service's answer."""
-    request = event.result.wanted
+    request = event.result.request
     cell.advice_requests.pop(request, None)
     step = _find_step(cell, request)
     if step is None or step.advice is None:
@@ -358,7 +359,7 @@
     advice.pending_requests = max(0, advice.pending_requests - 1)
 
 
-def _find_step(cell: Cell, request: AdviceWanted) -> Step | None:
+def _find_step(cell: Cell, request: AdviceRequest) -> Step | None:
     job = cell.jobs.get(request.job)
     if job is None or request.repetition >= len(job.repetitions):
         return None
--- a/src/snowdock/jobs/preemption.py
+++ b/src/snowdock/jobs/preemption.py
@@ -16,7 +16,7 @@
 from .job_state import Phase, Step, Task
 from .reservations import release_claim
 from .runs import stop_run
-from .workers import Hold, Worker
+from .workers import RoomHold, Worker
 
 __all__ = ["has_claim", "preempt_runs", "release_expired_claims"]
 
@@ -152,7 +152,7 @@
 ) -> list[Task]:
     """Give the tasks whose runs there may make room, the largest first."""
     found = []
-    for task_id, run in worker.yielding:
+    for task_id, run in worker.preemptible_runs:
         task = cell.find_task(task_id)
         if task is None or task.run != run or task.phase is not Phase.RUNNING:
             continue
@@ -186,7 +186,7 @@
             stop_run(cell, task, now)
         slots = option.free_slots + count
         if slots:
-            option.worker.claims[step.key] = Hold(step.spec.room.times(slots))
+            option.worker.room_holds[step.key] = RoomHold(step.spec.room.times(slots))
             lives.add(option.worker.life)
     cell.claims[step.key] = Claim(now + _CLAIM_SECONDS, frozenset(lives), is_preemptive=True)
     cell.log_decision(
--- a/src/snowdock/jobs/progress.py
+++ b/src/snowdock/jobs/progress.py
@@ -16,14 +16,14 @@
     "decode_accepted",
     "decode_progress",
     "encode",
-    "job_of_record",
+    "parse_job_id",
     "record_name",
 ]
 
 CANCEL_PREFIX = "cancel."
 """Begins the key of a record that cancels a job."""
 
-_TEAM_MARK = "@"
+_TEAM_SEPARATOR = "@"
 _TEAM_DIGEST_BYTES = 6
 
 
@@ -100,12 +100,12 @@
     if not team:
         return job
     digest = hashlib.blake2b(team.encode(), digest_size=_TEAM_DIGEST_BYTES).hexdigest()
-    return f"{job}{_TEAM_MARK}{digest}"
+    return f"{job}{_TEAM_SEPARATOR}{digest}"
 
 
-def job_of_record(name: str) -> JobId:
+def parse_job_id(name: str) -> JobId:
     """Give the job that a name made by `record_name` is of."""
-    return name.partition(_TEAM_MARK)[0]
+    return name.partition(_TEAM_SEPARATOR)[0]
 
 
 def cancel_key(name: str) -> str:
--- a/src/snowdock/jobs/progress_batches.py
+++ b/src/snowdock/jobs/progress_batches.py
@@ -1,7 +1,7 @@
 """Batches of progress records, one on its way at a time, and what rests on each."""
 
 from .cell import Cell, Deferred, DeferredRenewal, DeferredStart
-from .durability import RENEW_WAIT_MS, renew
+from .durability import RENEW_WAIT_MS, send_renewal
 from .events import ForgetAccepted, Persist, ProgressRecord, SendStart
 from .job_state import Job, Phase, Task
 from .orders import StartOrder
@@ -97,8 +97,8 @@
         ticket="" if step.advice is None else step.advice.tickets[task.life][0],
     )
     cell.emit(SendStart(worker.life, order))
-    if not worker.renewing:
-        renew(cell, worker, now, RENEW_WAIT_MS)
+    if not worker.is_renewing:
+        send_renewal(cell, worker, now, RENEW_WAIT_MS)
 
 
 def _has_valid_tickets(task: Task, now: float) -> bool:
@@ -116,9 +116,9 @@
     worker = cell.workers.get(deferred.life)
     if worker is None:
         return
-    worker.seen_ends = max(worker.seen_ends, deferred.last_recorded_end)
-    if not worker.renewing:
-        renew(cell, worker, now, RENEW_WAIT_MS)
+    worker.last_recorded_end = max(worker.last_recorded_end, deferred.last_recorded_end)
+    if not worker.is_renewing:
+        send_renewal(cell, worker, now, RENEW_WAIT_MS)
 
 
 def _build_progress(job: Job) -> JobProgress:
--- a/src/snowdock/jobs/reducer.py
+++ b/src/snowdock/jobs/reducer.py
@@ -20,19 +20,19 @@
     WorkerListed,
 )
 from .job_state import Job, Phase
-from .order_answers import take_start_answer, take_stop_answer
-from .overdue import tell_overdue
+from .order_answers import handle_start_answer, handle_stop_answer
+from .overdue import log_overdue_runs
 from .placement import place_waiting_steps
 from .placement_advice import apply_advice, handle_advice_failure
-from .progress import AcceptedJob, job_of_record, record_name
+from .progress import AcceptedJob, parse_job_id, record_name
 from .progress_batches import handle_persisted, send_batch
-from .room_use import tell_room_use
+from .quarantine import release_expired
+from .room_use import log_room_use
 from .runs import abort_gang, cancel_job, create_repetition, enqueue_ready_steps
-from .set_aside import take_back_due
 from .shares import log_team_usage, sum_capacity
-from .starving import tell_starving
-from .worker_lives import delist_worker, list_named_workers, list_worker
-from .worker_reports import take_renewal
+from .starving import log_starving_jobs
+from .worker_lives import handle_worker_delisted, handle_worker_listed, list_pending_workers
+from .worker_reports import handle_renewal
 from .worker_watch import watch_workers
 
 __all__ = ["accept_job", "reduce"]
@@ -78,9 +78,9 @@
 def _apply(cell: Cell, event: Event, now: float, wall_ms: float) -> None:
     match event:
         case RenewAnswered():
-            take_renewal(cell, event, now)
+            handle_renewal(cell, event, now)
         case StartAnswered():
-            take_start_answer(cell, event, now)
+            handle_start_answer(cell, event, now)
         case Persisted(number):
             handle_persisted(cell, number, now)
         case AdviceAnswered():
@@ -92,16 +92,16 @@
         case JobCancelled(name):
             _handle_cancellation(cell, name, now)
         case StopAnswered():
-            take_stop_answer(cell, event, now)
+            handle_stop_answer(cell, event, now)
         case WorkerListed(entry):
-            list_worker(cell, entry, now)
+            handle_worker_listed(cell, entry, now)
         case WorkerDelisted(life, may_return):
-            delist_worker(cell, life, may_return, now)
+            handle_worker_delisted(cell, life, may_return, now)
         case ConfigurationChanged(configuration):
             if configuration.version > cell.configuration.version:
                 cell.configuration = configuration
                 cell.log_decision("configuration", str(configuration.version))
-                list_named_workers(cell, now)
+                list_pending_workers(cell, now)
                 cell.needs_placement = True
         case Ticked(askers):
             cell.advice_node_count = askers
@@ -162,7 +162,7 @@
 
 
 def _handle_cancellation(cell: Cell, name: str, now: float) -> None:
-    job = cell.jobs.get(job_of_record(name))
+    job = cell.jobs.get(parse_job_id(name))
     if job is None:
         cell.early_cancellations.add(name)
     elif job.record_name == name:
@@ -173,16 +173,16 @@
 
 def _handle_tick(cell: Cell, now: float, wall_ms: float) -> None:
     watch_workers(cell, now)
-    take_back_due(cell, now)
+    release_expired(cell, now)
     cell.capacity = sum_capacity(cell)
     for job in list(cell.scheduled_jobs.values()):
         _start_due_repetitions(cell, job, wall_ms)
     _abort_late_gangs(cell, now)
     _drop_expired_jobs(cell, now)
-    tell_room_use(cell, now)
+    log_room_use(cell, now)
     log_team_usage(cell, now)
-    tell_starving(cell, now)
-    tell_overdue(cell, now)
+    log_starving_jobs(cell, now)
+    log_overdue_runs(cell, now)
 
 
 def _abort_late_gangs(cell: Cell, now: float) -> None:
--- a/src/snowdock/jobs/reservations.py
+++ b/src/snowdock/jobs/reservations.py
@@ -10,10 +10,10 @@
 
 from .candidates import caution_for, count_fitting, is_trusted, max_additional_tasks
 from .cell import Cell, Claim
-from .forecast import room_to_come
+from .forecast import upcoming_free_room
 from .job_state import Step
 from .model import StepKey
-from .workers import Hold, Worker
+from .workers import RoomHold, Worker
 
 __all__ = ["find_reservation", "hold_room", "release_claim", "reserve_room"]
 
@@ -66,7 +66,7 @@
         # A gang begins once all of it has room, other tasks as soon as each has.
         due = slots[-1][0] if step.spec.gang else times[0]
         room = step.spec.room.times(len(times))
-        cell.workers[life].claims[step.key] = Hold(room, due, step.rank)
+        cell.workers[life].room_holds[step.key] = RoomHold(room, due, step.rank)
     cell.claims[step.key] = Claim(now + _RESERVATION_SECONDS, lives, is_preemptive=False)
     if claim is None:
         cell.log_decision(
@@ -105,7 +105,7 @@
     max_tasks = min(wanted, max_additional_tasks(step, worker))
     free = worker.free_for(step.key, step.rank)
     times = [now] * min(max_tasks, count_fitting(free, step.spec.room))
-    for at, room in room_to_come(cell, worker, now):
+    for at, room in upcoming_free_room(cell, worker, now):
         if len(times) >= max_tasks or math.isinf(at):
             break
         free = free.plus(room)
@@ -139,7 +139,7 @@
         free = worker.free_for(step.key, step.rank)
         slots = min(wanted, max_additional_tasks(step, worker), count_fitting(free, step.spec.room))
         if slots:
-            worker.claims[step.key] = Hold(step.spec.room.times(slots), now, step.rank)
+            worker.room_holds[step.key] = RoomHold(step.spec.room.times(slots), now, step.rank)
             lives.add(worker.life)
             wanted -= slots
     if lives:
@@ -154,4 +154,4 @@
     for life in claim.lives:
         worker = cell.workers.get(life)
         if worker is not None:
-            worker.claims.pop(key, None)
+            worker.room_holds.pop(key, None)
--- a/src/snowdock/jobs/room_use.py
+++ b/src/snowdock/jobs/room_use.py
@@ -10,13 +10,13 @@
 from .job_state import Step
 from .workers import Worker
 
-__all__ = ["Lack", "find_lack", "share_in_use", "tell_room_use"]
+__all__ = ["WaitReason", "find_wait_reason", "log_room_use", "used_share"]
 
-_TELL_SECONDS = 1.0
+_LOG_INTERVAL_SECONDS = 1.0
 """Time between two lines; one takes some 3 ms with 150 steps that wait for 270 workers."""
 
 
-class Lack(enum.Enum):
+class WaitReason(enum.Enum):
     """What a waiting step lacks."""
 
     ROOM = "room"
@@ -32,9 +32,9 @@
     """It is put off after a failure."""
 
 
-def tell_room_use(cell: Cell, now: float) -> None:
+def log_room_use(cell: Cell, now: float) -> None:
     """Tell for each service what room is in use and what its waiting steps lack, if it is time."""
-    if now - cell.room_logged_at < _TELL_SECONDS:
+    if now - cell.room_logged_at < _LOG_INTERVAL_SECONDS:
         return
     cell.room_logged_at = now
     services: dict[str, list[Worker]] = collections.defaultdict(list)
@@ -44,21 +44,23 @@
     for step in cell.waiting_steps.values():
         waiting[cell.queue_of(step.job).service].append(step)
     for service, workers in services.items():
-        lacks = collections.Counter(
-            find_lack(step, workers, cell.workers, now) for step in waiting[service]
+        reason_counts = collections.Counter(
+            find_wait_reason(step, workers, cell.workers, now) for step in waiting[service]
         )
         cell.log_decision(
             "room_use",
             service,
-            cpu=share_in_use(workers, "cpu"),
-            memory=share_in_use(workers, "memory"),
-            accelerators=share_in_use(workers, "accelerators"),
+            cpu=used_share(workers, "cpu"),
+            memory=used_share(workers, "memory"),
+            accelerators=used_share(workers, "accelerators"),
             waiting=len(waiting[service]),
-            **{lack.name.lower(): lacks[lack] for lack in Lack},
+            **{lack.name.lower(): reason_counts[lack] for lack in WaitReason},
         )
 
 
-def find_lack(step: Step, workers: list[Worker], by_life: dict[str, Worker], now: float) -> Lack:
+def find_wait_reason(
+    step: Step, workers: list[Worker], by_life: dict[str, Worker], now: float
+) -> WaitReason:
     """Tell what a waiting step lacks.
 
     Parameters
@@ -73,27 +75,27 @@
         The steady clock, in seconds.
     """
     if step.not_before > now:
-        return Lack.PAUSE
+        return WaitReason.PAUSE
     if step.is_at_quota:
-        return Lack.QUOTA
+        return WaitReason.QUOTA
     room = step.spec.room
     if step.advice is None:
         has_room = any(worker.free.holds(room) for worker in workers)
-        return Lack.TURN if has_room else Lack.ROOM
+        return WaitReason.TURN if has_room else WaitReason.ROOM
     ticketed = [
         by_life[life]
         for life in step.advice.tickets
         if life in by_life and step.advice.valid_ticket(life, now) is not None
     ]
     if any(worker.free.holds(room) for worker in ticketed):
-        return Lack.TURN
+        return WaitReason.TURN
     if ticketed:
-        return Lack.ROOM
+        return WaitReason.ROOM
     has_room = any(worker.free.holds(room) for worker in workers)
-    return Lack.TICKET if has_room else Lack.BOTH
+    return WaitReason.TICKET if has_room else WaitReason.BOTH
 
 
-def share_in_use(workers: list[Worker], kind: str) -> float:
+def used_share(workers: list[Worker], kind: str) -> float:
     """Give the share of one kind of room that is in use; 0 where the workers have none of it."""
     capacity = sum(getattr(worker.entry.capacity, kind) for worker in workers)
     used = sum(getattr(worker.used, kind) for worker in workers)
--- a/src/snowdock/jobs/runs.py
+++ b/src/snowdock/jobs/runs.py
@@ -3,10 +3,10 @@
 import math
 
 from .cell import Cell, DeferredRenewal, PendingStop
-from .charges import charge_end
-from .durability import mark
+from .charges import charge_ended_run
+from .durability import mark_dirty
 from .events import PublishStatus, SendStop
-from .failed_runs import note_failed_run, note_good_end
+from .failed_runs import record_failed_run, record_success
 from .job_state import Job, Phase, Step, Task
 from .model import JobStatus, TaskId
 from .occupancy import vacate
@@ -97,7 +97,7 @@
     task.life = ""
     job = task.step.job
     mark_job_running(cell, job)
-    mark(cell, job)
+    mark_dirty(cell, job)
     if end.checkpoint:
         task.checkpoint = end.checkpoint
     cell.log_decision(
@@ -116,7 +116,7 @@
         return
     if end.kind is EndKind.FAILED and not task.step.spec.long_running:
         _record_failure(cell, task, end.run, worker.life, now)
-    if charge_end(cell, worker, task, end.run):
+    if charge_ended_run(cell, worker, task, end.run):
         fail_job(cell, job, now)
     if not job.status.is_final:
         _requeue_task(cell, task, now)
@@ -133,7 +133,7 @@
         # On record already: the worker had not heard that it may forget it.
         return
     if task.phase is not Phase.DONE and not task.step.job.status.is_final:
-        mark(cell, task.step.job)
+        mark_dirty(cell, task.step.job)
         _record_failure(cell, task, end.run, life, now)
 
 
@@ -144,9 +144,9 @@
         return
     if end.kind is EndKind.DONE:
         began_at = task.phase_since if task.is_current_run(end.run, worker.life) else -math.inf
-        note_good_end(cell, worker, task.step, began_at, now)
+        record_success(cell, worker, task.step, began_at, now)
     elif end.kind is EndKind.FAILED:
-        note_failed_run(cell, worker, task.step, now)
+        record_failed_run(cell, worker, task.step, now)
 
 
 def _complete_task(cell: Cell, task: Task, now: float) -> None:
@@ -196,7 +196,7 @@
     job = task.step.job
     if job.status.is_final:
         return
-    mark(cell, job)
+    mark_dirty(cell, job)
     _record_failure(cell, task, run, life, now)
     task.step.not_before = max(task.step.not_before, now + _MALFORMED_PAUSE_SECONDS)
 
@@ -247,7 +247,7 @@
     task.life = ""
     if task.phase is not Phase.DONE:
         task.phase = Phase.WAITING
-    mark(cell, task.step.job)
+    mark_dirty(cell, task.step.job)
 
 
 def void_run(cell: Cell, task: Task, now: float) -> None:
@@ -282,7 +282,7 @@
     for task in job.all_tasks():
         if task.phase is not Phase.DONE:
             stop_run(cell, task, now)
-    mark(cell, job)
+    mark_dirty(cell, job)
     cell.deferred.append(PublishStatus(job.id, job.queue, status, job.team))
     cell.log_decision(
         "job_ended",
@@ -295,4 +295,4 @@
 
 def acknowledge_ends(cell: Cell, worker: Worker) -> None:
     """Let a worker forget the ends taken over from it, once they are on record."""
-    cell.deferred.append(DeferredRenewal(worker.life, worker.known_ends))
+    cell.deferred.append(DeferredRenewal(worker.life, worker.last_processed_end))
--- a/src/snowdock/jobs/takeover.py
+++ b/src/snowdock/jobs/takeover.py
@@ -5,9 +5,9 @@
 from .cell import Cell, Orphan
 from .events import Effect, ForgetAccepted, JobAccepted, PublishStatus
 from .job_state import Job, Phase
-from .lives import worker_of
+from .lives import worker_id_of
 from .model import JobId
-from .progress import AcceptedJob, JobProgress, TaskProgress, job_of_record
+from .progress import AcceptedJob, JobProgress, TaskProgress, parse_job_id
 from .reducer import accept_job
 from .runs import cancel_job, create_repetition, enqueue_ready_steps
 
@@ -50,7 +50,7 @@
     for job_id in recorded.progress.keys() - recorded.accepted.keys():
         _restore_ended(cell, job_id, recorded.progress[job_id], now)
     for name in recorded.cancelled:
-        if job_of_record(name) not in cell.jobs.keys() | cell.job_ended_at.keys():
+        if parse_job_id(name) not in cell.jobs.keys() | cell.job_ended_at.keys():
             cell.early_cancellations.add(name)
     effects, cell.effects = cell.effects, []
     return effects
@@ -123,4 +123,4 @@
     if not record.done:
         task.phase = Phase.RUNNING
     orphan = Orphan(task, record.run, record.life, cell.leadership_claimed_at)
-    cell.orphans.setdefault(worker_of(record.life), []).append(orphan)
+    cell.orphans.setdefault(worker_id_of(record.life), []).append(orphan)
--- a/src/snowdock/jobs/times.py
+++ b/src/snowdock/jobs/timeouts.py
@@ -1,21 +1,21 @@
 """Times that every leader goes by, real or emulated."""
 
 __all__ = [
-    "HEARING_SECONDS",
-    "ISOLATED_SECONDS",
+    "ISOLATION_TIMEOUT_SECONDS",
     "LEASE_SECONDS",
-    "LONG_QUESTION_MS",
+    "LONG_ADVICE_REQUEST_MS",
+    "MIN_CLOCK_RATE",
     "RETENTION_FACTOR",
-    "SLOWEST_CLOCK_RATE",
     "TICK_SECONDS",
-    "takeover_lapse_seconds",
+    "WORKER_REPORT_WAIT_SECONDS",
+    "lease_expiry_after_claim_seconds",
 ]
 
 LEASE_SECONDS = 4.5
 """The lease that renewals ask for: a takeover takes about two seconds, and a worker that
 vanished blocks its tasks for this long."""
 
-ISOLATED_SECONDS = 3.0
+ISOLATION_TIMEOUT_SECONDS = 3.0
 """A leader that reaches neither the store nor any peer for this long may have been replaced
 without learning of it, and gives no more orders."""
 
@@ -25,11 +25,11 @@
 TICK_SECONDS = 0.1
 """Time between a leader's looks at what time brings."""
 
-LONG_QUESTION_MS = 50.0
+LONG_ADVICE_REQUEST_MS = 50.0
 """A question to the advice service that takes longer is a long one: it could hold up several
 short ones, for jobs with a person waiting."""
 
-HEARING_SECONDS = 2.0
+WORKER_REPORT_WAIT_SECONDS = 2.0
 """How long a new leader waits at least for workers to tell of their runs: their entries are known
 when it begins, and a first answer takes up to some half a second."""
 
@@ -37,11 +37,11 @@
 """What clocks of two nodes, and an order on its way, may add to the end of the last lease."""
 
 
-SLOWEST_CLOCK_RATE = 0.975
+MIN_CLOCK_RATE = 0.975
 """A worker's steady clock may run 2 % slow; half a percent is left for the node's own."""
 
 
-def takeover_lapse_seconds(longest_lease_s: float) -> float:
+def lease_expiry_after_claim_seconds(longest_lease_s: float) -> float:
     """Give when, after a claim, all leases that an earlier leader renewed are surely over.
 
     Parameters
@@ -55,4 +55,4 @@
     float
         Seconds since the claim: an isolated leader's last orders, and a lease after them.
     """
-    return ISOLATED_SECONDS + longest_lease_s / SLOWEST_CLOCK_RATE + _CLOCK_SLACK_SECONDS
+    return ISOLATION_TIMEOUT_SECONDS + longest_lease_s / MIN_CLOCK_RATE + _CLOCK_SLACK_SECONDS
--- a/src/snowdock/jobs/worker_lives.py
+++ b/src/snowdock/jobs/worker_lives.py
@@ -1,24 +1,30 @@
 """How a worker's life begins and ends for the leader: the list, and refusals of a whole life."""
 
 from .cell import Cell, Orphan
-from .durability import renew
+from .durability import send_renewal
 from .events import CloseWorker, OpenWorker, StepDown
-from .lives import worker_of
-from .lost_runs import charge_late, charge_orphan, lose_runs
+from .lives import worker_id_of
+from .lost_runs import charge_confirmed_crashes, charge_orphan, lose_runs
 from .occupancy import occupy, vacate
 from .orders import Refusal
-from .suspects import Company, note_crash, note_suspect
+from .suspects import IsolationLevel, record_crash, record_suspect
 from .workers import Worker, WorkerEntry
 
-__all__ = ["delist_worker", "end_life", "list_named_workers", "list_worker", "take_life_refusal"]
+__all__ = [
+    "end_life",
+    "handle_life_refusal",
+    "handle_worker_delisted",
+    "handle_worker_listed",
+    "list_pending_workers",
+]
 
 
-_NEXT_LIFE = "its worker has begun another life"
+_NEXT_LIFE_REASON = "its worker has begun another life"
 
 
-def list_worker(cell: Cell, entry: WorkerEntry, now: float) -> None:
+def handle_worker_listed(cell: Cell, entry: WorkerEntry, now: float) -> None:
     """Take over a worker's entry."""
-    _end_other_life(cell, entry, now)
+    _end_previous_life(cell, entry, now)
     if entry.life in cell.ended_lives:
         return
     worker = cell.workers.get(entry.life)
@@ -39,12 +45,12 @@
     cell.workers[entry.life] = worker
     cell.log_decision("worker_listed", entry.life, service=entry.service, address=entry.address)
     for orphan in cell.orphans.pop(entry.worker, []):
-        _take_orphan(cell, worker, orphan, now)
+        _adopt_orphan(cell, worker, orphan, now)
     cell.emit(OpenWorker(entry.life, entry.address))
-    renew(cell, worker, now, 0)
+    send_renewal(cell, worker, now, 0)
 
 
-def _take_orphan(cell: Cell, worker: Worker, orphan: Orphan, now: float) -> None:
+def _adopt_orphan(cell: Cell, worker: Worker, orphan: Orphan, now: float) -> None:
     """Count a run as there, for now, that waited for a life of its worker."""
     task, run = orphan.task, orphan.run
     vacate(cell, orphan.life, task.id, run)
@@ -52,38 +58,38 @@
         return
     task.life = worker.life
     occupy(cell, worker, task.id, run, task.step)
-    note_suspect(worker, task, Company.NO_SUSPECT)
+    record_suspect(worker, task, IsolationLevel.FROM_SUSPECTS)
     if orphan.life not in (worker.life, worker.entry.worker):
         # The life before is over; but its start may yet be carried out by this one.
         worker.inherited.add((task.id, run))
         charge_orphan(cell, task, orphan.life, now)
 
 
-def _end_other_life(cell: Cell, entry: WorkerEntry, now: float) -> None:
+def _end_previous_life(cell: Cell, entry: WorkerEntry, now: float) -> None:
     """Take the life that was listed under a worker's id before as over, where it is another one.
 
     Whichever was listed last counts: a time of day may be set back between two lives.
     """
-    before = cell.newest_lives.get(entry.worker)
+    previous_life = cell.newest_lives.get(entry.worker)
     cell.newest_lives[entry.worker] = entry.life
-    if before is None or before == entry.life:
+    if previous_life is None or previous_life == entry.life:
         return
-    cell.unknown_service_workers.pop(before, None)
-    worker = cell.workers.get(before)
+    cell.unknown_service_workers.pop(previous_life, None)
+    worker = cell.workers.get(previous_life)
     if worker is not None:
         has_crashed = not worker.entry.draining
-        end_life(cell, worker, now, _NEXT_LIFE, has_crashed, has_next_life=True)
-    cell.ended_lives.discard(before)
+        end_life(cell, worker, now, _NEXT_LIFE_REASON, has_crashed, has_next_life=True)
+    cell.ended_lives.discard(previous_life)
 
 
-def list_named_workers(cell: Cell, now: float) -> None:
+def list_pending_workers(cell: Cell, now: float) -> None:
     """Take over the entries of workers whose service has come to be named."""
     waiting, cell.unknown_service_workers = cell.unknown_service_workers, {}
     for entry in waiting.values():
-        list_worker(cell, entry, now)
+        handle_worker_listed(cell, entry, now)
 
 
-def delist_worker(cell: Cell, life: str, may_return: bool, now: float) -> None:
+def handle_worker_delisted(cell: Cell, life: str, may_return: bool, now: float) -> None:
     """Note that an entry is gone; what runs there runs on until its lease is over.
 
     An entry that goes while the store is well is that of a worker that leaves without having
@@ -93,7 +99,7 @@
     cell.unknown_service_workers.pop(life, None)
     worker = cell.workers.get(life)
     if worker is None:
-        _forget_name(cell, life)
+        _forget_newest_life(cell, life)
         return
     if not worker.listed:
         return
@@ -116,33 +122,35 @@
     A start that it did not answer may yet be carried out by its next life under the same id.
     """
     if has_crashed:
-        note_crash(cell, worker, now)
-        charge_late(cell, worker, now)
+        record_crash(cell, worker, now)
+        charge_confirmed_crashes(cell, worker, now)
     lose_runs(cell, worker, now, reason, has_crashed, has_next_life)
     del cell.workers[worker.life]
     if worker.listed:
         cell.ended_lives.add(worker.life)
     else:
-        _forget_name(cell, worker.life)
+        _forget_newest_life(cell, worker.life)
     cell.emit(CloseWorker(worker.life))
     cell.log_decision("worker_ended", worker.life, reason=reason)
 
 
-def _forget_name(cell: Cell, life: str) -> None:
+def _forget_newest_life(cell: Cell, life: str) -> None:
     """Forget a life of which nothing is kept any more."""
-    worker = worker_of(life)
+    worker = worker_id_of(life)
     if cell.newest_lives.get(worker) == life:
         del cell.newest_lives[worker]
 
 
-def take_life_refusal(cell: Cell, worker: Worker, refusal: Refusal | None, now: float) -> bool:
+def handle_life_refusal(cell: Cell, worker: Worker, refusal: Refusal | None, now: float) -> bool:
     """Take over a refusal that tells of the worker as a whole; tell whether this one did."""
     if refusal is Refusal.OTHER_LIFE:
         has_crashed = not worker.entry.draining
         end_life(cell, worker, now, "another life answered at its address", has_crashed)
         return True
     if refusal is Refusal.NEXT_LIFE:
-        end_life(cell, worker, now, _NEXT_LIFE, not worker.entry.draining, has_next_life=True)
+        end_life(
+            cell, worker, now, _NEXT_LIFE_REASON, not worker.entry.draining, has_next_life=True
+        )
         return True
     if refusal is Refusal.FENCED:
         cell.emit(StepDown(f"worker {worker.life} has seen a higher token"))
--- a/src/snowdock/jobs/worker_reports.py
+++ b/src/snowdock/jobs/worker_reports.py
@@ -2,19 +2,19 @@
 
 from ..declarations import ZERO
 from .cell import Cell
-from .durability import RENEW_WAIT_MS, renew
+from .durability import RENEW_WAIT_MS, send_renewal
 from .events import RenewAnswered
 from .job_state import Phase, Task
-from .lost_runs import absolve, take_back_losses
+from .lost_runs import clear_losses, revoke_losses
 from .model import TaskId
 from .occupancy import occupy, vacate
 from .orders import EndedRun, RunningRun, WorkerReport
 from .runs import acknowledge_ends, apply_run_end, mark_job_running, send_stop, stop_run, void_run
-from .speeds import note_progress, would_gain_elsewhere
-from .worker_lives import take_life_refusal
+from .speeds import learn_speed, should_move
+from .worker_lives import handle_life_refusal
 from .workers import Worker
 
-__all__ = ["take_renewal"]
+__all__ = ["handle_renewal"]
 
 _SILENT_RETRY_SECONDS = 0.4
 """Pause before a worker that gave no answer again is called; after the first time, none."""
@@ -23,70 +23,70 @@
 """How often an empty worker is looked at; nothing there needs its lease."""
 
 
-def take_renewal(cell: Cell, event: RenewAnswered, now: float) -> None:
+def handle_renewal(cell: Cell, event: RenewAnswered, now: float) -> None:
     """Take over the answer to a renewal, or its absence."""
     worker = cell.workers.get(event.life)
     if worker is None:
         return
-    worker.renewing = False
+    worker.is_renewing = False
     outcome = event.outcome
     if isinstance(outcome, WorkerReport):
-        _take_report(cell, worker, event, outcome, now)
-    elif not take_life_refusal(cell, worker, outcome, now):
-        _take_silence(cell, worker, now)
+        _handle_report(cell, worker, event, outcome, now)
+    elif not handle_life_refusal(cell, worker, outcome, now):
+        _handle_no_answer(cell, worker, now)
 
 
-def _take_silence(cell: Cell, worker: Worker, now: float) -> None:
+def _handle_no_answer(cell: Cell, worker: Worker, now: float) -> None:
     if worker.silent_since is None:
         worker.silent_since = now
         cell.silence_times.append(now)
         cell.log_decision("worker_silent", worker.life, runs=len(worker.runs))
-        renew(cell, worker, now, 0)
+        send_renewal(cell, worker, now, 0)
         return
-    worker.is_mute = True
+    worker.is_unresponsive = True
     worker.next_renew_at = now + _SILENT_RETRY_SECONDS
 
 
-def _take_report(
+def _handle_report(
     cell: Cell, worker: Worker, event: RenewAnswered, report: WorkerReport, now: float
 ) -> None:
     if worker.silent_since is not None:
         cell.log_decision("worker_answers", worker.life, silent_s=now - worker.silent_since)
         worker.silent_since = None
-        worker.is_mute = False
+        worker.is_unresponsive = False
         # Runs are lost on a worker only while it is silent.
-        take_back_losses(cell, worker)
-    worker.heard_at = now
-    worker.note_clock(report.clock_ms, now)
+        revoke_losses(cell, worker)
+    worker.last_report_at = now
+    worker.update_clock(report.clock_ms, now)
     listed: set[tuple[TaskId, int]] = set()
-    news = False
+    has_new_ends = False
     for end in report.ended:
         listed.add((end.task, end.run))
-        is_known = end.number <= worker.known_ends
+        is_known = end.number <= worker.last_processed_end
         if is_known and (end.task, end.run) not in worker.runs:
             continue
         if is_known:
-            _tell_passed_over(cell, worker, end)
-        worker.known_ends = max(worker.known_ends, end.number)
-        news = True
+            _log_passed_over_end(cell, worker, end)
+        worker.last_processed_end = max(worker.last_processed_end, end.number)
+        has_new_ends = True
         apply_run_end(cell, worker, end, now)
-    for row in report.running:
-        listed.add((row.task, row.run))
-        _take_running(cell, worker, row, now)
+    for running in report.running:
+        listed.add((running.task, running.run))
+        _handle_running(cell, worker, running, now)
     _check_missing(cell, worker, listed, event.order.sent_at, now)
-    if not worker.settled:
-        worker.settled = True
+    if not worker.is_synced:
+        worker.is_synced = True
         cell.needs_placement = True
         cell.log_decision(
             "worker_settled", worker.life, runs=len(worker.runs), clock_ms=report.clock_ms
         )
-    if news:
+    if has_new_ends:
         acknowledge_ends(cell, worker)
-    elif worker.known_ends == worker.seen_ends:
-        _plan_renewal(cell, worker, now)
+    elif worker.last_processed_end == worker.last_recorded_end:
+        _schedule_renewal(cell, worker, now)
 
 
-def _tell_passed_over(cell: Cell, worker: Worker, end: EndedRun) -> None:
+def _log_passed_over_end(cell: Cell, worker: Worker, end: EndedRun) -> None:
     """Tell of an end that counts as known by its number, while its run counts as there."""
     cell.log_decision(
         "end_passed_over",
@@ -95,27 +95,27 @@
         run=end.run,
         worker=worker.life,
         number=end.number,
-        known_ends=worker.known_ends,
-        seen_ends=worker.seen_ends,
+        known_ends=worker.last_processed_end,
+        seen_ends=worker.last_recorded_end,
     )
 
 
-def _plan_renewal(cell: Cell, worker: Worker, now: float) -> None:
+def _schedule_renewal(cell: Cell, worker: Worker, now: float) -> None:
     if worker.runs:
-        renew(cell, worker, now, RENEW_WAIT_MS)
+        send_renewal(cell, worker, now, RENEW_WAIT_MS)
     else:
         worker.next_renew_at = now + _IDLE_RENEW_SECONDS
 
 
-def _take_running(cell: Cell, worker: Worker, row: RunningRun, now: float) -> None:
-    task = cell.find_task(row.task)
-    if task is None or not task.is_current_run(row.run, worker.life):
-        _stop_stray(cell, worker, row.task, row.run, now)
+def _handle_running(cell: Cell, worker: Worker, running: RunningRun, now: float) -> None:
+    task = cell.find_task(running.task)
+    if task is None or not task.is_current_run(running.run, worker.life):
+        _stop_stray(cell, worker, running.task, running.run, now)
         return
     task.is_confirmed = True
-    if row.checkpoint:
-        task.checkpoint = row.checkpoint
-    task.percent = row.percent
+    if running.checkpoint:
+        task.checkpoint = running.checkpoint
+    task.percent = running.percent
     if task.step.job.status.is_final and task.phase is not Phase.DONE:
         stop_run(cell, task, now)
         return
@@ -123,9 +123,9 @@
     if task.phase in (Phase.ORDERED, Phase.UNSURE):
         task.phase = Phase.RUNNING
         task.phase_since = now
-    absolve(cell, task, now)
-    note_progress(worker, task, row, now)
-    if would_gain_elsewhere(cell, worker, task):
+    clear_losses(cell, task, now)
+    learn_speed(worker, task, running, now)
+    if should_move(cell, worker, task):
         task.moves += 1
         cell.log_decision(
             "run_moved",
@@ -134,7 +134,7 @@
             run=task.run,
             worker=worker.life,
             slowness=worker.slowness,
-            percent=row.percent,
+            percent=running.percent,
         )
         stop_run(cell, task, now)
 
@@ -148,7 +148,7 @@
         occupy(cell, worker, task, run, known.step)
     else:
         # How much room it takes is on record no more; it may be all that is free.
-        worker.take(task, run, worker.free.at_least(ZERO))
+        worker.occupy(task, run, worker.free.at_least(ZERO))
     send_stop(cell, worker.life, task, run, now)
     cell.log_decision("stray_stopped", task.job, task=task, run=run, worker=worker.life)
 
@@ -161,19 +161,19 @@
         if (task_id, run) in listed:
             continue
         task = cell.find_task(task_id)
-        current = task is not None and task.is_current_run(run, worker.life)
+        is_current = task is not None and task.is_current_run(run, worker.life)
         stop = cell.pending_stops.get((worker.life, task_id, run))
         if stop is not None:
             if stop.answered_at is not None and stop.answered_at < sent_at:
                 # The worker has refused it for good, or its end was forgotten.
-                _void(cell, worker, task if current else None, task_id, run, now)
-        elif not current:
+                _void_missing_run(cell, worker, task if is_current else None, task_id, run, now)
+        elif not is_current:
             vacate(cell, worker.life, task_id, run)
         elif (task_id, run) in worker.inherited and task.phase is not Phase.DONE:
             # Refused there for good, it cannot come later either.
             stop_run(cell, task, now)
-        elif not worker.settled or task.phase is Phase.DONE:
-            _void(cell, worker, task, task_id, run, now)
+        elif not worker.is_synced or task.phase is Phase.DONE:
+            _void_missing_run(cell, worker, task, task_id, run, now)
         elif task.phase is Phase.UNSURE and task.phase_since < sent_at:
             stop_run(cell, task, now)
         elif task.phase is Phase.RUNNING and task.phase_since < sent_at:
@@ -183,7 +183,7 @@
             stop_run(cell, task, now)
 
 
-def _void(
+def _void_missing_run(
     cell: Cell, worker: Worker, task: Task | None, task_id: TaskId, run: int, now: float
 ) -> None:
     cell.pending_stops.pop((worker.life, task_id, run), None)
--- a/src/snowdock/jobs/workers.py
+++ b/src/snowdock/jobs/workers.py
@@ -6,14 +6,14 @@
 
 from ..declarations import ZERO, Size
 from .job_state import Step
-from .lives import worker_of
+from .lives import worker_id_of
 from .model import StepKey, TaskId
-from .times import SLOWEST_CLOCK_RATE
+from .timeouts import MIN_CLOCK_RATE
 
-__all__ = ["AsideCause", "Charge", "Hold", "Worker", "WorkerEntry"]
+__all__ = ["QuarantineCause", "RoomHold", "StepFailures", "Worker", "WorkerEntry"]
 
 
-class AsideCause(enum.Enum):
+class QuarantineCause(enum.Enum):
     """What speaks against a worker that is set aside."""
 
     FAILURES = "failures"
@@ -57,11 +57,11 @@
     @property
     def worker(self) -> str:
         """The worker's id, which its next life may have as well."""
-        return worker_of(self.life)
+        return worker_id_of(self.life)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hold:
+class RoomHold:
     """Room at one worker that is kept for a step.
 
     Attributes
@@ -76,17 +76,17 @@
     """
 
     room: Size
-    due: float = -math.inf
+    needed_at: float = -math.inf
     rank: float = math.inf
 
 
 @dataclasses.dataclass(slots=True)
-class Charge:
+class StepFailures:
     """A step whose runs failed on a worker, how many did, and when last, in steady seconds."""
 
     step: Step
-    runs: int = 0
-    at: float = 0.0
+    run_count: int = 0
+    last_failed_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -156,36 +156,36 @@
     entry: WorkerEntry
     used: Size = ZERO
     runs: dict[tuple[TaskId, int], Size] = dataclasses.field(default_factory=dict)
-    yielding: dict[tuple[TaskId, int], Size] = dataclasses.field(default_factory=dict)
-    yieldable: Size = ZERO
-    claims: dict[StepKey, Hold] = dataclasses.field(default_factory=dict)
+    preemptible_runs: dict[tuple[TaskId, int], Size] = dataclasses.field(default_factory=dict)
+    preemptible_room: Size = ZERO
+    room_holds: dict[StepKey, RoomHold] = dataclasses.field(default_factory=dict)
     listed: bool = True
     delisted_at: float = 0.0
     may_return: bool = False
-    settled: bool = False
+    is_synced: bool = False
     clock_ms: float = 0.0
     clock_at: float = 0.0
     lease_until_ms: float = 0.0
-    seen_ends: int = 0
-    known_ends: int = 0
-    renewing: bool = False
+    last_recorded_end: int = 0
+    last_processed_end: int = 0
+    is_renewing: bool = False
     next_renew_at: float = 0.0
-    heard_at: float = -math.inf
+    last_report_at: float = -math.inf
     silent_since: float | None = None
-    is_mute: bool = False
-    charged: dict[StepKey, Charge] = dataclasses.field(default_factory=dict)
-    doubt: float = 0.0
-    times_aside: int = 0
-    trial_until: float = 0.0
-    trial: tuple[TaskId, int] | None = None
-    aside_until: float = 0.0
-    aside_for: AsideCause | None = None
-    slow_log: float = 0.0
+    is_unresponsive: bool = False
+    failures_by_step: dict[StepKey, StepFailures] = dataclasses.field(default_factory=dict)
+    failure_score: float = 0.0
+    quarantine_count: int = 0
+    probation_until: float = 0.0
+    probation_run: tuple[TaskId, int] | None = None
+    quarantined_until: float = 0.0
+    quarantine_cause: QuarantineCause | None = None
+    log_slowness: float = 0.0
     suspects: dict[tuple[TaskId, int], bool] = dataclasses.field(default_factory=dict)
-    lost: dict[tuple[TaskId, int], bool] = dataclasses.field(default_factory=dict)
+    unresolved_losses: dict[tuple[TaskId, int], bool] = dataclasses.field(default_factory=dict)
     inherited: set[tuple[TaskId, int]] = dataclasses.field(default_factory=set)
     _free: Size = ZERO
-    _free_of: tuple[Size, Size] | None = None
+    _free_inputs: tuple[Size, Size] | None = None
 
     @property
     def life(self) -> str:
@@ -193,32 +193,36 @@
         return self.entry.life
 
     @property
-    def is_kept_alone(self) -> bool:
+    def is_exclusive(self) -> bool:
         """Whether a run there has to be alone."""
         return bool(self.suspects) and any(self.suspects.values())
 
     @property
-    def is_aside_for_failures(self) -> bool:
+    def is_quarantined_for_failures(self) -> bool:
         """Whether it is set aside since runs failed there, as far as is told."""
-        return self.aside_for is AsideCause.FAILURES
+        return self.quarantine_cause is QuarantineCause.FAILURES
 
     @property
     def failure_streak(self) -> int:
         """How many steps have failed there in a row."""
-        return len(self.charged)
+        return len(self.failures_by_step)
 
     @property
     def slowness(self) -> float:
         """How many times longer runs take here than usual."""
-        return math.exp(self.slow_log)
+        return math.exp(self.log_slowness)
 
     @property
     def free(self) -> Size:
         """Room that nothing takes."""
         # Passes ask for it some thousand times a second; it changes with a run's start or end.
-        of = self._free_of
-        if of is None or of[0] is not self.entry.capacity or of[1] is not self.used:
-            self._free_of = (self.entry.capacity, self.used)
+        cached_inputs = self._free_inputs
+        if (
+            cached_inputs is None
+            or cached_inputs[0] is not self.entry.capacity
+            or cached_inputs[1] is not self.used
+        ):
+            self._free_inputs = (self.entry.capacity, self.used)
             self._free = self.entry.capacity.minus(self.used)
         return self._free
 
@@ -245,24 +249,24 @@
             When a run of it would end there, in steady seconds.
         """
         free = self.free
-        for key, hold in self.claims.items():
-            if key != step and rank <= hold.rank and hold.due < ends_at:
+        for key, hold in self.room_holds.items():
+            if key != step and rank <= hold.rank and hold.needed_at < ends_at:
                 free = free.minus(hold.room)
         return free
 
-    def unclaimed(self, step: StepKey) -> Size:
+    def unreserved_room(self, step: StepKey) -> Size:
         """Room that nothing takes and for which no runs are being stopped; it may be reserved."""
         return self.free_for(step, rank=math.inf)
 
-    def take(self, task: TaskId, run: int, size: Size, may_yield: bool = False) -> None:
+    def occupy(self, task: TaskId, run: int, size: Size, is_preemptible: bool = False) -> None:
         """Count a run's room as taken."""
         if (task, run) in self.runs:
             return
         self.runs[task, run] = size
         self.used = self.used.plus(size)
-        if may_yield:
-            self.yielding[task, run] = size
-            self.yieldable = self.yieldable.plus(size)
+        if is_preemptible:
+            self.preemptible_runs[task, run] = size
+            self.preemptible_room = self.preemptible_room.plus(size)
 
     def release(self, task: TaskId, run: int) -> None:
         """Give a run's room back, if it was taken."""
@@ -270,13 +274,13 @@
         if size is None:
             return
         self.used = self.used.minus(size)
-        if (task, run) in self.yielding:
-            del self.yielding[task, run]
-            self.yieldable = self.yieldable.minus(size)
+        if (task, run) in self.preemptible_runs:
+            del self.preemptible_runs[task, run]
+            self.preemptible_room = self.preemptible_room.minus(size)
         self.suspects.pop((task, run), None)
         self.inherited.discard((task, run))
 
-    def note_clock(self, clock_ms: float, now: float) -> None:
+    def update_clock(self, clock_ms: float, now: float) -> None:
         """Remember the worker's clock from an answer that came now."""
         if clock_ms > 0 and clock_ms >= self.clock_ms:
             self.clock_ms = clock_ms
@@ -288,9 +292,9 @@
         self.lease_until_ms = max(self.lease_until_ms, until)
         return until
 
-    def is_surely_lapsed(self, now: float) -> bool:
+    def are_leases_expired(self, now: float) -> bool:
         """Whether every lease ever sent is over, however slow the worker's clock runs."""
         if not self.clock_ms:
             return False
-        earliest = self.clock_ms + (now - self.clock_at) * 1000 * SLOWEST_CLOCK_RATE
+        earliest = self.clock_ms + (now - self.clock_at) * 1000 * MIN_CLOCK_RATE
         return earliest > self.lease_until_ms
--- a/src/snowdock/platform/advice.py
+++ b/src/snowdock/platform/advice.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from ..errors import PlatformError, StoreRefused
-from ..jobs.lives import worker_of
-from ..jobs.orders import AdviceGiven, AdviceWanted
+from ..jobs.lives import worker_id_of
+from ..jobs.orders import AdviceRequest, AdviceResult
 from ._json import decode_json
 from .http_pool import HttpPool
 
@@ -23,7 +23,7 @@
         headers = {"Content-Type": "application/json"}
         self._http = HttpPool(address, 1, headers) if address else None
 
-    def ask(self, wanted: AdviceWanted, seconds: float) -> AdviceGiven:
+    def ask(self, wanted: AdviceRequest, seconds: float) -> AdviceResult:
         """Ask which of some workers may run a step.
 
         Raises
@@ -37,7 +37,7 @@
             raise PlatformError("the settings name no advice service")
         step = f"{wanted.job}.{wanted.repetition}.{wanted.step}"
         # The service knows workers by their ids.
-        lives = {worker_of(life): life for life in wanted.workers}
+        lives = {worker_id_of(life): life for life in wanted.workers}
         body = msgspec.json.encode({"step": step, "workers": list(lives)})
         reply = self._http.call("POST", "/v1/advise", body, seconds)
         if reply.status in (429, 503):
@@ -46,4 +46,4 @@
             raise PlatformError(f"the advice service answered {reply.status}")
         answer = decode_json(reply.data, _Answer, "advice")
         good = {lives[worker]: ticket for worker, ticket in answer.good if worker in lives}
-        return AdviceGiven(wanted, good)
+        return AdviceResult(wanted, good)
--- a/src/snowdock/platform/worker_calls.py
+++ b/src/snowdock/platform/worker_calls.py
@@ -4,7 +4,7 @@
 from msgspec import UNSET
 
 from ..errors import PlatformError
-from ..jobs.lives import life_of, worker_of
+from ..jobs.lives import format_life, worker_id_of
 from ..jobs.model import TaskId
 from ..jobs.orders import (
     EndedRun,
@@ -70,9 +70,9 @@
     "done": EndKind.DONE,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
-    "lapsed": EndKind.LAPSED,
-    "broken": EndKind.BROKEN,
-    "alone": EndKind.ALONE,
+    "lapsed": EndKind.LEASE_EXPIRED,
+    "broken": EndKind.GANG_BROKEN,
+    "alone": EndKind.GANG_TIMEOUT,
 }
 
 
@@ -101,7 +101,7 @@
 
     Another life under the same id does not: see `encode_greeting`.
     """
-    return {"X-Expected-Instance": worker_of(life), "Content-Type": _JSON}
+    return {"X-Expected-Instance": worker_id_of(life), "Content-Type": _JSON}
 
 
 def encode_start(order: StartOrder) -> bytes:
@@ -136,7 +136,7 @@
     if reply.status == _OTHER_LIFE:
         return StartResult(Refusal.OTHER_LIFE)
     if reply.status in (429, 503):
-        return StartResult(Refusal.UNWELL)
+        return StartResult(Refusal.UNHEALTHY)
     if 400 <= reply.status < 500:
         return StartResult(Refusal.MALFORMED)
     raise PlatformError(f"run-start answered {reply.status}")
@@ -162,7 +162,7 @@
 
 def encode_renewal(order: RenewOrder) -> bytes:
     """Write the body of a renewal of all that runs, which also asks what runs and has ended."""
-    body: dict[str, int] = {"fencing_token": order.token, "last_seen": order.seen_ends}
+    body: dict[str, int] = {"fencing_token": order.token, "last_seen": order.last_recorded_end}
     if order.lease_until_ms:
         body["deadline_ms"] = order.lease_until_ms
     if order.wait_ms:
@@ -215,8 +215,8 @@
 def _is_next_life(held: _Held, life: str) -> bool:
     """Whether a list of runs comes from another life than the one named, as far as both tell."""
     born_ms = born_ms_of(held.born)
-    worker = worker_of(life)
-    return born_ms is not None and worker != life and life_of(worker, born_ms) != life
+    worker = worker_id_of(life)
+    return born_ms is not None and worker != life and format_life(worker, born_ms) != life
 
 
 def _read_running(row: list) -> RunningRun:
@@ -226,7 +226,7 @@
 
 def _read_ended(row: list) -> EndedRun:
     # An unknown way to end counts as the run being broken off from outside.
-    kind = _ENDS.get(row[3], EndKind.BROKEN)
+    kind = _ENDS.get(row[3], EndKind.GANG_BROKEN)
     return EndedRun(int(row[0]), parse_task(row[1]), int(row[2]), kind, str(row[4] or ""))
 
 
--- a/src/snowdock/platform/worker_list.py
+++ b/src/snowdock/platform/worker_list.py
@@ -12,7 +12,7 @@
 
 from ..declarations import Size
 from ..errors import PlatformError
-from ..jobs.lives import life_of
+from ..jobs.lives import format_life
 from ..jobs.workers import WorkerEntry
 from ._json import Born, born_ms_of, decode_json
 
@@ -79,7 +79,7 @@
     _check_address(entry.address)
     capacity = entry.capacity
     return WorkerEntry(
-        life=life_of(key, born_ms_of(entry.born)),
+        life=format_life(key, born_ms_of(entry.born)),
         service=entry.service,
         address=entry.address,
         hall=entry.zone,
--- a/tests/test_advice_dispatcher.py
+++ b/tests/test_advice_dispatcher.py
@@ -8,10 +8,10 @@
 from snowdock.entry.messages import AdviceReply
 from snowdock.errors import CallUnanswered
 from snowdock.jobs.events import AdviceAnswered, AdviceFailed, AskAdvice
-from snowdock.jobs.orders import AdviceGiven, AdviceWanted
+from snowdock.jobs.orders import AdviceRequest, AdviceResult
 from snowdock.node.metrics import Metrics
 
-WANTED = AdviceWanted("0123456789abcdef", 0, 0, ("w1", "w2"))
+WANTED = AdviceRequest("0123456789abcdef", 0, 0, ("w1", "w2"))
 TICKETS = {"w1": "t"}
 
 
@@ -23,8 +23,8 @@
         self.release_events = {"own": threading.Event(), "peer": threading.Event()}
         self.fails = False
 
-    def ask_own(self, wanted: AdviceWanted, seconds: float) -> AdviceGiven:
-        return AdviceGiven(wanted, self._answer("own"))
+    def ask_own(self, wanted: AdviceRequest, seconds: float) -> AdviceResult:
+        return AdviceResult(wanted, self._answer("own"))
 
     def ask_peer(self, node: str, make, seconds: float) -> AdviceReply:
         return AdviceReply(1, self._answer(node))
@@ -63,7 +63,7 @@
         first, second = self.ask_unanswered()
         self.assertNotEqual(first, second)
         self.nodes.release_events[second].set()
-        self.assertEqual(self.events.get(timeout=15), AdviceAnswered(AdviceGiven(WANTED, TICKETS)))
+        self.assertEqual(self.events.get(timeout=15), AdviceAnswered(AdviceResult(WANTED, TICKETS)))
         self.nodes.release_events[first].set()
         self.assert_no_event()
 
--- a/tests/test_jobs_chaos.py
+++ b/tests/test_jobs_chaos.py
@@ -17,7 +17,7 @@
 CRASH, CUT, HEAL, LOST, LATE, CALM, STORE, KILL, DEPOSE, CANCEL, DRAIN, FAIL, RESTART = range(13)
 
 
-def trouble(emulator: Emulator, source: random.Random, kinds: int) -> None:
+def inject_fault(emulator: Emulator, source: random.Random, kinds: int) -> None:
     """Break or mend one thing."""
     kind = source.randrange(kinds)
     lives = [life for life, model in emulator.workers.items() if model.is_up]
@@ -35,10 +35,10 @@
     elif kind == LATE:
         faults.late_orders = 0.1
     elif kind == CALM:
-        calm(emulator)
+        clear_faults(emulator)
     elif kind == STORE:
         faults.store_down = True
-        emulator.timeline.after(source.uniform(0.5, 5), lambda: bring_store_back(emulator))
+        emulator.timeline.after(source.uniform(0.5, 5), lambda: restore_store(emulator))
     elif kind == KILL:
         emulator.kill_leader(source.uniform(0.5, 3))
     elif kind == DEPOSE:
@@ -55,34 +55,34 @@
             emulator.fleet.restart(each, source.uniform(0.1, 6.0))
 
 
-def bring_store_back(emulator: Emulator) -> None:
+def restore_store(emulator: Emulator) -> None:
     emulator.faults.store_down = False
 
 
-def calm(emulator: Emulator) -> None:
+def clear_faults(emulator: Emulator) -> None:
     emulator.faults.lost_answers = emulator.faults.late_orders = 0
     emulator.faults.store_down = False
 
 
-def play(
+def run_with_faults(
     seed: int, crashing_share: float = 0.0, kinds: int = RESTART
 ) -> tuple[Emulator, list[DrawnJob]]:
     """Play a day with troubles of the first so many kinds."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     mixes = [
         dataclasses.replace(mix, crashing_share=crashing_share)
         for mix in default_mixes(seed % 2 == 0)
     ]
-    workload = WorkloadOptions(SECONDS, source.choice([0.3, 0.5]), tuple(mixes))
+    workload = WorkloadOptions(SECONDS, rng.choice([0.3, 0.5]), tuple(mixes))
     jobs = draw_workload(seed, workload)
     emulator = Emulator(seed, EmulatorOptions(workload), jobs)
     emulator.checks.is_calm = False
     at = 0.0
     while at < SECONDS:
-        at += source.uniform(0.3, 2)
+        at += rng.uniform(0.3, 2)
         emulator.run_until(at)
-        trouble(emulator, source, kinds)
-    calm(emulator)
+        inject_fault(emulator, rng, kinds)
+    clear_faults(emulator)
     emulator.faults.cut.clear()
     for model in emulator.workers.values():
         model.fails_all = False
@@ -91,19 +91,19 @@
 
 
 class TestChaos(unittest.TestCase):
-    def test_promises_hold_and_all_jobs_end(self) -> None:
+    def test_invariants_hold_and_all_jobs_end(self) -> None:
         """No limit, doubling, order, attempts or cancelling broken, and no job is forgotten."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                emulator, jobs = play(seed)
+                emulator, jobs = run_with_faults(seed)
                 self.assertEqual(emulator.checks.violations, [])
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
-    def test_tasks_that_end_their_workers(self) -> None:
+    def test_tasks_that_crash_their_workers(self) -> None:
         """Beside all troubles they are given up within their bound, and nothing else hangs."""
         for seed in CRASHING_SEEDS:
             with self.subTest(seed=seed):
-                emulator, jobs = play(seed, crashing_share=0.02)
+                emulator, jobs = run_with_faults(seed, crashing_share=0.02)
                 self.assertEqual(emulator.checks.violations, [])
                 crashing = [job for job in jobs if job.crashing is not None]
                 self.assertTrue(crashing)
@@ -115,11 +115,11 @@
         """Beside all other troubles, no life's runs, ends or leases are taken for another's."""
         for seed in RETURNING_SEEDS:
             with self.subTest(seed=seed):
-                emulator, jobs = play(seed, kinds=RESTART + 1)
+                emulator, jobs = run_with_faults(seed, kinds=RESTART + 1)
                 self.assertEqual(emulator.checks.violations, [])
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
-    def test_calm_day_wastes_nothing(self) -> None:
+    def test_run_without_faults(self) -> None:
         """Without troubles no gang waits in vain and all jobs end as they should."""
         workload = WorkloadOptions(SECONDS, 0.5, default_mixes())
         jobs = draw_workload(7, workload)
--- a/tests/test_jobs_crash_replay.py
+++ b/tests/test_jobs_crash_replay.py
@@ -33,7 +33,7 @@
         ((step,),) = self.leaders.bench.cell.jobs[self.leaders.job].repetitions
         return step.tasks[0]
 
-    def take(self, label: str) -> None:
+    def apply(self, label: str) -> None:
         """Let one thing happen."""
         take = {
             "is placed": self._place,
@@ -43,12 +43,12 @@
             "another leader takes over": self._take_over,
             "is answered": lambda: self._answer(is_answered=True),
             "is not answered": lambda: self._answer(is_answered=False),
-            "was not there": self._deny,
+            "was not there": self._report_absent,
             "another life answers": self._end_life,
             "another life answers, it had drained": self._end_draining_life,
             "its worker is not known": lambda: self.leaders.bench.tick(_LAPSE_SECONDS),
             "leases are over": lambda: disconnect_worker(self.leaders.bench, self.life),
-            "is told as broken off": self._break_off,
+            "is told as broken off": self._report_gang_broken,
         }.get(label)
         if take is not None:
             take()
@@ -88,7 +88,7 @@
             self.leaders.list_worker(self.life, draining)
         self.is_listed = True
 
-    def _deny(self) -> None:
+    def _report_absent(self) -> None:
         """Have the worker tell that the run is not there, and refuse it for good."""
         # It takes nothing more: the walk says when the task is placed again.
         self._list(draining=True)
@@ -110,9 +110,9 @@
         self._list(draining=True)
         self.leaders.bench.end_life(self.life)
 
-    def _break_off(self) -> None:
+    def _report_gang_broken(self) -> None:
         self._list(draining=True)
-        end = (self.task.id, self.task.run, EndKind.BROKEN)
+        end = (self.task.id, self.task.run, EndKind.GANG_BROKEN)
         self.leaders.bench.report(self.life, ended=[end])
 
 
@@ -135,7 +135,7 @@
                 break
             label, after = source.choice(steps)
             labels.append(label)
-            replay.take(label)
+            replay.apply(label)
             state = after
             task = replay.task
             counted = (len(task.crashed_runs), len(task.lost_runs))
--- a/tests/test_jobs_crashes.py
+++ b/tests/test_jobs_crashes.py
@@ -32,7 +32,7 @@
 ROUNDS = 12
 
 
-class Crashes:
+class CrashingWorkers:
     """Workers that one task ends whenever it starts there; all other tasks end well.
 
     Workers return as another life at the same address.
@@ -40,7 +40,7 @@
 
     def __init__(self, guilty: int = 0) -> None:
         self.bench = Bench()
-        self.guilty = guilty
+        self.crashing_task = guilty
         self.starts = 0
         self._lives = 0
         for _ in range(6):
@@ -50,11 +50,11 @@
         self._lives += 1
         self.bench.add_worker(f"w{self._lives}")
 
-    def carry_out(self, starts: list[SendStart]) -> bool:
+    def execute_starts(self, starts: list[SendStart]) -> bool:
         """Start runs as ordered; tell whether a worker crashed."""
         crashed = set()
         for start in starts:
-            if start.order.task.index == self.guilty:
+            if start.order.task.index == self.crashing_task:
                 self.starts += 1
                 crashed.add(start.life)
         for start in starts:
@@ -69,10 +69,10 @@
             self.add_worker()
         return bool(crashed)
 
-    def play(self, after_crash=lambda: None) -> None:
+    def run_rounds(self, after_crash=lambda: None) -> None:
         """Go on until nothing is started any more, or for a number of rounds."""
         for _ in range(ROUNDS):
-            if self.carry_out(self.bench.new_starts()):
+            if self.execute_starts(self.bench.new_starts()):
                 after_crash()
             self.bench.tick(3.0)
 
@@ -81,17 +81,17 @@
     def status(self, bench: Bench, job: str) -> JobStatus:
         return bench.cell.jobs[job].status
 
-    def test_it_is_given_up(self) -> None:
+    def test_crashing_task_is_given_up(self) -> None:
         """A task that ends each worker that starts it is given up, and its job has failed."""
-        crashes = Crashes()
+        crashes = CrashingWorkers()
         job = crashes.bench.submit(SMALL)
-        crashes.play()
+        crashes.run_rounds()
         self.assertLessEqual(crashes.starts, MOST_STARTS)
         self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
 
-    def test_successors_count_on(self) -> None:
+    def test_counts_survive_leader_changes(self) -> None:
         """It is given up as soon where another leader takes over after each crash."""
-        crashes = Crashes()
+        crashes = CrashingWorkers()
         spec = make_accepted_job(SMALL)
         job = crashes.bench.submit(SMALL)
         token = 1
@@ -107,7 +107,7 @@
             for life in cell.workers:
                 crashes.bench.add_worker(life)
 
-        crashes.play(take_over)
+        crashes.run_rounds(take_over)
         self.assertLessEqual(crashes.starts, MOST_STARTS)
         self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
 
@@ -156,7 +156,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 1))
 
-    def test_worker_that_had_said_it_leaves(self) -> None:
+    def test_end_of_a_draining_worker(self) -> None:
         """Where the worker was draining, the end of its life is charged to nobody."""
         self.bench.confirm(self.start)
         self.bench.drain("w")
@@ -173,7 +173,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 0))
 
-    def test_worker_that_leaves_as_soon_as_it_is_given_a_task(self) -> None:
+    def test_draining_worker_that_ends_just_after_a_start(self) -> None:
         """A draining worker takes nothing new, and ends seconds later: what is younger may be why.
 
         A task that ended each worker was started three times after its third crash, since one of
@@ -185,7 +185,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 1))
 
-    def test_task_that_lasts_outlives_a_roll(self) -> None:
+    def test_long_running_task_survives_a_rolling_replacement(self) -> None:
         """A task that lasts goes on, however many workers are replaced under it in turn."""
         bench = self.bench = Bench()
         bench.add_worker("w0")
@@ -267,13 +267,13 @@
         (task,) = _recorded(self.bench, self.job).tasks
         self.assertEqual((task.crashed_runs, task.lost_runs), ([1], [1]))
 
-    def test_run_that_only_a_report_told_of(self) -> None:
+    def test_run_confirmed_only_by_a_report(self) -> None:
         """A start without an answer counts as a crash once a report has listed its run."""
         self.bench.report("w", running=[(self.task.id, 1, 1.0)])
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (1, 1))
 
-    def test_second_run_is_told_of_anew(self) -> None:
+    def test_second_run_is_confirmed_separately(self) -> None:
         """What was told of an earlier run says nothing of the next."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
@@ -306,7 +306,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 1))
 
-    def test_task_with_an_end_is_not_absolved(self) -> None:
+    def test_finite_task_keeps_its_losses(self) -> None:
         """Only one that lasts is cleared by its work: another may end its worker at its end."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
@@ -325,7 +325,7 @@
         self.assertEqual(self.counts(), (0, 0))
         self.assertEqual(self.bench.cell.jobs[self.job].status, JobStatus.RUNNING)
 
-    def test_task_that_lasts_is_absolved(self) -> None:
+    def test_long_running_task_is_cleared_of_losses(self) -> None:
         """Once it has worked for long, earlier losses of a task that lasts count no more."""
         bench = self.bench = Bench()
         bench.add_worker("w")
@@ -354,7 +354,7 @@
 class TestCutOffWorkers(unittest.TestCase):
     """Workers that are cut off lose their leases, and answer again as they were."""
 
-    def test_loss_is_taken_back(self) -> None:
+    def test_loss_is_revoked(self) -> None:
         """A worker that answers again as it was did not crash: its losses charge nobody."""
         bench = Bench()
         bench.add_worker("w")
@@ -375,7 +375,7 @@
         (recorded,) = _recorded(bench, job).tasks
         self.assertEqual(recorded.lost_runs, [])
 
-    def test_it_is_put_on_record(self) -> None:
+    def test_revoked_loss_is_recorded(self) -> None:
         """A successor knows of it, also where the task runs elsewhere by then."""
         bench = Bench()
         bench.add_worker("w")
@@ -392,8 +392,8 @@
         self.assertEqual(_recorded(bench, job).tasks[0].lost_runs, [])
 
 
-class TestWholePath(unittest.TestCase):
-    def test_callers_hear_of_it(self) -> None:
+class TestEndToEnd(unittest.TestCase):
+    def test_callers_see_the_failed_job(self) -> None:
         """With real daemons, such a job is shown as failed, and its neighbours as completed."""
         cluster = EntryCluster(2, workers=4)
         self.addCleanup(cluster.close)
--- a/tests/test_jobs_failed_runs.py
+++ b/tests/test_jobs_failed_runs.py
@@ -35,58 +35,58 @@
     def fail_runs(self, life: str, *steps: Step, runs: int = 1) -> None:
         for step in steps:
             for _ in range(runs):
-                failed_runs.note_failed_run(self.cell, self.cell.workers[life], step, self.now)
+                failed_runs.record_failed_run(self.cell, self.cell.workers[life], step, self.now)
 
-    def end_well(self, life: str, step: Step, began_at: float | None = None) -> None:
+    def succeed(self, life: str, step: Step, began_at: float | None = None) -> None:
         began_at = self.now if began_at is None else began_at
-        failed_runs.note_good_end(self.cell, self.cell.workers[life], step, began_at, self.now)
+        failed_runs.record_success(self.cell, self.cell.workers[life], step, began_at, self.now)
 
     @property
     def now(self) -> float:
         return self.bench.now
 
     @property
-    def aside(self) -> list[str]:
-        return [life for life, w in self.cell.workers.items() if w.aside_until > self.now]
+    def quarantined(self) -> list[str]:
+        return [life for life, w in self.cell.workers.items() if w.quarantined_until > self.now]
 
 
 class TestWeights(FailedRuns):
-    def test_one_failure_is_chance(self) -> None:
+    def test_one_failure_is_tolerated(self) -> None:
         """A run of a step fails by its own fault now and then."""
         self.fail_runs("w0", self.step())
-        self.assertEqual(self.aside, [])
+        self.assertEqual(self.quarantined, [])
 
-    def test_two_failures_are_none(self) -> None:
+    def test_two_failures_quarantine_the_worker(self) -> None:
         """Two runs of one step, or one each of two, set their worker aside."""
         self.fail_runs("w0", self.step(), runs=2)
         self.fail_runs("w1", self.step(), self.step())
-        self.assertEqual(self.aside, ["w0", "w1"])
+        self.assertEqual(self.quarantined, ["w0", "w1"])
 
     def test_failures_elsewhere_clear_a_worker(self) -> None:
         """A step that fails on others as well clears its worker."""
         bad = self.step()
         self.fail_runs("w0", bad, runs=2)
-        self.assertEqual(self.aside, ["w0"])
+        self.assertEqual(self.quarantined, ["w0"])
         self.fail_runs("w1", bad)
-        self.assertEqual(self.aside, [])
+        self.assertEqual(self.quarantined, [])
 
-    def test_good_ends_elsewhere_convict_it(self) -> None:
+    def test_successes_elsewhere_quarantine_the_worker(self) -> None:
         """A step that ends well elsewhere was not to blame, also where that comes out late."""
         good = self.step()
         self.fail_runs("w1", good)
         self.fail_runs("w0", good, runs=2)
-        self.end_well("w3", good)
-        self.assertEqual(self.aside, [])
-        self.end_well("w2", good)
-        self.assertIn("w0", self.aside)
+        self.succeed("w3", good)
+        self.assertEqual(self.quarantined, [])
+        self.succeed("w2", good)
+        self.assertIn("w0", self.quarantined)
 
     def test_good_end_clears_what_came_before_it(self) -> None:
         """A run that began before the failures says nothing of them."""
         self.fail_runs("w0", self.step(), runs=2)
-        self.end_well("w0", self.step(), began_at=self.now - 1)
-        self.assertEqual(self.aside, ["w0"])
-        self.end_well("w0", self.step())
-        self.assertEqual(self.aside, [])
+        self.succeed("w0", self.step(), began_at=self.now - 1)
+        self.assertEqual(self.quarantined, ["w0"])
+        self.succeed("w0", self.step())
+        self.assertEqual(self.quarantined, [])
 
     def test_many_bad_steps_make_failures_usual(self) -> None:
         """Where most steps fail on all workers, two more failures speak against nobody."""
@@ -96,20 +96,20 @@
                 self.fail_runs(life, bad)
         self.assertGreater(self.cell.failing_step_share["pool"], 0.5)
         self.fail_runs("w0", self.step(), self.step())
-        self.assertNotIn("w0", self.aside)
+        self.assertNotIn("w0", self.quarantined)
 
-    def test_charges_are_bounded(self) -> None:
+    def test_failed_steps_are_bounded(self) -> None:
         """A worker where nothing ends well keeps a bounded number of them."""
         self.fail_runs("w0", *(self.step() for _ in range(100)))
-        self.assertLessEqual(len(self.cell.workers["w0"].charged), 32)
+        self.assertLessEqual(len(self.cell.workers["w0"].failures_by_step), 32)
 
 
-class TestSettingAside(FailedRuns):
+class TestQuarantine(FailedRuns):
     def test_half_of_a_service_at_most(self) -> None:
         """However many workers fail, half of them stay in use."""
         for life in ("w0", "w1", "w2", "w3"):
             self.fail_runs(life, self.step(), self.step(), runs=3)
-        self.assertEqual(self.aside, ["w0", "w1"])
+        self.assertEqual(self.quarantined, ["w0", "w1"])
 
     def test_workers_are_judged_in_one_order(self) -> None:
         """What one event brings about does not hang on how the interpreter orders a set.
@@ -123,9 +123,9 @@
         for step in (lambda: good, self.step):
             for life in failing:
                 self.fail_runs(life, step())
-        self.assertEqual(self.aside, [])
+        self.assertEqual(self.quarantined, [])
         for number in range(6, 10):
-            self.end_well(f"w{number}", good)
+            self.succeed(f"w{number}", good)
         told = [each for each in self.cell.effects if isinstance(each, LogDecision)]
         aside = [each.subject for each in told if each.decision == "worker_set_aside"]
         self.assertEqual(aside, failing)
@@ -137,36 +137,36 @@
         found = []
         for _ in range(4):
             self.fail_runs("w0", self.step())
-            found.append(round(worker.aside_until - self.now))
-            self.bench.now = worker.aside_until + 0.001
+            found.append(round(worker.quarantined_until - self.now))
+            self.bench.now = worker.quarantined_until + 0.001
         self.assertEqual(found, [2, 4, 8, 8])
-        self.end_well("w0", self.step())
+        self.succeed("w0", self.step())
         self.fail_runs("w0", self.step(), self.step())
-        self.assertEqual(round(worker.aside_until - self.now), 2)
+        self.assertEqual(round(worker.quarantined_until - self.now), 2)
 
     def test_runs_that_fail_meanwhile_count_as_further_times(self) -> None:
         """Many runs that fail at the same moment set their worker aside for the longest time."""
         self.fail_runs("w0", self.step(), runs=4)
-        self.assertEqual(round(self.cell.workers["w0"].aside_until - self.now), 8)
+        self.assertEqual(round(self.cell.workers["w0"].quarantined_until - self.now), 8)
 
 
-class TestTrialAndLastResort(unittest.TestCase):
+class TestProbationAndLastResort(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench(attempts=9)
         self.bench.add_worker("w0")
         self.bench.add_worker("w1", cpu=1000)
         self.worker = self.bench.cell.workers["w0"]
 
-    def set_aside(self) -> None:
+    def quarantine_worker(self) -> None:
         """Have runs of two steps fail on the large worker."""
         for _ in range(2):
-            failed_runs.note_failed_run(self.bench.cell, self.worker, make_step(), self.bench.now)
-        self.assertGreater(self.worker.aside_until, self.bench.now)
+            failed_runs.record_failed_run(self.bench.cell, self.worker, make_step(), self.bench.now)
+        self.assertGreater(self.worker.quarantined_until, self.bench.now)
 
-    def test_one_run_proves_a_worker_that_is_back(self) -> None:
+    def test_one_run_at_a_time_on_probation(self) -> None:
         """It takes one run, and more once that has ended well."""
-        self.set_aside()
-        self.bench.tick(self.worker.aside_until - self.bench.now + 0.1)
+        self.quarantine_worker()
+        self.bench.tick(self.worker.quarantined_until - self.bench.now + 0.1)
         self.bench.submit(WIDE)
         starts = [start for start in self.bench.starts() if start.life == "w0"]
         self.assertEqual(len(starts), 1)
@@ -176,10 +176,10 @@
         self.assertEqual({start.life for start in found}, {"w0"})
         self.assertEqual(len(found), 2)
 
-    def test_step_that_runs_nothing_takes_a_worker_that_is_set_aside(self) -> None:
+    def test_idle_step_uses_a_quarantined_worker_as_last_resort(self) -> None:
         """Where nobody else has room it does so before users call it lost."""
-        self.set_aside()
-        self.worker.aside_until = self.bench.now + 8.0
+        self.quarantine_worker()
+        self.worker.quarantined_until = self.bench.now + 8.0
         self.bench.submit(StepSpec(count=1, size=Size(2000, 100), estimate_ms=1000))
         self.assertEqual(self.bench.starts(self.bench.tick(1.5)), [])
         (start,) = self.bench.starts(self.bench.tick(1.0))
--- a/tests/test_jobs_failing.py
+++ b/tests/test_jobs_failing.py
@@ -13,11 +13,13 @@
 
 SECONDS = 20.0
 SETTLE_SECONDS = 30.0
-LASTING = StepSpec(count=1, size=Size(500, 500), long_running=True)
+LONG_RUNNING = StepSpec(count=1, size=Size(500, 500), long_running=True)
 LONG = StepSpec(count=1, size=Size(500, 500), estimate_ms=60_000)
 
 
-def play(seed: int, failing_share: float, spoiling: int = 0) -> tuple[Emulator, list[DrawnJob]]:
+def run_emulator(
+    seed: int, failing_share: float, spoiling: int = 0
+) -> tuple[Emulator, list[DrawnJob]]:
     """Play a day on 24 workers, some of which fail all that they start until it ends."""
     mixes = [dataclasses.replace(mix, hopeless_share=failing_share) for mix in default_mixes()]
     workload = WorkloadOptions(SECONDS, 0.5, tuple(mixes))
@@ -33,19 +35,19 @@
 
 
 class TestFailingJobs(unittest.TestCase):
-    def test_nobody_starves_beside_them(self) -> None:
+    def test_no_starvation_beside_failing_jobs(self) -> None:
         """All workers are sound, three jobs in ten always fail: no job waits beside free room."""
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
-                emulator, _ = play(seed, 0.3)
+                emulator, _ = run_emulator(seed, 0.3)
                 self.assertEqual(emulator.checks.violations, [])
                 self.assertEqual(list(emulator.starvation.found.values()), [])
 
-    def test_nobody_starves_beside_spoiling_workers_too(self) -> None:
+    def test_no_starvation_beside_faulty_workers(self) -> None:
         """A sixth of the workers fail all that they start besides; good jobs end well."""
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
-                emulator, jobs = play(seed, 0.2, spoiling=4)
+                emulator, jobs = run_emulator(seed, 0.2, spoiling=4)
                 self.assertEqual(emulator.checks.violations, [])
                 self.assertEqual(list(emulator.starvation.found.values()), [])
                 good = [job.job for job in jobs if not job.is_hopeless]
@@ -53,18 +55,18 @@
                 self.assertLessEqual(len(failed), len(good) // 50)
 
 
-class TestTrial(unittest.TestCase):
+class TestProbation(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench(attempts=4)
         self.bench.add_worker("w")
-        self.there: list[tuple] = []
+        self.running: list[tuple] = []
 
-    def begin(self, step: StepSpec) -> None:
+    def start_run(self, step: StepSpec) -> None:
         """Have a task run on the only worker from now on."""
         self.bench.submit(step)
         (start,) = self.bench.starts()
         self.bench.confirm(start)
-        self.there.append((start.order.task, start.order.run, 1.0))
+        self.running.append((start.order.task, start.order.run, 1.0))
 
     def fail_jobs(self, count: int) -> None:
         """Have jobs of one task each fail on the worker as soon as they run there."""
@@ -73,7 +75,7 @@
             start = self.wait_for_start()
             task, run = start.order.task, start.order.run
             self.bench.confirm(start)
-            self.bench.report("w", running=self.there, ended=[(task, run, FAILED)])
+            self.bench.report("w", running=self.running, ended=[(task, run, FAILED)])
             self.bench.feed(JobCancelled(task.job))
 
     def wait_for_start(self, seconds: float = 12.0):
@@ -84,30 +86,30 @@
             found = self.bench.starts(self.bench.tick(0.1))
             waited += 0.1
             if "w" in self.bench.renewals:
-                found = found or self.bench.starts(self.bench.report("w", running=self.there))
+                found = found or self.bench.starts(self.bench.report("w", running=self.running))
         self.assertTrue(found, f"nothing was started for {seconds} s")
         return found[0]
 
-    def test_it_ends_beside_a_run_that_lasts(self) -> None:
+    def test_probation_ends_beside_a_long_run(self) -> None:
         """A worker that failed some runs takes work again, whatever else goes on there."""
-        for step in (LASTING, LONG):
+        for step in (LONG_RUNNING, LONG):
             with self.subTest(lasts=step.long_running):
                 self.setUp()
-                self.begin(step)
+                self.start_run(step)
                 self.fail_jobs(4)
                 self.bench.submit()
                 self.wait_for_start()
 
-    def test_last_attempt_beside_a_run_that_lasts(self) -> None:
+    def test_last_attempt_beside_a_long_run(self) -> None:
         """What may not fail again prefers sound workers, and does not wait for one for ever."""
-        self.begin(LASTING)
+        self.start_run(LONG_RUNNING)
         job = self.bench.submit()
         for run in (1, 2, 3):
             start = self.wait_for_start()
             self.assertEqual((start.order.task.job, start.order.run), (job, run))
             self.bench.confirm(start)
             ended = [(start.order.task, run, FAILED)]
-            self.bench.report("w", running=self.there, ended=ended)
+            self.bench.report("w", running=self.running, ended=ended)
         self.assertEqual(self.wait_for_start().order.run, 4)
 
 
--- a/tests/test_jobs_leader_changes.py
+++ b/tests/test_jobs_leader_changes.py
@@ -9,7 +9,7 @@
 from snowdock.emulator import Emulator, EmulatorOptions, WorkloadOptions, draw_workload
 from snowdock.emulator.workload import default_mixes
 from snowdock.jobs.events import SendStart
-from snowdock.jobs.forecast import room_to_come
+from snowdock.jobs.forecast import upcoming_free_room
 from snowdock.jobs.model import JobStatus
 from snowdock.jobs.orders import EndKind
 from tests.jobs_tools import SMALL, LeaderSequence, find_unended_jobs
@@ -18,7 +18,7 @@
 """After three crashes under a task, fewer than three more starts."""
 
 GANG = msgspec.structs.replace(SMALL, count=2, gang=True, most_per_worker=1)
-LASTING = msgspec.structs.replace(SMALL, long_running=True)
+LONG_RUNNING = msgspec.structs.replace(SMALL, long_running=True)
 
 ROUNDS = 12
 SECONDS = 20
@@ -41,9 +41,9 @@
         self.assertLessEqual(self.count_starts(leaders), MOST_STARTS)
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
-    def test_task_that_lasts(self) -> None:
+    def test_long_running_task(self) -> None:
         """One that lasts is charged as well where its worker went before it told of the run."""
-        self.assertLessEqual(self.count_starts(LeaderSequence(LASTING)), MOST_STARTS)
+        self.assertLessEqual(self.count_starts(LeaderSequence(LONG_RUNNING)), MOST_STARTS)
 
     @staticmethod
     def count_starts(leaders: LeaderSequence) -> int:
@@ -57,7 +57,7 @@
             leaders.bench.end_life(start.life)
         return starts
 
-    def test_leader_that_was_away(self) -> None:
+    def test_stalled_leader(self) -> None:
         """A leader that stood still knows not when the worker went: what it heard last counts."""
         leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
@@ -73,12 +73,12 @@
         check_days(self, DRAINING_SEEDS)
 
 
-class TestTakenOverRuns(unittest.TestCase):
+class TestRecoveredRuns(unittest.TestCase):
     """What a new leader goes by that finds a run on record."""
 
-    def test_task_that_lasts_is_cleared_by_its_work(self) -> None:
+    def test_long_running_task_is_cleared_by_its_work(self) -> None:
         """A takeover does not count as 30 seconds of work."""
-        leaders = LeaderSequence(LASTING)
+        leaders = LeaderSequence(LONG_RUNNING)
         for _ in range(2):
             (start,) = leaders.next_starts()
             leaders.bench.confirm(start)
@@ -95,7 +95,7 @@
             leaders.bench.report(start.life, running=running)
         self.assertEqual(task.lost_runs, frozenset())
 
-    def test_run_that_goes_once_it_was_told_of(self) -> None:
+    def test_run_lost_after_a_report(self) -> None:
         """On a draining worker it is charged, however old the new leader's machine is."""
         leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
@@ -106,7 +106,7 @@
         task = leaders.bench.cell.find_task(start.order.task)
         self.assertEqual(task.lost_runs, {1})
 
-    def test_crashes_are_counted_on(self) -> None:
+    def test_crash_counts_survive_leader_changes(self) -> None:
         """Three crashes that were seen as such are the most, though a new leader saw the third."""
         leaders = LeaderSequence(SMALL)
         starts = 0
@@ -137,14 +137,14 @@
         self.assertEqual(leaders.bench.cell.find_task(other.order.task).lost_runs, losses)
         self.assertEqual(leaders.status, JobStatus.RUNNING)
 
-    def test_time_to_come_of_a_run_that_was_taken_over(self) -> None:
+    def test_expected_end_of_a_recovered_run(self) -> None:
         """Room that a run takes is expected back after its estimate, not after days."""
         leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
         leaders.replace_leader()
         leaders.list_worker(start.life)
         worker = leaders.bench.cell.workers[start.life]
-        ((at, _),) = room_to_come(leaders.bench.cell, worker, leaders.bench.now)
+        ((at, _),) = upcoming_free_room(leaders.bench.cell, worker, leaders.bench.now)
         self.assertLessEqual(at - leaders.bench.now, SMALL.estimate_ms / 1000 + 1)
 
 
@@ -159,13 +159,13 @@
             leaders.replace_leader()
             for start in starts:
                 leaders.list_worker(start.life)
-            leaders.bench.report(starts[0].life, ended=[self.broken(starts[0])])
+            leaders.bench.report(starts[0].life, ended=[self.gang_broken_end(starts[0])])
             leaders.bench.end_life(starts[1].life)
         more = 0
         while more < ROUNDS and (starts := self.start_all(leaders)):
             more += 1
-            leaders.bench.report(starts[1].life, ended=[self.broken(starts[1])])
-            leaders.bench.report(starts[0].life, ended=[self.broken(starts[0])])
+            leaders.bench.report(starts[1].life, ended=[self.gang_broken_end(starts[1])])
+            leaders.bench.report(starts[0].life, ended=[self.gang_broken_end(starts[0])])
         self.assertLessEqual(more, MOST_STARTS - 3)
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
@@ -178,8 +178,8 @@
         return starts
 
     @staticmethod
-    def broken(start: SendStart) -> tuple:
-        return (start.order.task, start.order.run, EndKind.BROKEN)
+    def gang_broken_end(start: SendStart) -> tuple:
+        return (start.order.task, start.order.run, EndKind.GANG_BROKEN)
 
     def test_days_with_gangs(self) -> None:
         """On emulated days no member is started three times after it crashed three workers."""
@@ -191,32 +191,34 @@
 ) -> None:
     for seed in seeds:
         with test.subTest(seed=seed):
-            emulator, hanging = play(seed, crashing_share)
+            emulator, hanging = run_with_leader_changes(seed, crashing_share)
             test.assertEqual(emulator.checks.violations, [])
             test.assertEqual(hanging, [])
 
 
-def play(seed: int, crashing_share: float = FEW_CRASHING) -> tuple[Emulator, list[str]]:
+def run_with_leader_changes(
+    seed: int, crashing_share: float = FEW_CRASHING
+) -> tuple[Emulator, list[str]]:
     """Play a day on which leaders change every second or so; give the jobs that did not end too."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     mixes = [
         dataclasses.replace(mix, crashing_share=crashing_share)
         for mix in default_mixes(with_advice=False)
     ]
-    workload = WorkloadOptions(SECONDS, source.choice([0.2, 0.35]), tuple(mixes))
+    workload = WorkloadOptions(SECONDS, rng.choice([0.2, 0.35]), tuple(mixes))
     jobs = draw_workload(seed, workload)
     emulator = Emulator(seed, EmulatorOptions(workload, entries_linger=True), jobs)
     emulator.checks.is_calm = False
     at = 0.0
     while at < SECONDS + 25:
-        at += source.uniform(0.2, 2.0)
+        at += rng.uniform(0.2, 2.0)
         emulator.run_until(at)
-        change(emulator, source)
+        inject_change(emulator, rng)
     emulator.run_until(SECONDS + SETTLE_SECONDS)
     return emulator, find_unended_jobs(emulator, jobs)
 
 
-def change(emulator: Emulator, source: random.Random) -> None:
+def inject_change(emulator: Emulator, source: random.Random) -> None:
     """Change the leader, or have a worker drain."""
     kind = source.random()
     lives = [life for life, model in emulator.workers.items() if model.takes_work]
--- a/tests/test_jobs_lives.py
+++ b/tests/test_jobs_lives.py
@@ -19,9 +19,9 @@
     WorkerListed,
 )
 from snowdock.jobs.job_state import Phase
-from snowdock.jobs.lives import life_of, worker_of
+from snowdock.jobs.lives import format_life, worker_id_of
 from snowdock.jobs.model import JobStatus
-from snowdock.jobs.orders import AdviceWanted, Refusal, WorkerReport
+from snowdock.jobs.orders import AdviceRequest, Refusal, WorkerReport
 from snowdock.jobs.progress import decode_progress
 from snowdock.jobs.takeover import RecordedJobs
 from snowdock.platform.advice import AdviceClient
@@ -32,7 +32,11 @@
 from tests.jobs_tools import DONE, SMALL, Bench, filter_by_type, make_accepted_job
 from tests.standins.platform import AdviceStandin
 
-FIRST, SECOND, BEFORE_FIRST = life_of("i-1", 100), life_of("i-1", 200), life_of("i-1", 50)
+FIRST, SECOND, BEFORE_FIRST = (
+    format_life("i-1", 100),
+    format_life("i-1", 200),
+    format_life("i-1", 50),
+)
 
 ENTRY = {
     "service": "pool",
@@ -53,17 +57,17 @@
     return msgspec.json.encode(ENTRY | fields)
 
 
-def held(**fields: object) -> Reply:
+def runs_reply(**fields: object) -> Reply:
     told = {"clock_ms": 1, "running": [], "ended": []}
     return Reply(200, msgspec.json.encode(told | fields))
 
 
-class TestBorder(unittest.TestCase):
+class TestDecoding(unittest.TestCase):
     def test_names(self) -> None:
         """A life's name tells the worker, and lives that differ in their start differ."""
         self.assertNotEqual(FIRST, SECOND)
-        self.assertEqual({worker_of(FIRST), worker_of(SECOND), worker_of("i-1")}, {"i-1"})
-        self.assertEqual(worker_of("odd@name"), "odd@name")
+        self.assertEqual({worker_id_of(FIRST), worker_id_of(SECOND), worker_id_of("i-1")}, {"i-1"})
+        self.assertEqual(worker_id_of("odd@name"), "odd@name")
 
     def test_entry_names_its_life(self) -> None:
         """An entry's life is that of its start; without one, the id names its only life."""
@@ -78,12 +82,16 @@
                 with self.assertRaises(PlatformError):
                     decode_worker_entry("i-1", entry(born=born))
                 with self.assertRaises(PlatformError):
-                    decode_renewal(held(born=born), FIRST)
+                    decode_renewal(runs_reply(born=born), FIRST)
 
     def test_list_of_runs_of_another_life(self) -> None:
         """It is told as such, where both tell of their start."""
-        self.assertIs(decode_renewal(held(born=200), FIRST), Refusal.NEXT_LIFE)
-        for reply, life in ((held(born=100), FIRST), (held(), FIRST), (held(born=9), "i-1")):
+        self.assertIs(decode_renewal(runs_reply(born=200), FIRST), Refusal.NEXT_LIFE)
+        for reply, life in (
+            (runs_reply(born=100), FIRST),
+            (runs_reply(), FIRST),
+            (runs_reply(born=9), "i-1"),
+        ):
             self.assertIsInstance(decode_renewal(reply, life), WorkerReport)
 
 
@@ -94,40 +102,40 @@
         self.addCleanup(service.close)
         service.unfit = {"i-2"}
         client = AdviceClient(service.address)
-        lives = (SECOND, life_of("i-2", 300))
-        given = client.ask(AdviceWanted("a" * 16, 0, 0, lives), 5.0)
+        lives = (SECOND, format_life("i-2", 300))
+        given = client.ask(AdviceRequest("a" * 16, 0, 0, lives), 5.0)
         self.assertEqual(given.tickets, {SECOND: "t-i-1"})
 
 
 class TestList(unittest.TestCase):
     def setUp(self) -> None:
-        self.told: list = []
-        actor = types.SimpleNamespace(tell=self.told.append)
+        self.events: list = []
+        actor = types.SimpleNamespace(tell=self.events.append)
         context = types.SimpleNamespace(store=types.SimpleNamespace(), parts=1, metrics=None)
         self.handle = LeaderHandle(context, actor, JobStatusTable())
 
     def take(self, value: bytes | None, offset: int) -> None:
         self.handle._apply_worker_record(KeyedRecord("i-1", value, offset))
 
-    def test_entry_that_goes_names_the_life_that_was_listed(self) -> None:
+    def test_removed_entry_delists_the_listed_life(self) -> None:
         """The entry's key tells the worker only."""
         self.take(entry(born=100), 0)
         self.take(entry(born=200), 1)
         self.take(None, 2)
-        lives = [event.entry.life for event in filter_by_type(self.told, WorkerListed)]
+        lives = [event.entry.life for event in filter_by_type(self.events, WorkerListed)]
         self.assertEqual(lives, [FIRST, SECOND])
         self.assertEqual(
-            [each.life for each in filter_by_type(self.told, WorkerDelisted)], [SECOND]
+            [each.life for each in filter_by_type(self.events, WorkerDelisted)], [SECOND]
         )
 
-    def test_entry_of_a_life_before_is_read_again(self) -> None:
+    def test_older_entry_read_again_is_ignored(self) -> None:
         """Entries are read again after a page that shows later ones: they change nothing."""
         self.handle._replace_workers([KeyedRecord("i-1", entry(born=200), 7)])
         self.take(entry(born=100), 5)
         self.take(None, 6)
         self.take(entry(born=200), 7)
-        lives = [event.entry.life for event in filter_by_type(self.told, WorkerListed)]
-        self.assertEqual((lives, len(self.told)), ([SECOND, SECOND], 2))
+        lives = [event.entry.life for event in filter_by_type(self.events, WorkerListed)]
+        self.assertEqual((lives, len(self.events)), ([SECOND, SECOND], 2))
 
 
 class TestNextLife(unittest.TestCase):
@@ -135,7 +143,7 @@
         self.bench = Bench()
         self.bench.add_worker(FIRST)
 
-    def begin(self, life: str = SECOND, settled: bool = True) -> None:
+    def start_next_life(self, life: str = SECOND, settled: bool = True) -> None:
         self.bench._ends = itertools.count(1)
         self.bench.add_worker(life, is_settled=settled)
 
@@ -145,42 +153,42 @@
         (start,) = self.bench.new_starts()
         return start
 
-    def test_end_of_the_next_life_is_dropped(self) -> None:
+    def test_ends_of_the_next_life_count(self) -> None:
         """Ends of the next life count from 1, however many the life before had told."""
         for _ in range(3):
             order = self.start().order
             self.bench.report(FIRST, ended=[(order.task, order.run, DONE)])
-        self.begin()
+        self.start_next_life()
         start = self.start()
         self.assertEqual(start.life, SECOND)
-        self.assertEqual(self.bench.renewals[SECOND].seen_ends, 0)
+        self.assertEqual(self.bench.renewals[SECOND].last_recorded_end, 0)
         self.bench.report(SECOND, ended=[(start.order.task, start.order.run, DONE)])
         self.assertIs(self.bench.cell.jobs[self.job].status, JobStatus.COMPLETED)
 
-    def test_run_goes_with_its_life(self) -> None:
+    def test_run_restarts_in_the_next_life(self) -> None:
         """What ran in the life before starts again, as soon as the next one is listed."""
         start = self.start()
         self.bench.confirm(start)
-        self.begin()
+        self.start_next_life()
         self.bench.tick(0.2)
         (again,) = self.bench.new_starts()
         self.assertEqual((again.life, again.order.run), (SECOND, 2))
         self.assertNotIn(FIRST, self.bench.cell.workers)
 
-    def test_late_answer_of_the_life_before(self) -> None:
+    def test_late_answer_of_the_previous_life(self) -> None:
         """It changes nothing of the next one."""
         order = self.start().order
         late = self.bench.await_renewal(FIRST)
-        self.begin()
-        before = self.bench.cell.workers[SECOND].known_ends
+        self.start_next_life()
+        before = self.bench.cell.workers[SECOND].last_processed_end
         report = WorkerReport(self.bench.now * 1000, [], [])
         self.bench.feed(RenewAnswered(FIRST, late, report))
         self.bench.feed(StopAnswered(FIRST, order.task, order.run, True))
-        self.assertEqual(self.bench.cell.workers[SECOND].known_ends, before)
+        self.assertEqual(self.bench.cell.workers[SECOND].last_processed_end, before)
 
     def test_time_of_day_set_back_between_two_lives(self) -> None:
         """Whichever life was listed last counts."""
-        self.begin(BEFORE_FIRST)
+        self.start_next_life(BEFORE_FIRST)
         self.assertEqual(list(self.bench.cell.workers), [BEFORE_FIRST])
 
     def test_ended_life_is_listed_again(self) -> None:
@@ -188,20 +196,20 @@
         self.bench.feed(RenewAnswered(FIRST, self.bench.await_renewal(FIRST), Refusal.NEXT_LIFE))
         self.bench.add_worker(FIRST, is_settled=False)
         self.assertEqual(list(self.bench.cell.workers), [])
-        self.begin()
+        self.start_next_life()
         self.assertEqual(list(self.bench.cell.workers), [SECOND])
         self.assertEqual(self.bench.cell.ended_lives, set())
 
     def test_names_are_forgotten(self) -> None:
         """Nothing is kept of a worker that is gone, whichever life it had."""
-        self.begin()
+        self.start_next_life()
         self.bench.feed(WorkerDelisted(SECOND, False))
         self.bench.tick(16.0)
         cell = self.bench.cell
         self.assertEqual((cell.workers, cell.newest_lives, cell.ended_lives), ({}, {}, set()))
 
 
-class TestStartInDoubt(unittest.TestCase):
+class TestUnansweredStart(unittest.TestCase):
     """A start without an answer, and a worker that begins its next life."""
 
     def setUp(self) -> None:
@@ -215,7 +223,7 @@
         self.assertEqual(self.bench.new_starts(), [])
         self.bench.add_worker(SECOND, is_settled=False)
 
-    def test_next_life_has_carried_it_out(self) -> None:
+    def test_next_life_runs_it(self) -> None:
         """The run goes on there, and no other begins."""
         order = self.first.order
         self.bench.report(SECOND, running=[(order.task, order.run, 10)])
@@ -238,7 +246,7 @@
         (again,) = self.bench.new_starts()
         self.assertEqual(again.order.run, 2)
 
-    def test_start_in_doubt_is_charged_twice(self) -> None:
+    def test_unanswered_start_is_charged_once(self) -> None:
         """A loss is told and counted when its life ends, and not again with the next life."""
         charged = [
             e
--- a/tests/test_jobs_placement.py
+++ b/tests/test_jobs_placement.py
@@ -16,7 +16,7 @@
     Ticked,
 )
 from snowdock.jobs.model import AdviceTerms, Configuration, Queue, Service
-from snowdock.jobs.orders import AdviceGiven
+from snowdock.jobs.orders import AdviceResult
 from snowdock.jobs.reducer import reduce
 from tests.jobs_tools import SMALL, Bench, filter_by_type, make_accepted_job
 
@@ -144,7 +144,7 @@
         bench.is_store_paused = True
         bench.now += 0.01
         tickets = {f"w{number}": "t" for number in range(count)}
-        bench.feed(AdviceAnswered(AdviceGiven(asked.request, tickets)))
+        bench.feed(AdviceAnswered(AdviceResult(asked.request, tickets)))
         (batch,) = filter_by_type(bench.effects, Persist)
         bench.now += 2.5
         bench.feed(Persisted(batch.number))
--- a/tests/test_jobs_preemption.py
+++ b/tests/test_jobs_preemption.py
@@ -64,7 +64,7 @@
         self.assertEqual(len(gang), 3)
         # What has yielded waits for room to come and may have reserved it; the gang keeps none.
         kept = [self.bench.cell.claims]
-        kept += [worker.claims for worker in self.bench.cell.workers.values()]
+        kept += [worker.room_holds for worker in self.bench.cell.workers.values()]
         gangs = {start.order.task.job for start in gang}
         self.assertEqual([key for keys in kept for key in keys if key[0] in gangs], [])
 
@@ -107,7 +107,7 @@
     def test_fewest_runs_are_stopped(self) -> None:
         """Of workers with room to make, those are taken where the fewest runs have to yield."""
         half = msgspec.structs.replace(PREEMPTIBLE, size=Size(500, 100))
-        self.bench.cell.workers["w2"].aside_until = self.bench.now + 0.005
+        self.bench.cell.workers["w2"].quarantined_until = self.bench.now + 0.005
         self.fill_workers(half, count=4)
         self.bench.now += 0.01
         self.fill_workers(PREEMPTIBLE, count=2)
@@ -118,8 +118,8 @@
         """Room on a worker that is being proved is not counted as free, nor made there."""
         self.fill_workers(count=1)
         (busy,) = [w for w in self.bench.cell.workers.values() if w.runs]
-        busy.trial = next(iter(busy.runs))
-        busy.trial_until = self.bench.now + 60
+        busy.probation_run = next(iter(busy.runs))
+        busy.probation_until = self.bench.now + 60
         self.assertEqual(self.submit_gang(count=3), [])
         self.assertEqual(self.bench.cell.claims, {})
 
--- a/tests/test_jobs_reducer.py
+++ b/tests/test_jobs_reducer.py
@@ -27,7 +27,7 @@
 )
 from snowdock.jobs.job_state import Advice, Phase
 from snowdock.jobs.model import AdviceTerms, JobStatus, TaskId
-from snowdock.jobs.orders import AdviceGiven, EndKind, Refusal, StartResult
+from snowdock.jobs.orders import AdviceResult, EndKind, Refusal, StartResult
 from snowdock.jobs.progress import JobProgress, TaskProgress, decode_progress
 from snowdock.jobs.takeover import RecordedJobs
 from tests.jobs_tools import DONE, FAILED, SMALL, Bench, filter_by_type, make_accepted_job
@@ -71,14 +71,16 @@
         bench.is_store_paused = True
         effects = bench.report("w", ended=[(start.order.task, 1, DONE)])
         self.assertEqual(filter_by_type(effects, PublishStatus), [])
-        self.assertTrue(all(e.order.seen_ends == 0 for e in filter_by_type(effects, SendRenewal)))
+        self.assertTrue(
+            all(e.order.last_recorded_end == 0 for e in filter_by_type(effects, SendRenewal))
+        )
         (batch,) = filter_by_type(effects, Persist)
         effects = bench.feed(Persisted(batch.number))
         self.assertEqual(
             [(e.job, e.status) for e in filter_by_type(effects, PublishStatus)],
             [(job, JobStatus.COMPLETED)],
         )
-        self.assertEqual(filter_by_type(effects, SendRenewal)[-1].order.seen_ends, 1)
+        self.assertEqual(filter_by_type(effects, SendRenewal)[-1].order.last_recorded_end, 1)
 
 
 class TestSilentWorker(unittest.TestCase):
@@ -241,7 +243,7 @@
             ended=[
                 (tasks[0], 1, FAILED),
                 (tasks[1], 1, FAILED),
-                (tasks[2], 1, EndKind.BROKEN),
+                (tasks[2], 1, EndKind.GANG_BROKEN),
             ],
         )
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
@@ -270,7 +272,7 @@
         bench.add_worker()
         bench.submit(make_gang(3))
         first, *others = bench.starts()
-        result = StartResult(Refusal.UNWELL)
+        result = StartResult(Refusal.UNHEALTHY)
         found = bench.feed(StartAnswered("w", first.order.task, 1, result))
         stopped = {effect.order.task for effect in filter_by_type(found, SendStop)}
         self.assertEqual(stopped, {start.order.task for start in others})
@@ -369,7 +371,7 @@
 
     def answer(self, asked: AskAdvice, *fit: str) -> list:
         tickets = {life: f"ticket-{life}" for life in fit}
-        return self.bench.feed(AdviceAnswered(AdviceGiven(asked.request, tickets)))
+        return self.bench.feed(AdviceAnswered(AdviceResult(asked.request, tickets)))
 
     def test_start_carries_the_ticket(self) -> None:
         """Only advised workers are used, with the ticket for the worker's life."""
@@ -430,7 +432,7 @@
         (asked,) = filter_by_type(bench.effects, AskAdvice)
         self.assertEqual(len(asked.request.workers), 4)
         bench.cell.workers["x3"].used = Size(1000, 0)
-        bench.feed(AdviceAnswered(AdviceGiven(asked.request, {f"x{n}": "t" for n in range(4)})))
+        bench.feed(AdviceAnswered(AdviceResult(asked.request, {f"x{n}": "t" for n in range(4)})))
         step = bench.cell.jobs[asked.request.job].repetitions[0][0]
         step.advice.tickets["x0"] = ("t", 0.0)
         bench.cell.workers["x3"].used = Size(0, 0)
--- a/tests/test_jobs_reservations.py
+++ b/tests/test_jobs_reservations.py
@@ -8,7 +8,7 @@
 from snowdock.declarations import Size
 from snowdock.jobs.events import AdviceAnswered, AskAdvice, SendStart, SendStop
 from snowdock.jobs.model import AdviceTerms
-from snowdock.jobs.orders import AdviceGiven
+from snowdock.jobs.orders import AdviceResult
 from tests.jobs_tools import DONE, SMALL, Bench, filter_by_type
 
 BULKY = msgspec.structs.replace(SMALL, size=Size(4000, 100), estimate_ms=2000)
@@ -66,10 +66,10 @@
     def test_reservation_ends_with_its_job(self) -> None:
         """Room that nobody waits for any more is given back."""
         self.submit(BULKY)
-        self.assertTrue(self.bench.cell.workers["w"].claims)
+        self.assertTrue(self.bench.cell.workers["w"].room_holds)
         self.end_running()
         self.assertEqual(self.bench.cell.claims, {})
-        self.assertEqual(self.bench.cell.workers["w"].claims, {})
+        self.assertEqual(self.bench.cell.workers["w"].room_holds, {})
 
     def test_overdue_run_blocks_others_briefly(self) -> None:
         """Where a run does not end as expected, small work is let in after as long again."""
@@ -126,7 +126,7 @@
     def answer(self, asked: AskAdvice, *fit: str) -> None:
         self.bench.now += 0.01
         tickets = {life: "t" for life in fit}
-        self.bench.feed(AdviceAnswered(AdviceGiven(asked.request, tickets)))
+        self.bench.feed(AdviceAnswered(AdviceResult(asked.request, tickets)))
 
     def asked(self) -> list[AskAdvice]:
         return filter_by_type(self.bench.effects, AskAdvice)
@@ -195,7 +195,7 @@
             self.asked = [(at, each) for at, each in self.asked if at > self.bench.now]
             for asked in due:
                 tickets = {life: "t" for life in self.fit[asked.request.job]}
-                given = AdviceGiven(asked.request, tickets)
+                given = AdviceResult(asked.request, tickets)
                 self.process_effects(self.bench.feed(AdviceAnswered(given)))
 
     def submit(self, spec, *fit: str) -> str:
--- a/tests/test_jobs_returning.py
+++ b/tests/test_jobs_returning.py
@@ -12,15 +12,15 @@
 SECONDS = 20
 SETTLE_SECONDS = 60
 SEEDS = range(3)
-SHARE = 0.35
+RESTARTING_SHARE = 0.35
 AWAY_SECONDS = (0.3, 1.5, 3.0, 6.0)
 
 
-def play(
+def run_with_restarts(
     seed: int, changes_leader: bool = False, forgets_anew: bool = True
 ) -> tuple[Emulator, list[DrawnJob]]:
     """Play a day on which a third of the workers restarts under their ids, over and over."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     workload = WorkloadOptions(SECONDS, 0.4, tuple(default_mixes(seed % 2 == 0)))
     jobs = draw_workload(seed, workload)
     terms = WorkerTerms(forgets_anew=forgets_anew)
@@ -28,44 +28,44 @@
     emulator.checks.is_calm = False
     at = 0.0
     while at < SECONDS:
-        at += source.uniform(1.5, 6)
+        at += rng.uniform(1.5, 6)
         emulator.run_until(at)
         up = [life for life, model in emulator.workers.items() if model.is_up]
-        away = source.choice(AWAY_SECONDS)
-        for life in source.sample(up, round(SHARE * len(up))):
-            emulator.fleet.restart(life, away * source.uniform(0.9, 1.2))
-        if changes_leader and source.random() < 0.5:
-            emulator.kill_leader(source.uniform(0.2, 2.0))
+        away = rng.choice(AWAY_SECONDS)
+        for life in rng.sample(up, round(RESTARTING_SHARE * len(up))):
+            emulator.fleet.restart(life, away * rng.uniform(0.9, 1.2))
+        if changes_leader and rng.random() < 0.5:
+            emulator.kill_leader(rng.uniform(0.2, 2.0))
     emulator.run_until(SECONDS + SETTLE_SECONDS)
     return emulator, jobs
 
 
 class TestReturningWorkers(unittest.TestCase):
-    def test_task_runs_again_after_its_worker_returned(self) -> None:
+    def test_task_runs_once_after_its_worker_returned(self) -> None:
         """Ends of a worker's next life count, though their numbers begin again."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                emulator, _ = play(seed, forgets_anew=True)
+                emulator, _ = run_with_restarts(seed, forgets_anew=True)
                 self.assertEqual(emulator.checks.violations[:3], [])
 
-    def test_job_never_ends_after_its_worker_returned(self) -> None:
+    def test_job_ends_after_its_worker_returned(self) -> None:
         """A run whose end a worker's next life lists does not count as there for ever."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                emulator, jobs = play(seed, forgets_anew=False)
+                emulator, jobs = run_with_restarts(seed, forgets_anew=False)
                 self.assertEqual(find_unended_jobs(emulator, jobs)[:5], [])
 
     def test_leaders_change_as_workers_return(self) -> None:
         """Nothing runs twice, and every job ends, whichever leader knew the life before."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                emulator, jobs = play(seed, changes_leader=True)
+                emulator, jobs = run_with_restarts(seed, changes_leader=True)
                 self.assertEqual(emulator.checks.violations[:3], [])
                 self.assertEqual(find_unended_jobs(emulator, jobs)[:5], [])
 
 
-class TestWholePath(unittest.TestCase):
-    def test_task_runs_again_with_real_daemons(self) -> None:
+class TestEndToEnd(unittest.TestCase):
+    def test_task_runs_once_with_real_daemons(self) -> None:
         """Each task starts once after its worker returned under its id, and its job ends."""
         cluster = EntryCluster(1, workers=1)
         self.addCleanup(cluster.close)
--- a/tests/test_jobs_starving.py
+++ b/tests/test_jobs_starving.py
@@ -5,70 +5,70 @@
 from snowdock.jobs.events import LogDecision
 from snowdock.jobs.model import JobStatus
 from snowdock.jobs.orders import EndKind
-from snowdock.jobs.set_aside import set_aside
-from snowdock.jobs.workers import AsideCause
+from snowdock.jobs.quarantine import quarantine
+from snowdock.jobs.workers import QuarantineCause
 from tests.jobs_tools import Bench, filter_by_type
 
 
-def told(effects, decision: str) -> list[dict]:
+def logged(effects, decision: str) -> list[dict]:
     found = filter_by_type(effects, LogDecision)
     return [dict(each.fields) for each in found if each.decision == decision]
 
 
-class TestSight(unittest.TestCase):
+class TestStarvationLog(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench(attempts=4)
         self.bench.add_worker("w")
 
-    def test_worker_set_aside_and_back(self) -> None:
+    def test_quarantine_and_release_are_logged(self) -> None:
         """Both are told, with the cause and how many of the service are set aside for it."""
         worker = self.bench.cell.workers["w"]
-        set_aside(self.bench.cell, worker, AsideCause.REFUSED, 1.0, self.bench.now)
+        quarantine(self.bench.cell, worker, QuarantineCause.REFUSED, 1.0, self.bench.now)
         self.bench.tick(0.1)
-        (aside,) = told(self.bench.all_effects, "worker_set_aside")
+        (aside,) = logged(self.bench.all_effects, "worker_set_aside")
         self.assertEqual((aside["cause"], aside["aside"], aside["workers"]), ("refused", 1, 1))
-        self.assertEqual(told(self.bench.all_effects, "worker_back"), [])
-        (back,) = told(self.bench.tick(1.5), "worker_back")
+        self.assertEqual(logged(self.bench.all_effects, "worker_back"), [])
+        (back,) = logged(self.bench.tick(1.5), "worker_back")
         self.assertEqual((back["cause"], back["aside"]), ("refused", 0))
 
-    def test_job_that_starves(self) -> None:
+    def test_starving_job_is_logged(self) -> None:
         """It is told of with what closes the workers, and not before a second has gone by."""
-        self.bench.cell.workers["w"].aside_until = self.bench.now + 60
+        self.bench.cell.workers["w"].quarantined_until = self.bench.now + 60
         job = self.bench.submit()
-        self.assertEqual(told(self.bench.tick(0.9), "job_starves"), [])
-        first = told(self.bench.tick(2.0), "job_starves")[0]
+        self.assertEqual(logged(self.bench.tick(0.9), "job_starves"), [])
+        first = logged(self.bench.tick(2.0), "job_starves")[0]
         self.assertEqual((first["open"], first["aside"], first["idle_steps"]), (0, 1, 1))
         self.assertEqual(self.bench.cell.jobs[job].status.name, "PENDING")
 
-    def test_job_that_waits_for_room_does_not_starve(self) -> None:
+    def test_job_waiting_for_room_is_not_logged(self) -> None:
         """A service that is mostly in use, and one without the room, are no news."""
         self.bench.add_worker("busy", cpu=1000)
         for life in ("w", "busy"):
-            self.bench.cell.workers[life].aside_until = self.bench.now + 60
+            self.bench.cell.workers[life].quarantined_until = self.bench.now + 60
         self.bench.cell.workers["w"].used = self.bench.cell.workers["w"].entry.capacity
         self.bench.submit()
-        self.assertEqual(told(self.bench.tick(3.0), "job_starves"), [])
+        self.assertEqual(logged(self.bench.tick(3.0), "job_starves"), [])
 
-    def test_run_that_takes_too_long(self) -> None:
+    def test_overdue_run_is_logged(self) -> None:
         """It is told with its phase, its age and when its worker was heard; others are not."""
         self.bench.submit()
         (start,) = self.bench.new_starts()
         self.bench.confirm(start)
-        self.assertEqual(told(self.bench.tick(9.0), "run_overdue"), [])
-        found = told(self.bench.tick(6.0), "run_overdue")[0]
+        self.assertEqual(logged(self.bench.tick(9.0), "run_overdue"), [])
+        found = logged(self.bench.tick(6.0), "run_overdue")[0]
         self.assertEqual((found["phase"], found["worker"], found["overdue"]), ("running", "w", 1))
         self.assertGreater(found["since_s"], 10.0)
         self.assertGreater(found["heard_s"], 9.0)
 
-    def test_run_counts_as_there_though_its_worker_lists_its_end(self) -> None:
+    def test_passed_over_end_is_logged_and_applied(self) -> None:
         """Its end is told as passed over, and taken over, though its number is known."""
         job = self.bench.submit()
         (start,) = self.bench.new_starts()
         self.bench.confirm(start)
-        self.bench.cell.workers["w"].known_ends = 7
+        self.bench.cell.workers["w"].last_processed_end = 7
         order = start.order
         self.bench.report("w", ended=[(order.task, order.run, EndKind.DONE)])
-        (found,) = told(self.bench.effects, "end_passed_over")
+        (found,) = logged(self.bench.effects, "end_passed_over")
         self.assertEqual((found["run"], found["number"], found["known_ends"]), (1, 1, 7))
         self.assertIs(self.bench.cell.jobs[job].status, JobStatus.COMPLETED)
 
--- a/tests/test_jobs_suspects.py
+++ b/tests/test_jobs_suspects.py
@@ -17,7 +17,7 @@
 PAIR = msgspec.structs.replace(SMALL, count=2)
 
 
-class Suspects(unittest.TestCase):
+class SuspectsTestCase(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench()
         self._lives = 0
@@ -34,8 +34,8 @@
             self.bench.end_life(life)
 
 
-class TestCompany(Suspects):
-    def lose_twice_beside(self, cpu: int) -> str:
+class TestIsolation(SuspectsTestCase):
+    def crash_two_workers_beside(self, cpu: int) -> str:
         """Have two workers go under a task while another task runs on a third, which is given."""
         self.add_workers(1)
         self.bench.submit(SMALL)
@@ -49,7 +49,7 @@
         self.crash_all(suspect)
         return busy
 
-    def test_suspects_go_to_workers_of_their_own(self) -> None:
+    def test_suspects_are_placed_apart(self) -> None:
         """Two tasks that went with one worker are not placed together again."""
         self.add_workers(1)
         self.bench.submit(PAIR)
@@ -61,9 +61,9 @@
         again = self.bench.new_starts()
         self.assertEqual(len({start.life for start in again}), 2)
 
-    def test_after_a_second_loss_nobody_is_beside_it(self) -> None:
+    def test_exclusive_worker_after_a_second_loss(self) -> None:
         """A task under which two workers went gets an empty worker, which takes nothing else."""
-        self.lose_twice_beside(cpu=9000)
+        self.crash_two_workers_beside(cpu=9000)
         self.assertEqual(self.bench.new_starts(), [])
         (empty,) = self.add_workers(1)
         self.bench.tick(0.2)
@@ -100,7 +100,7 @@
         self.crash_all(starts)
         return jobs
 
-    def test_suspect_that_was_taken_over(self) -> None:
+    def test_suspect_recovered_by_a_new_leader(self) -> None:
         """A new leader keeps other suspects away from the worker where it finds one running."""
         job, other = self.make_suspects(2)
         (one,) = self.add_workers(1)
@@ -120,7 +120,7 @@
         self.bench.tick(0.2)
         self.assertEqual([start.life for start in self.bench.new_starts()], [two])
 
-    def test_tasks_with_unlike_pasts(self) -> None:
+    def test_tasks_with_different_losses(self) -> None:
         """The rest of a step is placed with the next news, not with the next tick."""
         job = self.bench.submit(PAIR)
         ((step,),) = self.bench.cell.jobs[job].repetitions
@@ -149,15 +149,15 @@
         self.bench.tick(0.2)
         self.assertEqual([start.life for start in self.bench.new_starts()], ["else"])
 
-    def test_it_does_not_wait_for_ever(self) -> None:
+    def test_isolation_wait_is_bounded(self) -> None:
         """Where no worker is empty a suspect shares one before two seconds have gone by."""
-        busy = self.lose_twice_beside(cpu=4000)
+        busy = self.crash_two_workers_beside(cpu=4000)
         self.bench.tick(0.5)
         self.assertEqual(self.bench.new_starts(), [])
         self.bench.tick(1.5)
         self.assertEqual([start.life for start in self.bench.new_starts()], [busy])
 
-    def test_something_of_a_waiting_step_is_always_next(self) -> None:
+    def test_waiting_step_always_has_next_tasks(self) -> None:
         """Whatever its tasks' pasts are, and since when each waits, no step is left behind."""
         pasts = list(itertools.product((0, 1, 2, 4), (0.0, 0.5, 1.0, 3.0)))
         job = self.bench.submit(PAIR)
@@ -171,7 +171,7 @@
             self.assertTrue(tasks, chosen)
 
 
-class TestCommonCauses(Suspects):
+class TestCommonCauses(SuspectsTestCase):
     def charges(self, count: int) -> list[tuple[int, int]]:
         """Give crashes and losses of tasks whose workers, one each, fall silent at once."""
         lives = self.add_workers(count, cpu=1000)
@@ -185,15 +185,15 @@
         tasks = self.bench.cell.jobs[job].all_tasks()
         return [(len(task.crashed_runs), len(task.lost_runs)) for task in tasks]
 
-    def test_many_at_the_same_moment_are_no_crashes(self) -> None:
+    def test_simultaneous_failures_are_no_crashes(self) -> None:
         """Where three workers fall silent at once, what ran there is charged with losses only."""
         self.assertEqual(self.charges(3), [(0, 1)] * 3)
 
-    def test_one_of_two_may_be_to_blame(self) -> None:
+    def test_two_simultaneous_failures_are_crashes(self) -> None:
         """Two workers may each have had a task of their own that ended them."""
         self.assertEqual(self.charges(2), [(1, 1)] * 2)
 
-    def test_many_whose_leases_were_over_first(self) -> None:
+    def test_simultaneous_failures_after_lease_expiry(self) -> None:
         """It stays losses only where other lives answer after the leases were over."""
         lives = self.add_workers(3, cpu=1000)
         job = self.bench.submit(msgspec.structs.replace(SMALL, count=3))
@@ -212,7 +212,7 @@
         self.assertEqual([len(task.crashed_runs) for task in tasks], [0] * 3)
 
 
-class TestGangs(Suspects):
+class TestGangs(SuspectsTestCase):
     def test_gang_does_not_wait_for_empty_workers(self) -> None:
         """A gang whose member lost two workers goes where no other suspect is, beside others."""
         self.add_workers(1)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -21,7 +21,7 @@
     cancel_key,
     decode_accepted,
     encode,
-    job_of_record,
+    parse_job_id,
     record_name,
 )
 from snowdock.jobs.takeover import RecordedJobs
@@ -177,7 +177,7 @@
     def test_names_of_records(self) -> None:
         self.assertEqual(record_name(JOB, ""), JOB)
         self.assertNotEqual(record_name(JOB, "a"), record_name(JOB, "b"))
-        self.assertEqual(job_of_record(record_name(JOB, "a")), JOB)
+        self.assertEqual(parse_job_id(record_name(JOB, "a")), JOB)
 
     def test_other_team_cannot_replace_or_cancel_a_job(self) -> None:
         """The same identifier from another team changes nothing, and leaves no record."""
--- a/tests/test_leader_settings.py
+++ b/tests/test_leader_settings.py
@@ -9,7 +9,7 @@
 from snowdock.jobs.model import JobStatus
 from snowdock.jobs.progress import JobProgress, TaskProgress
 from snowdock.jobs.takeover import RecordedJobs
-from snowdock.jobs.times import ISOLATED_SECONDS, LEASE_SECONDS
+from snowdock.jobs.timeouts import ISOLATION_TIMEOUT_SECONDS, LEASE_SECONDS
 from snowdock.platform.node_settings import read_node_environment
 from tests.jobs_tools import Bench, make_accepted_job
 from tests.standins.entry_cluster import SETTINGS
@@ -34,14 +34,18 @@
         """What workers would grant beyond it was never asked."""
         found = leader_settings(hold_max_ms=10_000)
         self.assertEqual(found.lease_s, LEASE_SECONDS)
-        self.assertGreater(found.unreached_run_expiry_s, ISOLATED_SECONDS + LEASE_SECONDS / 0.98)
-        self.assertLess(found.unreached_run_expiry_s, ISOLATED_SECONDS + LEASE_SECONDS + 1.0)
+        self.assertGreater(
+            found.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + LEASE_SECONDS / 0.98
+        )
+        self.assertLess(
+            found.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + LEASE_SECONDS + 1.0
+        )
 
     def test_shorter_worker_limit_shortens_lapse(self) -> None:
         """Workers that grant less than is asked for bound it as well."""
         found = leader_settings(hold_max_ms=2000)
         self.assertEqual(found.lease_s, 2.0)
-        self.assertLess(found.unreached_run_expiry_s, ISOLATED_SECONDS + 3.0)
+        self.assertLess(found.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + 3.0)
 
 
 class TestLapseAfterClaim(unittest.TestCase):
--- a/tests/test_room_use.py
+++ b/tests/test_room_use.py
@@ -9,7 +9,7 @@
 from snowdock.declarations import Size
 from snowdock.jobs.events import AdviceAnswered, AskAdvice, LogDecision
 from snowdock.jobs.model import AdviceTerms
-from snowdock.jobs.orders import AdviceGiven
+from snowdock.jobs.orders import AdviceResult
 from snowdock.logs import format_line
 from tests.jobs_tools import FAILED, SMALL, Bench, filter_by_type
 
@@ -17,7 +17,7 @@
 WHOLE = msgspec.structs.replace(SMALL, size=Size(4000, 3000), estimate_ms=60_000)
 
 
-def told(effects) -> list[dict]:
+def logged_fields(effects) -> list[dict]:
     """Give the fields of the lines about room among some effects."""
     lines = [each for each in filter_by_type(effects, LogDecision) if each.decision == "room_use"]
     return [dict(each.fields) for each in lines]
@@ -31,7 +31,7 @@
         bench.submit(HALF)
         bench.confirm(bench.starts()[0])
         bench.submit(WHOLE)
-        (fields,) = told(bench.tick(1.1))
+        (fields,) = logged_fields(bench.tick(1.1))
         self.assertEqual((fields["cpu"], round(fields["memory"], 2)), (0.5, 0.33))
         self.assertEqual((fields["waiting"], fields["room"]), (1, 1))
         self.assertEqual(fields["ticket"] + fields["both"] + fields["turn"], 0)
@@ -41,26 +41,26 @@
         bench = Bench()
         bench.add_worker()
         # Ticks come each 0.1 s, and rounding may put a line off to the next one.
-        self.assertIn(len(told(bench.tick(6.0))), (5, 6))
+        self.assertIn(len(logged_fields(bench.tick(6.0))), (5, 6))
 
     def test_lack_of_tickets(self) -> None:
         """With room and no ticket, with neither, and with a ticket and no room."""
         bench = Bench(advice=AdviceTerms(10.0, 0.1, 60_000))
         bench.add_worker("w", cpu=4000)
         bench.submit(WHOLE)
-        (fields,) = told(bench.tick(1.1))
+        (fields,) = logged_fields(bench.tick(1.1))
         self.assertEqual((fields["ticket"], fields["both"]), (1, 0))
         (asked,) = filter_by_type(bench.all_effects, AskAdvice)
-        bench.feed(AdviceAnswered(AdviceGiven(asked.request, {"w": "t"})))
+        bench.feed(AdviceAnswered(AdviceResult(asked.request, {"w": "t"})))
         bench.tick(0.1)
         bench.confirm(bench.starts(bench.all_effects)[0])
         bench.submit(WHOLE)
-        (fields,) = told(bench.tick(1.0))
+        (fields,) = logged_fields(bench.tick(1.0))
         self.assertEqual((fields["ticket"], fields["both"]), (0, 1))
         question = next(iter(bench.cell.advice_requests), None)
         if question is not None:
-            bench.feed(AdviceAnswered(AdviceGiven(question, {"w": "t"})))
-        (fields,) = told(bench.tick(1.0))
+            bench.feed(AdviceAnswered(AdviceResult(question, {"w": "t"})))
+        (fields,) = logged_fields(bench.tick(1.0))
         self.assertEqual((fields["room"], fields["both"]), (1, 0))
 
     def test_pause_after_a_failure(self) -> None:
@@ -72,7 +72,7 @@
         (start,) = bench.starts()
         bench.confirm(start)
         bench.report("w", ended=[(start.order.task, 1, FAILED)])
-        (fields,) = told(bench.tick(1.1))
+        (fields,) = logged_fields(bench.tick(1.1))
         self.assertEqual((fields["waiting"], fields["pause"]), (1, 1))
 
 
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -7,7 +7,7 @@
 from snowdock.entry.messages import ENTRY_MESSAGES, Heartbeat, StatusReply, StatusRequest
 from snowdock.errors import PlatformError
 from snowdock.jobs.model import JobStatus, TaskId
-from snowdock.jobs.orders import AdviceWanted, RenewOrder, StartOrder
+from snowdock.jobs.orders import AdviceRequest, RenewOrder, StartOrder
 from snowdock.node.peers import PeerOptions, Peers
 from snowdock.platform.advice import AdviceClient
 from snowdock.platform.call_loop import CallLoop
@@ -188,7 +188,9 @@
     def test_advice_request_reconnects(self) -> None:
         """A question is asked again."""
         client = AdviceClient(self.server.address)
-        self.check_reconnect(lambda seconds: client.ask(AdviceWanted(JOB, 0, 0, ("w-1",)), seconds))
+        self.check_reconnect(
+            lambda seconds: client.ask(AdviceRequest(JOB, 0, 0, ("w-1",)), seconds)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_link.py
+++ b/tests/test_worker_link.py
@@ -87,8 +87,8 @@
             (as_json({"reason": "room"}, 409), Refusal.NO_ROOM),
             (as_json({"reason": "ticket"}, 409), Refusal.TICKET),
             ((421, b""), Refusal.OTHER_LIFE),
-            ((503, b""), Refusal.UNWELL),
-            ((429, b""), Refusal.UNWELL),
+            ((503, b""), Refusal.UNHEALTHY),
+            ((429, b""), Refusal.UNHEALTHY),
             ((400, b""), Refusal.MALFORMED),
         ]
         for answer, refusal in cases:
@@ -120,7 +120,7 @@
         """Without a connection nothing was sent."""
         self.link = self.make_link("i-2", "127.0.0.1:1")
         self.order(START)
-        self.assertEqual(self.next_event().result.refusal, Refusal.UNREACHED)
+        self.assertEqual(self.next_event().result.refusal, Refusal.UNREACHABLE)
 
     def test_unreached_worker_with_many_orders(self) -> None:
         """Each of them is told, however many wait."""
@@ -129,7 +129,7 @@
             self.link.order(START)
         self.loop.flush()
         results = [self.next_event().result.refusal for _ in range(1000)]
-        self.assertEqual(set(results), {Refusal.UNREACHED})
+        self.assertEqual(set(results), {Refusal.UNREACHABLE})
 
     def test_start_reaches_the_next_life(self) -> None:
         """Nothing meant for a life is sent to the next one under its id, nor is anything after."""
@@ -187,7 +187,7 @@
         for answer in ((200, b"{}"), (200, b"no"), (500, b"")):
             self.greeting_answer = answer
             self.order(START)
-            self.assertIs(self.next_event().result.refusal, Refusal.UNREACHED, answer)
+            self.assertIs(self.next_event().result.refusal, Refusal.UNREACHABLE, answer)
         self.greeting_answer = as_json({"reason": "fence"}, 409)
         self.order(START)
         self.assertIs(self.next_event().result.refusal, Refusal.FENCED)
@@ -208,7 +208,7 @@
         self.addCleanup(released.set)
         self.delay_greeting = lambda: released.wait(10)
         self.order(START)
-        self.assertIs(self.next_event().result.refusal, Refusal.UNREACHED)
+        self.assertIs(self.next_event().result.refusal, Refusal.UNREACHABLE)
         self.assertEqual(self.calls, [])
 
     def test_orders_are_sent_in_sequence(self) -> None:
