--- a/src/snowdock/decisions/orders.py
+++ b/src/snowdock/decisions/orders.py
@@ -5,7 +5,7 @@
 
 from ..leases import ORDER_VALID_MS
 from ..platform.workers import AttemptReport, StartOrder, StopOrder, SyncOrder
-from ..state import State, TaskState, VmState, Work, find_named_attempt, parse_attempt_id
+from ..state import State, TaskState, VmState, Work, find_attempt_by_id, parse_attempt_id
 
 __all__ = ["WorkerOrder", "build_order"]
 
@@ -54,7 +54,7 @@
         if task.stopping:
             stop.append(StopOrder(attempt, "stop" if work.cancelled else "checkpoint"))
         elif task.state == TaskState.PLACED:
-            start.append(_start_order(attempt, work, not_after_ms))
+            start.append(_build_start_order(attempt, work, not_after_ms))
         else:
             renew.append(attempt)
     forget = []
@@ -66,7 +66,7 @@
         else:
             # The worker may run an attempt whose record this node has not read yet, so only
             # attempts known to be closed are stopped.
-            found = find_named_attempt(state, attempt)
+            found = find_attempt_by_id(state, attempt)
             if found is not None and found.is_closed:
                 stop.append(StopOrder(attempt, "stop"))
     lease_ms = state.configuration.declarations.limits.lease_ms
@@ -74,7 +74,7 @@
     return WorkerOrder(worker.address, order)
 
 
-def _start_order(attempt: str, work: Work, not_after_ms: int) -> StartOrder:
+def _build_start_order(attempt: str, work: Work, not_after_ms: int) -> StartOrder:
     spec = work.spec
     size = spec.size
     return StartOrder(attempt, size.cpu, size.memory, size.accelerators, spec.run_ms, not_after_ms)
--- a/src/snowdock/decisions/ownership.py
+++ b/src/snowdock/decisions/ownership.py
@@ -7,18 +7,18 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-__all__ = ["owner", "owner_order"]
+__all__ = ["find_owner", "rank_owners"]
 
 
-def owner_order(thing: str, nodes: Iterable[str]) -> list[str]:
+def rank_owners(key: str, nodes: Iterable[str]) -> list[str]:
     """Return the nodes in order of preference for a key."""
-    return sorted(nodes, key=lambda node: _weight(thing, node), reverse=True)
+    return sorted(nodes, key=lambda node: _weight(key, node), reverse=True)
 
 
-def owner(thing: str, nodes: Iterable[str]) -> str | None:
+def find_owner(key: str, nodes: Iterable[str]) -> str | None:
     """Return the node that should act on a key, or None if there are no nodes."""
-    return max(nodes, key=lambda node: _weight(thing, node), default=None)
+    return max(nodes, key=lambda node: _weight(key, node), default=None)
 
 
-def _weight(thing: str, node: str) -> bytes:
-    return blake2b(f"{node}\0{thing}".encode(), digest_size=8).digest()
+def _weight(key: str, node: str) -> bytes:
+    return blake2b(f"{node}\0{key}".encode(), digest_size=8).digest()
--- a/src/snowdock/effects.py
+++ b/src/snowdock/effects.py
@@ -10,14 +10,14 @@
     "Accepted",
     "AttemptAssigned",
     "AttemptClosed",
-    "BatchJudged",
+    "BatchApplied",
     "ConfigurationInForce",
     "Effect",
     "MembersChanged",
+    "Rejected",
     "SharesChanged",
-    "StopWanted",
+    "StopRequired",
     "Verdict",
-    "Void",
     "WorkFinished",
     "WorkQueued",
     "WorkerAdded",
@@ -36,17 +36,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Void:
+class Rejected:
     """A record was invalid at its offset and was not applied."""
 
     reason: str
 
 
-Verdict = Accepted | Void
+Verdict = Accepted | Rejected
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BatchJudged:
+class BatchApplied:
     """A batch was applied; ``verdicts`` has one verdict for each of its records."""
 
     node: str
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StopWanted:
+class StopRequired:
     """An attempt has to be stopped; ``how`` is ``checkpoint`` or ``stop``."""
 
     work: int
@@ -136,13 +136,13 @@
 
 
 Effect = (
-    BatchJudged
+    BatchApplied
     | ConfigurationInForce
     | WorkQueued
     | WorkFinished
     | AttemptAssigned
     | AttemptClosed
-    | StopWanted
+    | StopRequired
     | WorkerAdded
     | WorkerWithdrawn
     | MembersChanged
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -33,39 +33,39 @@
 )
 
 
-def batch(records: list) -> Batch:
+def make_batch(records: list) -> Batch:
     return Batch("n", "i", 1, 2, 3, records)
 
 
 class TestBatchCodec(unittest.TestCase):
     @given(st.lists(RECORDS, max_size=12))
-    def test_what_is_encoded_is_decoded(self, records: list) -> None:
+    def test_round_trip(self, records: list) -> None:
         """Decoding returns the encoded records for any mixture of types, in order."""
-        self.assertEqual(decode_batch(encode_batch(batch(records))), batch(records))
+        self.assertEqual(decode_batch(encode_batch(make_batch(records))), make_batch(records))
 
-    def test_a_configuration_is_decoded(self) -> None:
+    def test_configuration_round_trip(self) -> None:
         """A record with nested structs survives encoding and decoding."""
         declarations = Declarations(teams={"t": Team(cpu=1, memory_gb=2)}, programs={"a": "b\n"})
-        made = batch([ConfigurationProposed(3, declarations, "me")])
+        made = make_batch([ConfigurationProposed(3, declarations, "me")])
         self.assertEqual(decode_batch(encode_batch(made)), made)
 
     @given(st.binary(max_size=200), st.integers(0, 60))
-    def test_garbage_is_refused_by_type(self, noise: bytes, at: int) -> None:
+    def test_damaged_batch_raises_invalid_input(self, noise: bytes, at: int) -> None:
         """Random bytes and damaged batches either decode or raise `InvalidInput`."""
-        good = encode_batch(batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
+        good = encode_batch(make_batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
         for data in (noise, good[:at], good[:at] + noise + good[at:]):
             try:
                 decode_batch(data)
             except InvalidInput:
                 continue
 
-    def test_a_bomb_is_refused(self) -> None:
+    def test_oversized_batch_is_rejected(self) -> None:
         """A batch that would decompress beyond the size limit is rejected."""
         part = SnapshotPart(0, 0, 1, bytes(20 * 1024 * 1024))
         with self.assertRaises(InvalidInput):
-            decode_batch(encode_batch(batch([part])))
+            decode_batch(encode_batch(make_batch([part])))
 
-    def test_snapshot_bytes_survive(self) -> None:
+    def test_snapshot_data_round_trip(self) -> None:
         """The binary data of a snapshot part is unchanged by encoding and decoding."""
         part = SnapshotPart(5, 0, 1, os.urandom(1000))
-        self.assertEqual(decode_batch(encode_batch(batch([part]))).records, [part])
+        self.assertEqual(decode_batch(encode_batch(make_batch([part]))).records, [part])
