--- a/src/snowdock/decisions/capacity_index.py
+++ b/src/snowdock/decisions/capacity_index.py
@@ -105,13 +105,13 @@
         first = bucket.bisect_key_left((size.cpu, ""))
         count = len(bucket) - first
         tight = range(first, min(first + _MAX_CANDIDATES // 2, len(bucket)))
-        others = range(tight.stop, len(bucket))
-        picked = self._random.sample(others, min(_MAX_CANDIDATES // 2, len(others)))
-        seen = set(picked)
-        yield from self._filter_fitting(bucket, itertools.chain(tight, picked), size)
+        remaining = range(tight.stop, len(bucket))
+        sampled = self._random.sample(remaining, min(_MAX_CANDIDATES // 2, len(remaining)))
+        seen = set(sampled)
+        yield from self._filter_fitting(bucket, itertools.chain(tight, sampled), size)
         # The order ignores memory, so the sample may miss workers that still fit.
         if count > _MAX_CANDIDATES:
-            rest = (n for n in others if n not in seen)
+            rest = (n for n in remaining if n not in seen)
             yield from self._filter_fitting(bucket, rest, size)
 
     def _filter_fitting(self, bucket: SortedKeyList, positions, size: Size) -> Iterator[str]:
--- a/src/snowdock/decisions/minion_choice.py
+++ b/src/snowdock/decisions/minion_choice.py
@@ -89,5 +89,5 @@
         return
     health.failures += 1
     excess = max(0, health.failures - _EXCLUSION_FAILURES)
-    pause = min(_INITIAL_EXCLUSION_SECONDS * 2**excess, _MAX_EXCLUSION_SECONDS)
-    health.excluded_until = now + pause * random.uniform(0.5, 1.0)
+    exclusion = min(_INITIAL_EXCLUSION_SECONDS * 2**excess, _MAX_EXCLUSION_SECONDS)
+    health.excluded_until = now + exclusion * random.uniform(0.5, 1.0)
--- a/src/snowdock/reducer/_workers.py
+++ b/src/snowdock/reducer/_workers.py
@@ -41,11 +41,11 @@
     worker.state = VmState.LEAVING
     context.effects.append(WorkerWithdrawn(worker.name, gone=False))
     for name in worker.attempts:
-        _move_away(context, name)
+        _stop_attempt(context, name)
     return Accepted()
 
 
-def _move_away(context: Context, name: str) -> None:
+def _stop_attempt(context: Context, name: str) -> None:
     number, task, attempt = parse_attempt_id(name)
     work = context.state.works[number]
     # Non-preemptible work runs until the VM ends.
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -40,11 +40,11 @@
 
 class TestPlace(unittest.TestCase):
     def setUp(self) -> None:
-        self.alarms: list = []
-        self.policies = PolicySet(self.alarms.append)
+        self.failures: list = []
+        self.policies = PolicySet(self.failures.append)
 
-    def place(self, state, index, made):
-        return place_tasks(made, state, index, self.policies, ZERO)
+    def place(self, state, index, work):
+        return place_tasks(work, state, index, self.policies, ZERO)
 
     @settings(max_examples=100, deadline=None)
     @given(
@@ -56,7 +56,9 @@
         st.builds(Size, st.integers(1, 4), st.integers(1, 4), st.integers(0, 1)),
         st.integers(1, 6),
     )
-    def test_finds_room_if_there_is_any(self, sizes: list, size: Size, tasks: int) -> None:
+    def test_places_tasks_if_any_worker_has_capacity(
+        self, sizes: list, size: Size, tasks: int
+    ) -> None:
         """Tasks are placed if and only if a worker has capacity, and never beyond it."""
         state, index = make_cluster([Size(s.cpu, s.memory, s.accelerators) for s in sizes])
         result = self.place(state, index, make_work("batch", tasks, size))
@@ -92,12 +94,12 @@
     def test_unplaced_work_has_a_reason(self) -> None:
         """The reason names the team's quota or a size that exceeds every worker."""
         state, index = make_cluster([Size(4000, 4)], quota=0.001)
-        made = make_work("batch", 1, Size(2, 1))
-        self.assertEqual(self.place(state, index, made), Unplaced("team t is at its quota"))
+        work = make_work("batch", 1, Size(2, 1))
+        self.assertEqual(self.place(state, index, work), Unplaced("team t is at its quota"))
         state, index = make_cluster([Size(4, 4)])
-        made = make_work("batch", 1, Size(5, 1))
+        work = make_work("batch", 1, Size(5, 1))
         self.assertEqual(
-            self.place(state, index, made), Unplaced("no worker could ever hold one task")
+            self.place(state, index, work), Unplaced("no worker could ever hold one task")
         )
 
     def test_failing_worker_gets_one_task_at_a_time(self) -> None:
@@ -143,7 +145,7 @@
 
 class TestPreemption(unittest.TestCase):
     def setUp(self) -> None:
-        self.alarms: list = []
+        self.failures: list = []
         self.state, _ = make_cluster([Size(4, 4)] * 2)
         self.urgent = make_work("batch", 1, Size(3, 3))
         self.urgent.spec = msgspec.structs.replace(self.urgent.spec, priority=90)
@@ -157,7 +159,7 @@
         found.used = found.used.plus(size)
 
     def choose_preemptions(self) -> list:
-        policies = PolicySet(self.alarms.append)
+        policies = PolicySet(self.failures.append)
         return choose_preemptions(self.urgent, self.state, policies, random.Random(1))
 
     def test_fewest_lowest_priority_attempts_are_preempted(self) -> None:
@@ -186,13 +188,13 @@
 
 class TestOwnership(unittest.TestCase):
     @given(st.text(max_size=20), st.permutations(NODES))
-    def test_owner_is_consistent_and_stable(self, thing: str, nodes: list) -> None:
+    def test_owner_is_consistent_and_stable(self, key: str, nodes: list) -> None:
         """The order of nodes does not matter, and only keys of a removed node change owner."""
-        first = find_owner(thing, nodes)
-        self.assertEqual(first, find_owner(thing, NODES))
+        first = find_owner(key, nodes)
+        self.assertEqual(first, find_owner(key, NODES))
         left = [node for node in NODES if node != "a"]
         if first != "a":
-            self.assertEqual(find_owner(thing, left), first)
+            self.assertEqual(find_owner(key, left), first)
 
     @given(st.text(max_size=20), st.integers(0, 64), st.integers(1, 4))
     def test_targets_add_up(self, minion: str, slots: int, count: int) -> None:
@@ -241,6 +243,6 @@
         self.assertTrue(budget.try_spend())
 
     @given(st.integers(1, 50), st.floats(0, 1))
-    def test_backoff_is_bounded(self, tries: int, fraction: float) -> None:
+    def test_backoff_is_bounded(self, tries: int, jitter: float) -> None:
         """The delay is never negative or above its maximum."""
-        self.assertTrue(0 <= backoff_seconds(tries, fraction) <= 1)
+        self.assertTrue(0 <= backoff_seconds(tries, jitter) <= 1)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -63,16 +63,18 @@
 
     def test_starts_and_ends_are_recorded_once(self) -> None:
         """Records are derived only for changes that the state does not contain yet."""
-        told = make_answer(_7_0_1="running", _7_1_2="running", _7_2_1="stopped", _7_3_3="succeeded")
+        answer = make_answer(
+            _7_0_1="running", _7_1_2="running", _7_2_1="stopped", _7_3_3="succeeded"
+        )
         self.assertEqual(
-            self.derive(told), [AttemptStarted(7, 0, 1), AttemptEnded(7, 2, 1, "stopped")]
+            self.derive(answer), [AttemptStarted(7, 0, 1), AttemptEnded(7, 2, 1, "stopped")]
         )
 
     def test_answer_of_another_boot_records_only_the_boot(self) -> None:
         """If a worker has rebooted, only its new boot is recorded."""
-        told = make_answer("c", _7_1_2="absent")
+        answer = make_answer("c", _7_1_2="absent")
         seen = WorkerSeen("w", "c", Size(4000, 4096, 0), "r", "h", "http://w")
-        self.assertEqual(self.derive(told), [seen])
+        self.assertEqual(self.derive(answer), [seen])
 
     def test_unknown_attempts_are_ignored(self) -> None:
         """No records are derived for unknown workers, works and tasks or invalid ids."""
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -35,10 +35,10 @@
             VALID_PROGRAM.replace('work["priority"]', 'work["nothing"]'): "rank",
             VALID_PROGRAM.replace("def admit(work):\n    return True\n", endless): "cancelled",
         }
-        for text, told in cases.items():
-            with self.subTest(told), self.assertRaises(PolicyError) as caught:
+        for text, expected in cases.items():
+            with self.subTest(expected), self.assertRaises(PolicyError) as caught:
                 compile_program("mine.star", text)
-            self.assertIn(told, str(caught.exception))
+            self.assertIn(expected, str(caught.exception))
 
     @given(st.text(max_size=300))
     def test_invalid_text_raises_policy_error(self, text: str) -> None:
@@ -49,8 +49,8 @@
 
 class TestPolicySet(unittest.TestCase):
     def setUp(self) -> None:
-        self.alarms: list = []
-        self.book = PolicySet(self.alarms.append)
+        self.failures: list = []
+        self.policies = PolicySet(self.failures.append)
 
     def test_runtime_failure_falls_back_to_builtin_program(self) -> None:
         """If a validated program fails in a call, the built-in one is used and it is reported."""
@@ -61,19 +61,19 @@
             'fail("no") if work["name"] == "x" else 0',
             'if work["name"] == "x":\n        fail("no")',
         )
-        self.book.replace(make_declarations(text))
-        self.assertEqual(self.book.call("batch", "rank", WORK), 1)
-        self.assertEqual(self.alarms[0].function, "rank")
+        self.policies.replace(make_declarations(text))
+        self.assertEqual(self.policies.call("batch", "rank", WORK), 1)
+        self.assertEqual(self.failures[0].function, "rank")
 
     def test_invalid_program_keeps_previous_one(self) -> None:
         """A program that does not compile leaves the previous one in force."""
-        self.book.replace(
+        self.policies.replace(
             make_declarations(VALID_PROGRAM.replace('work["priority"]', '7 * work["priority"]'))
         )
-        self.assertEqual(self.book.call("batch", "rank", WORK), 7)
-        self.book.replace(make_declarations("nonsense("))
-        self.assertEqual(self.book.call("batch", "rank", WORK), 7)
-        self.assertEqual(len(self.alarms), 1)
+        self.assertEqual(self.policies.call("batch", "rank", WORK), 7)
+        self.policies.replace(make_declarations("nonsense("))
+        self.assertEqual(self.policies.call("batch", "rank", WORK), 7)
+        self.assertEqual(len(self.failures), 1)
 
     def test_check_names_the_program(self) -> None:
         """The check of a configuration names a program that does not compile."""
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -46,14 +46,14 @@
     def test_configuration_round_trip(self) -> None:
         """A record with nested structs survives encoding and decoding."""
         declarations = Declarations(teams={"t": Team(cpu=1, memory_gb=2)}, programs={"a": "b\n"})
-        made = make_batch([ConfigurationProposed(3, declarations, "me")])
-        self.assertEqual(decode_batch(encode_batch(made)), made)
+        batch = make_batch([ConfigurationProposed(3, declarations, "me")])
+        self.assertEqual(decode_batch(encode_batch(batch)), batch)
 
     @given(st.binary(max_size=200), st.integers(0, 60))
-    def test_damaged_batch_raises_invalid_input(self, noise: bytes, at: int) -> None:
+    def test_damaged_batch_raises_invalid_input(self, garbage: bytes, cut: int) -> None:
         """Random bytes and damaged batches either decode or raise `InvalidInput`."""
-        good = encode_batch(make_batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
-        for data in (noise, good[:at], good[:at] + noise + good[at:]):
+        encoded = encode_batch(make_batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
+        for data in (garbage, encoded[:cut], encoded[:cut] + garbage + encoded[cut:]):
             try:
                 decode_batch(data)
             except InvalidInput:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -70,8 +70,8 @@
         entry = Entry(self.state.offset + 1, batch)
         self.entries.append(entry)
         effects = reduce(self.state, entry)
-        judged = [effect for effect in effects if isinstance(effect, BatchApplied)]
-        return [isinstance(v, Accepted) for effect in judged for v in effect.verdicts]
+        applied = [effect for effect in effects if isinstance(effect, BatchApplied)]
+        return [isinstance(v, Accepted) for effect in applied for v in effect.verdicts]
 
     def submit(self, spec: WorkSpec) -> int:
         self.append(WorkSubmitted(f"k{self._sequence}", spec))
@@ -89,9 +89,9 @@
     They are drawn with regard to the state, since few placements would be valid otherwise.
     """
 
-    def __init__(self, seed: int, journal: LogHarness) -> None:
+    def __init__(self, seed: int, log: LogHarness) -> None:
         self._rng = random.Random(seed)
-        self._log = journal
+        self._log = log
         self._generators = (
             *(self._submit,) * 3,
             *(self._place,) * 8,
@@ -115,27 +115,27 @@
         return self._rng.choice([*self._state.works, 1])
 
     def _submit(self) -> WorkSubmitted:
-        source = self._rng
+        rng = self._rng
         spec = WorkSpec(
-            kind=source.choice(["batch", "gang"]),
+            kind=rng.choice(["batch", "gang"]),
             name="x",
-            team=source.choice(["t"] * 9 + ["unknown"]),
-            tasks=source.randint(1, 4),
-            size=source.choice(SIZES),
-            retries=source.randint(0, 1),
+            team=rng.choice(["t"] * 9 + ["unknown"]),
+            tasks=rng.randint(1, 4),
+            size=rng.choice(SIZES),
+            retries=rng.randint(0, 1),
         )
         return WorkSubmitted(f"key-{len(self._log.entries)}", spec)
 
     def _place(self) -> TasksPlaced:
-        source, number = self._rng, self._any_work()
+        rng, number = self._rng, self._any_work()
         work = self._state.works.get(number)
         queued = work.queued if work else [0]
         if work and work.spec.kind == "batch" and queued:
-            queued = source.sample(queued, source.randint(1, len(queued)))
-        if source.random() < 0.1:
-            queued = [*queued, source.randint(0, 4)]
-        names = [*WORKERS, *WORKERS, "w9"] if source.random() < 0.2 else list(WORKERS)
-        return TasksPlaced(number, [Placement(task, source.choice(names)) for task in queued])
+            queued = rng.sample(queued, rng.randint(1, len(queued)))
+        if rng.random() < 0.1:
+            queued = [*queued, rng.randint(0, 4)]
+        names = [*WORKERS, *WORKERS, "w9"] if rng.random() < 0.2 else list(WORKERS)
+        return TasksPlaced(number, [Placement(task, rng.choice(names)) for task in queued])
 
     def _attempt(self) -> tuple[int, int, int]:
         held = [parse_attempt_id(n) for w in self._state.workers.values() for n in w.attempts]
@@ -162,45 +162,45 @@
     @given(st.integers(0, 2**32))
     def test_matches_naive_model(self, seed: int) -> None:
         """Verdicts, tasks and used capacity equal those of the naive model after each record."""
-        journal, history = LogHarness(), []
-        stream = RecordGenerator(seed, journal)
+        log, history = LogHarness(), []
+        stream = RecordGenerator(seed, log)
         for _ in range(STREAM_LENGTH):
             record = stream.make()
             if record is None:
-                self._repeat(journal)
+                self._check_repeated_batch(log)
                 continue
             model = naive.replay(history, WORKERS, QUOTA)
             expected = naive.is_valid(model, record)
-            self.assertEqual(journal.append(record), [expected], record)
+            self.assertEqual(log.append(record), [expected], record)
             if expected:
-                history.append((next(reversed(journal.state.works), 0), record))
-            self._compare(journal.state, naive.replay(history, WORKERS, QUOTA))
+                history.append((next(reversed(log.state.works), 0), record))
+            self._check_state(log.state, naive.replay(history, WORKERS, QUOTA))
 
     def test_streams_cover_accepted_and_rejected_records(self) -> None:
         """Guards against vacuous streams: each record type is both accepted and rejected."""
         seen = collections.Counter()
         for seed in range(200):
-            journal = LogHarness()
-            stream = RecordGenerator(seed, journal)
+            log = LogHarness()
+            stream = RecordGenerator(seed, log)
             for _ in range(STREAM_LENGTH):
                 record = stream.make()
                 if record is not None:
-                    (valid,) = journal.append(record)
+                    (valid,) = log.append(record)
                     seen[type(record), valid] += 1
         kinds = {kind for kind, _ in seen}
         for kind in kinds:
             for valid in (True, False):
                 self.assertGreater(seen[kind, valid], 5, f"{kind.__name__} {valid}")
 
-    def _repeat(self, journal: LogHarness) -> None:
+    def _check_repeated_batch(self, log: LogHarness) -> None:
         """Check that a repeated batch leaves the state unchanged."""
-        before = digest(journal.state)
-        offset = journal.state.offset
-        reduce(journal.state, Entry(offset + 1, journal.entries[-1].batch))
-        journal.state.offset = offset
-        self.assertEqual(digest(journal.state), before)
+        before = digest(log.state)
+        offset = log.state.offset
+        reduce(log.state, Entry(offset + 1, log.entries[-1].batch))
+        log.state.offset = offset
+        self.assertEqual(digest(log.state), before)
 
-    def _compare(self, state: State, model: dict) -> None:
+    def _check_state(self, state: State, model: dict) -> None:
         tasks = {
             (work.number, n): (task.state.value, task.attempt, task.failures, task.losses)
             for work in state.works.values()
@@ -224,129 +224,129 @@
     @given(st.integers(0, 2**32), st.integers(0, STREAM_LENGTH))
     def test_snapshot_and_remaining_entries_restore_state(self, seed: int, cut: int) -> None:
         """A snapshot at any offset and the entries after it give the same digest."""
-        journal = LogHarness()
-        stream = RecordGenerator(seed, journal)
+        log = LogHarness()
+        stream = RecordGenerator(seed, log)
         for _ in range(STREAM_LENGTH):
             record = stream.make()
             if record is not None:
-                journal.append(record)
-        early = State()
-        for entry in journal.entries[:cut]:
-            reduce(early, entry)
-        late = decode_state(encode_state(early))
+                log.append(record)
+        snapshot = State()
+        for entry in log.entries[:cut]:
+            reduce(snapshot, entry)
+        restored = decode_state(encode_state(snapshot))
         # Entries that the snapshot covers are ignored.
-        for entry in journal.entries:
-            reduce(late, entry)
-        self.assertEqual(digest(late), digest(journal.state))
+        for entry in log.entries:
+            reduce(restored, entry)
+        self.assertEqual(digest(restored), digest(log.state))
 
 
 class TestAttemptLoss(unittest.TestCase):
     def setUp(self) -> None:
-        self.journal = LogHarness()
-        self.journal.append(
+        self.log = LogHarness()
+        self.log.append(
             NodeJoined("m", "j", "h", "", ""), node="m", incarnation="j", read_offset=-1
         )
         spec = WorkSpec("batch", "x", "t", 1, Size(1000, 1024))
-        self.work = self.journal.submit(spec)
-        self.journal.append(TasksPlaced(self.work, [Placement(0, "w0")]))
+        self.work = self.log.submit(spec)
+        self.log.append(TasksPlaced(self.work, [Placement(0, "w0")]))
         self.lost = AttemptLost(self.work, 0, 1)
 
     def test_requires_gone_worker(self) -> None:
         """An attempt is not lost while its worker is silent but not gone."""
-        self.journal.now_ms += 10**9
-        self.assertEqual(self.journal.append(self.lost), [False])
+        self.log.now_ms += 10**9
+        self.assertEqual(self.log.append(self.lost), [False])
 
     def test_requires_confirmation_by_every_member(self) -> None:
         """The loss is rejected until each member has confirmed the fence or is gone."""
-        self.journal.append(WorkerGone("w0", "b"))
-        self.journal.now_ms += 10**9
-        self.assertEqual(self.journal.append(self.lost), [False])
-        self.journal.append(NodeGone("m", "j"))
-        self.journal.now_ms += 10**9
-        self.assertEqual(self.journal.append(self.lost), [True])
+        self.log.append(WorkerGone("w0", "b"))
+        self.log.now_ms += 10**9
+        self.assertEqual(self.log.append(self.lost), [False])
+        self.log.append(NodeGone("m", "j"))
+        self.log.now_ms += 10**9
+        self.assertEqual(self.log.append(self.lost), [True])
 
     def test_requires_lease_expiry(self) -> None:
         """The loss is rejected in the last millisecond of the lease and accepted after it."""
-        self.journal.append(WorkerGone("w0", "b"))
-        self.journal.append(read_offset=self.journal.state.offset)
-        self.journal.append(node="m", incarnation="j", read_offset=self.journal.state.offset)
-        fenced = self.journal.state.workers["w0"].fenced_ms
-        self.assertEqual(fenced, self.journal.now_ms)
-        self.journal.now_ms = earliest_loss_ms(fenced, LIMITS.lease_ms, LIMITS.clock_margin_ms)
-        self.assertEqual(self.journal.append(self.lost), [False])
-        self.journal.now_ms += 1
-        self.assertEqual(self.journal.append(self.lost), [True])
-        task = self.journal.state.works[self.work].tasks[0]
+        self.log.append(WorkerGone("w0", "b"))
+        self.log.append(read_offset=self.log.state.offset)
+        self.log.append(node="m", incarnation="j", read_offset=self.log.state.offset)
+        fenced = self.log.state.workers["w0"].fenced_ms
+        self.assertEqual(fenced, self.log.now_ms)
+        self.log.now_ms = earliest_loss_ms(fenced, LIMITS.lease_ms, LIMITS.clock_margin_ms)
+        self.assertEqual(self.log.append(self.lost), [False])
+        self.log.now_ms += 1
+        self.assertEqual(self.log.append(self.lost), [True])
+        task = self.log.state.works[self.work].tasks[0]
         self.assertEqual(task.state, TaskState.QUEUED)
 
 
 class TestRepeatedLoss(unittest.TestCase):
     """A task whose running attempts are lost repeatedly may be what crashes its workers."""
 
-    def outcomes(self, kind: str, started: bool) -> list[TaskState]:
+    def task_states(self, kind: str, started: bool) -> list[TaskState]:
         """Return the task's state after each of up to six attempts that end as absent."""
-        journal = LogHarness()
-        work = journal.submit(WorkSpec(kind, "x", "t", 1, Size(1000, 1024)))
+        log = LogHarness()
+        work = log.submit(WorkSpec(kind, "x", "t", 1, Size(1000, 1024)))
         states = []
         for attempt in range(1, 7):
-            if journal.append(TasksPlaced(work, [Placement(0, "w0")])) != [True]:
+            if log.append(TasksPlaced(work, [Placement(0, "w0")])) != [True]:
                 break
             if started:
-                journal.append(AttemptStarted(work, 0, attempt))
-            journal.append(AttemptEnded(work, 0, attempt, "absent"))
-            states.append(journal.state.works[work].tasks[0].state)
+                log.append(AttemptStarted(work, 0, attempt))
+            log.append(AttemptEnded(work, 0, attempt, "absent"))
+            states.append(log.state.works[work].tasks[0].state)
         return states
 
     def test_task_fails_after_five_losses(self) -> None:
         """The task fails after five running attempts have been lost."""
         expected = [TaskState.QUEUED] * 4 + [TaskState.FAILED]
-        self.assertEqual(self.outcomes("batch", started=True), expected)
+        self.assertEqual(self.task_states("batch", started=True), expected)
 
     def test_unstarted_attempts_are_not_counted(self) -> None:
         """Attempts that never started do not count as losses."""
-        self.assertEqual(self.outcomes("batch", started=False), [TaskState.QUEUED] * 6)
+        self.assertEqual(self.task_states("batch", started=False), [TaskState.QUEUED] * 6)
 
 
 class TestStops(unittest.TestCase):
     def test_non_preemptible_work_is_not_stopped(self) -> None:
         """A request to stop an attempt of non-preemptible work is rejected."""
-        journal = LogHarness()
+        log = LogHarness()
         spec = WorkSpec("batch", "x", "t", 1, Size(1000, 1024), preemptible=False)
-        work = journal.submit(spec)
-        journal.append(TasksPlaced(work, [Placement(0, "w0")]))
-        self.assertEqual(journal.append(StopRequested(work, 0, 1, "stop")), [False])
+        work = log.submit(spec)
+        log.append(TasksPlaced(work, [Placement(0, "w0")]))
+        self.assertEqual(log.append(StopRequested(work, 0, 1, "stop")), [False])
 
     def test_retired_incarnation_is_ignored(self) -> None:
         """Batches of a replaced incarnation are ignored."""
-        journal = LogHarness()
-        journal.append(NodeJoined("n", "i2", "h", "", ""), incarnation="i2")
+        log = LogHarness()
+        log.append(NodeJoined("n", "i2", "h", "", ""), incarnation="i2")
         spec = WorkSpec("batch", "x", "t", 1, Size(1000, 1024))
-        self.assertEqual(journal.append(WorkSubmitted("k", spec), incarnation="i"), [])
-        self.assertEqual(journal.state.works, {})
+        self.assertEqual(log.append(WorkSubmitted("k", spec), incarnation="i"), [])
+        self.assertEqual(log.state.works, {})
 
     def test_repeated_batch_is_ignored(self) -> None:
         """The slots of a batch that was appended twice are taken once."""
-        journal = LogHarness()
-        base = journal.state.configuration.version
+        log = LogHarness()
+        base = log.state.configuration.version
         endpoints = {"e": Endpoint("g", slots=8)}
-        journal.append(ConfigurationProposed(base, Declarations(endpoints=endpoints), ""))
-        journal.append(MinionSeen("m", "g", "h", ""))
-        self.assertEqual(journal.append(SlotsTaken("m", 3)), [True])
-        reduce(journal.state, Entry(journal.state.offset + 1, journal.entries[-1].batch))
-        self.assertEqual(journal.state.minions["m"].shares, {"n": 3})
+        log.append(ConfigurationProposed(base, Declarations(endpoints=endpoints), ""))
+        log.append(MinionSeen("m", "g", "h", ""))
+        self.assertEqual(log.append(SlotsTaken("m", 3)), [True])
+        reduce(log.state, Entry(log.state.offset + 1, log.entries[-1].batch))
+        self.assertEqual(log.state.minions["m"].shares, {"n": 3})
 
 
 class TestFinishedWork(unittest.TestCase):
     def setUp(self) -> None:
-        self.journal = LogHarness()
+        self.log = LogHarness()
 
     def run_work(self, key: str, tasks: int) -> int:
         spec = WorkSpec("batch", "x", "t", tasks, Size(1, 1))
-        self.journal.append(WorkSubmitted(key, spec))
-        work = next(reversed(self.journal.state.works))
+        self.log.append(WorkSubmitted(key, spec))
+        work = next(reversed(self.log.state.works))
         placed = TasksPlaced(work, [Placement(n, "w1") for n in range(tasks)])
-        self.assertEqual(self.journal.append(placed), [True])
-        self.journal.append(*(AttemptEnded(work, n, 1, "succeeded") for n in range(tasks)))
+        self.assertEqual(self.log.append(placed), [True])
+        self.log.append(*(AttemptEnded(work, n, 1, "succeeded") for n in range(tasks)))
         return work
 
     def test_old_tasks_are_compacted_into_counts(self) -> None:
@@ -355,7 +355,7 @@
         first = self.run_work("first", size)
         for number in range(6):
             self.run_work(f"k{number}", size)
-        state = self.journal.state
+        state = self.log.state
         self.assertLessEqual(sum(len(w.tasks) for w in state.works.values()), 4 * size)
         self.assertEqual(state.works[first].counts, {"succeeded": size})
         self.assertTrue(state.works[first].is_finished)
@@ -367,10 +367,10 @@
         for number in range(6):
             self.run_work(f"k{number}", size)
         spec = WorkSpec("batch", "x", "t", size, Size(1, 1))
-        count = len(self.journal.state.works)
-        self.assertEqual(self.journal.append(WorkSubmitted("first", spec)), [True])
-        self.assertEqual(len(self.journal.state.works), count)
-        self.journal.now_ms += KEY_WINDOW_MS + 1
+        count = len(self.log.state.works)
+        self.assertEqual(self.log.append(WorkSubmitted("first", spec)), [True])
+        self.assertEqual(len(self.log.state.works), count)
+        self.log.now_ms += KEY_WINDOW_MS + 1
         self.run_work("later", 1)
-        self.assertFalse(first in self.journal.state.works)
-        self.assertFalse("first" in self.journal.state.work_keys)
+        self.assertFalse(first in self.log.state.works)
+        self.assertFalse("first" in self.log.state.work_keys)
