--- a/src/snowdock/policies.py
+++ b/src/snowdock/policies.py
@@ -176,7 +176,7 @@
     Parameters
     ----------
     on_failure
-        Called with each failure at run time.
+        Called with each failure to call or to compile a program in force.
     """
 
     def __init__(self, on_failure: Callable[[PolicyFailure], None]) -> None:
--- a/src/snowdock/reducer/_configurations.py
+++ b/src/snowdock/reducer/_configurations.py
@@ -15,7 +15,7 @@
 def _apply_configuration_proposed(context: Context, record: ConfigurationProposed) -> Verdict:
     state = context.state
     current = state.configuration.version
-    require(record.base == current, f"made from version {record.base}, current is {current}")
+    require(record.base == current, f"based on version {record.base}, current is {current}")
     # The version is the offset, and version 0 means that there is no configuration. Offset 0
     # is never a configuration, since the first batch of a log is that of a joining node.
     require(context.offset > current, "the new version is not greater than the current one")
--- a/src/snowdock/reducer/_members.py
+++ b/src/snowdock/reducer/_members.py
@@ -36,8 +36,8 @@
 
 def _apply_node_joined(context: Context, record: NodeJoined) -> Verdict:
     state, batch = context.state, context.batch
-    require(record.node == batch.node, "a node joins only for itself")
-    require(record.incarnation == batch.incarnation, "a node joins only for itself")
+    require(record.node == batch.node, "the node is not the sender of the batch")
+    require(record.incarnation == batch.incarnation, "the incarnation is not that of the sender")
     known = state.members.get(record.node)
     require(known is None or known.incarnation != record.incarnation, "the node has joined already")
     if known is not None:
@@ -56,7 +56,7 @@
 
 
 def _apply_node_draining(context: Context, record: NodeDraining) -> Verdict:
-    require(record.node == context.batch.node, "a node drains only itself")
+    require(record.node == context.batch.node, "the node is not the sender of the batch")
     context.state.members[record.node].state = MemberState.DRAINING
     context.effects.append(MembersChanged())
     return _Accepted()
@@ -64,7 +64,7 @@
 
 def _apply_node_left(context: Context, record: NodeLeft) -> Verdict:
     state = context.state
-    require(record.node == context.batch.node, "a node leaves only for itself")
+    require(record.node == context.batch.node, "the node is not the sender of the batch")
     member = state.members.pop(record.node)
     _minions.release_slots(context, record.node)
     state.retired_incarnations[member.incarnation] = state.now_ms
--- a/src/snowdock/state.py
+++ b/src/snowdock/state.py
@@ -278,7 +278,7 @@
     workers
         Workers by name.
     unfenced_workers
-        Gone workers that not all members have confirmed to have read of.
+        Gone workers whose `WorkerGone` record not all members have confirmed reading.
     works
         Works by number.
     work_keys
@@ -363,13 +363,13 @@
 def find_attempt_by_id(state: State, name: str) -> AttemptReference | None:
     """Return the attempt with an id, or None if the id is invalid or its task is unknown."""
     try:
-        number, task_number, count = parse_attempt_id(name)
+        work_number, task_number, attempt_number = parse_attempt_id(name)
     except InvalidInput:
         return None
-    work = state.works.get(number)
+    work = state.works.get(work_number)
     if work is None or not 0 <= task_number < len(work.tasks):
         return None
-    return AttemptReference(work, task_number, work.tasks[task_number], count)
+    return AttemptReference(work, task_number, work.tasks[task_number], attempt_number)
 
 
 # The order of dictionaries is part of the encoding. It is the order of the log, so that all
