--- a/src/snowdock/jobs/availability.py
+++ b/src/snowdock/jobs/availability.py
@@ -1,4 +1,4 @@
-"""Whether a worker takes anything new at all, and why not."""
+"""Eligibility of workers for new runs, and the reasons for which they are excluded."""
 
 import enum
 
@@ -7,43 +7,43 @@
 __all__ = ["Closed", "why_closed"]
 
 _DELISTED_GRACE_SECONDS = 3.0
-"""How long a worker that still answers is used after its entry lapsed with the store: such
-entries are back about two seconds after the store's return."""
+"""How long a worker that still answers stays eligible after its store entry expired during a store
+outage: such entries are restored about two seconds after the store recovers."""
 
 
 class Closed(enum.Enum):
-    """Why nothing new is placed on a worker, by any step or by one; names a field in the log."""
+    """Why a worker is excluded from placement, for all steps or for one; values are log fields."""
 
     SILENT = "silent"
-    """It has not answered this leader yet, or does not answer any more."""
+    """The worker has not answered this leader yet, or has stopped answering."""
     LEAVING = "leaving"
-    """It drains, or its entry is gone."""
+    """The worker is draining, or its store entry was removed."""
     ASIDE = "aside"
-    """It is set aside, see `set_aside`."""
+    """The worker is in quarantine, see `quarantine`."""
     ALONE = "alone"
-    """What runs there has to be alone."""
+    """A run on the worker requires exclusive use of it."""
     ON_TRIAL = "on_trial"
-    """It has failed, and one run at a time shows whether it still does."""
+    """The worker is on probation after failures and accepts one run at a time."""
     DOUBTFUL = "doubtful"
-    """Runs have failed there, and the step may not fail again."""
+    """Runs have failed on the worker, and the step is on its last attempt."""
     SUSPECT = "suspect"
-    """What runs there may not share a worker with the step."""
+    """The step may not share a worker with the runs there, see `suspects`."""
     ROOM = "room"
-    """It has too little room, or may run no more of the step."""
+    """The worker has too little free room, or its limit for tasks of the step is reached."""
     RESERVED = "reserved"
-    """Its room is kept for others."""
+    """The worker's free room is reserved for other steps."""
     UNFIT = "unfit"
-    """The advice service, or a label, keeps the step out."""
+    """The advice service rejected the worker for the step, or a required label is missing."""
     TICKET = "ticket"
-    """There is no good ticket for it."""
+    """There is no valid ticket for the worker."""
 
 
 def why_closed(worker: Worker, now: float, is_last_resort: bool = False) -> Closed | None:
-    """Tell why nothing new at all is placed on a worker; None where something may be.
+    """Return why a worker is excluded from all placements, or None if it is eligible.
 
-    As a last resort, workers count that are set aside for failures.
+    With `is_last_resort`, workers that are in quarantine for failures are eligible.
     """
-    # Plain tests: each pass asks this of each worker.
+    # Called for every worker in each placement pass, so the checks are kept cheap.
     if not worker.settled or worker.is_mute:
         return Closed.SILENT
     if worker.entry.draining:
--- a/src/snowdock/jobs/charges.py
+++ b/src/snowdock/jobs/charges.py
@@ -1,6 +1,7 @@
-"""How runs are charged to their task, on record, and when a task is given up.
+"""Counting of lost runs and crashes per task, and the limits at which a task is given up.
 
-A *crash* is a run that surely ended its worker, a *loss* one that may have. Each crash is a loss.
+A *crash* is a run that certainly crashed its worker, a *loss* is a run that may have. Every crash
+is also counted as a loss. The counts are part of the job's durable progress.
 """
 
 from .cell import Cell
@@ -18,23 +19,23 @@
 ]
 
 MOST_CRASHES = 3
-"""Crashes after which a task is given up. Unbounded, one task takes a worker every few seconds,
-and all that runs there; two are soon met by chance, beside another task's fault."""
+"""Crashes after which a task is given up. Without a limit, one task crashes a worker every few
+seconds; two crashes can be due to other tasks on the same workers."""
 
 MOST_LOSSES = 5
-"""Losses of any kind after which a task is given up: users allow two starts after three crashes,
-however many of these were seen as such."""
+"""Losses of any kind after which a task is given up: at most two starts may follow three crashes,
+even if some of the crashes were only detected as losses."""
 
 _COUNT_ALL_FROM = 3
-"""Losses from which each further start counts as one: all of them may have been crashes, and users
-allow two starts more, whatever these end as."""
+"""Losses from which every further start is charged: all of them may have been crashes, and at most
+two more starts are allowed, however these end."""
 
 _AT_ONCE_SECONDS = 2.0
-"""A run that was reported at work for longer did not end its worker by its start."""
+"""A run that was reported as running for longer did not crash its worker at its start."""
 
 
 def charge(cell: Cell, task: Task, run: int, life: str, is_crash: bool) -> bool:
-    """Count a run against its task; tell whether that is to be given up."""
+    """Record a lost run for its task; return whether the task is to be given up."""
     task.lost_runs |= {run}
     if is_crash:
         task.crashed_runs |= {run}
@@ -49,7 +50,7 @@
 
 
 def take_back_charge(cell: Cell, task: Task, run: int, life: str) -> None:
-    """Count a run no longer against its task: its worker went on, so it did not end it."""
+    """Remove a lost run from its task's count, because its worker turned out to be alive."""
     task.lost_runs -= {run}
     job = task.step.job
     mark(cell, job)
@@ -57,20 +58,20 @@
 
 
 def charge_end(cell: Cell, worker: Worker, task: Task, run: int) -> bool:
-    """Count a run that its worker told the end of, where many were lost before.
+    """Charge a run whose end was reported, if the task has already lost many runs.
 
-    Tells whether the task is to be given up.
+    Returns whether the task is to be given up.
     """
-    # A gang that broke off as its member ended a worker made that start count for nothing: the
-    # member was started three times after its third crash.
+    # If a gang breaks just as one of its members crashes a worker, the crashing run is reported as
+    # ended. Without a charge, the member would be started beyond its limit.
     if len(task.lost_runs) < _COUNT_ALL_FROM or not may_have_ended_at_once(worker, task):
         return False
     return charge(cell, task, run, worker.life, is_crash=False)
 
 
 def may_have_ended_at_once(worker: Worker, task: Task) -> bool:
-    """Whether a task's run may have ended, or its worker gone, just after it began there."""
-    # By the worker's own word: a leader that was away for seconds does not know when its worker
-    # went, nor a new one when a run began that it took over. Taken for old, such a run was charged
-    # to nobody.
+    """Check whether a task's run, or its worker, may have ended just after the run started."""
+    # Uses the worker's last report: a leader that stalled does not know when the worker ended, and
+    # a new leader does not know when a recovered run started. Either would take the run for old
+    # and would not charge it.
     return not task.is_told or worker.heard_at - task.ordered_at <= _AT_ONCE_SECONDS
--- a/src/snowdock/jobs/failed_runs.py
+++ b/src/snowdock/jobs/failed_runs.py
@@ -1,14 +1,16 @@
-"""Whom a failed run speaks against: its worker, or the job that brought it.
-
-The load this answers: jobs all of whose runs fail, wherever they run, beside workers that spoil
-all they start. Seen from one worker both look alike, runs that fail in a row, so these are weighed
-by how surprising they would be on a sound worker: a matter of course where the step is bad, and a
-run's own fault else. Whether a step is bad is judged by how many are lately, and by how it fares on
-other workers. The weight is the negative logarithm of that chance; a worker collects one for each
-step that failed there since its last good end. Beyond `_LIMIT` it is set aside, and takes one run
-at a time when it is back. What is learned of a step later changes its weight everywhere.
-
-All of this is a leader's own: a successor begins without doubts.
+"""Attribution of failed runs to either the worker or the step.
+
+Some jobs fail on every worker, and some workers fail every run. From one worker's point of view
+both look the same: a series of failed runs. Each step that failed on a worker is therefore weighted
+by the probability of its failures on a sound worker: close to 1 if the step fails everywhere, and
+the usual failure rate of a run otherwise. The probability that a step fails everywhere is estimated
+from the recent share of such steps and from its results on other workers. The weight is the
+negative logarithm of the failures' probability. A worker's failure score is the sum of the weights
+of all steps that failed on it since the last success. Above `_QUARANTINE_SCORE` the worker is
+quarantined, and afterwards it is on probation and accepts one run at a time. Later results of a
+step change its weight on all workers.
+
+This state is not recorded: a new leader starts with empty scores.
 """
 
 import math
@@ -28,51 +30,52 @@
 ]
 
 _OWN_FAULT = 0.05
-"""The chance that a run of a good step fails on a sound worker: a few in a hundred do."""
+"""Probability that a run of a sound step fails on a sound worker."""
 
 _FAULT_ELSEWHERE = 0.15
-"""The chance that a good step fails on another worker, which may be one that spoils its runs."""
+"""Probability that a sound step fails on another worker, which may itself be faulty."""
 
 _GOOD_ENDS_FACTOR = 0.1
-"""What is left of the chance that a step is bad with each worker on which it ended well; not
-nothing, since single tasks of it may be bad."""
+"""Factor applied to the probability that a step fails everywhere, for each worker on which it
+succeeded. Above 0, since only some tasks of the step may fail everywhere."""
 
 _LIMIT = 3.2
-"""Doubt beyond which a worker is set aside. On a calm day two runs of one step that fail, or one
-each of two, suffice; where four in ten steps are bad it takes four of these."""
+"""Failure score from which a worker is quarantined. With few failing steps, two failed runs are
+enough, of one step or of two; if 40 % of the steps fail everywhere, it takes four steps."""
 
 _USUAL_BAD = 0.03
-"""The share of bad steps before any is known, and the least that is reckoned with."""
+"""Initial value and lower bound of the share of steps that fail everywhere."""
 
 _SHARE_GAIN = 0.05
-"""How fast the share of bad steps follows: the last twenty steps decide."""
+"""Gain of the moving average of failing steps; it covers about the last 20 steps."""
 
 _BAD_FROM = 2
-"""Workers on which a step has failed, and none on which it ended well, to count it as bad."""
+"""Workers on which a step must fail, without a success anywhere, to count as failing everywhere."""
 
 _MOST_CHARGES = 32
-"""The most steps that a worker is charged with: the oldest is dropped where nothing ends well."""
+"""Maximum number of failed steps kept per worker; beyond it the oldest is dropped."""
 
 _MOST_ASIDE = 0.5
-"""The largest share of a service's workers that is set aside for failures at a time."""
+"""Maximum share of a service's workers that may be in quarantine for failures at a time."""
 
 _ASIDE_SECONDS = 2.0
 _LONGEST_ASIDE_SECONDS = 8.0
-"""Bounds of the time aside; it doubles each time until a run ends well there."""
+"""Bounds of the quarantine time; it doubles each time until a run succeeds on the worker."""
 
 _TRIAL_SECONDS = 2.0
-"""How long a worker that is back takes one run at a time; then it is open to all, in doubt still.
-Longer runs prove nothing sooner, and one that lasts would prove nothing ever."""
+"""How long a worker accepts one run at a time after its quarantine; its failure score stays. The
+time is limited since a long run would otherwise keep the worker on probation."""
 
 _TELLING_WEIGHT = math.log(2)
-"""A failure on trial that would be a matter of course on a sound worker ends no trial."""
+"""Minimum weight at which a further failure renews the quarantine: failures that are likely on a
+sound worker do not."""
 
 _DOUBTFUL = 1.0
-"""Doubt from which a worker is no place for what may not fail again."""
+"""Failure score from which a worker is avoided for last attempts."""
 
 
 def note_failed_run(cell: Cell, worker: Worker, step: Step, now: float) -> None:
-    """Weigh a run of a step that failed on a worker."""
+    """Record a failed run of a step on a worker, and quarantine the worker if needed."""
     charge = _charge(worker, step, now)
     if worker.life not in step.failed_on:
         step.failed_on.add(worker.life)
@@ -85,9 +88,9 @@
 
 
 def note_good_end(cell: Cell, worker: Worker, step: Step, began_at: float, now: float) -> None:
-    """Clear a worker of what failed before a run began there that has ended well.
+    """Record a successful run, and clear the worker of the failures before the run began.
 
-    That run speaks for the worker as it is now; one that began earlier does not.
+    Failures after `began_at` are kept: the run does not show that the worker recovered from them.
     """
     for key, charge in list(worker.charged.items()):
         if charge.at <= began_at:
@@ -114,7 +117,7 @@
 
 
 def _judge_step(cell: Cell, worker: Worker, step: Step) -> None:
-    """Count a step as bad, once, when it has failed on enough workers."""
+    """Mark a step as failing everywhere, once, when it has failed on enough workers."""
     if step.is_bad or step.done_on or len(_failed_elsewhere(cell, step)) < _BAD_FROM:
         return
     step.is_bad = True
@@ -141,7 +144,7 @@
 
 
 def _acquit(cell: Cell, worker: Worker, now: float) -> None:
-    """End what follows from a worker's failures: its time aside, its trial, and their growth."""
+    """End a worker's quarantine and probation, and reset the duration of the next quarantine."""
     worker.times_aside = 0
     worker.trial_until = 0.0
     worker.trial = None
@@ -149,8 +152,9 @@
 
 
 def _reconsider_others(cell: Cell, worker: Worker, step: Step, now: float) -> None:
-    """Judge other workers where a step has failed by what it did on one."""
-    # In one order: a set has another one in each process, and a seed would play other days.
+    """Update the other workers on which a step has failed, after its result on one worker."""
+    # Sorted, because the order of a set differs between processes and would make runs of one seed
+    # differ.
     for life in sorted(step.failed_on):
         other = cell.workers.get(life)
         if other is None or other is worker:
@@ -163,7 +167,7 @@
 
 
 def _failed_elsewhere(cell: Cell, step: Step, worker: Worker | None = None) -> set[str]:
-    """Give the other workers where a step has failed, but for those thought to spoil runs."""
+    """Return the other workers on which a step has failed, except those found to be faulty."""
     own = "" if worker is None else worker.life
     return {life for life in step.failed_on if life != own and not _spoils(cell, life)}
 
@@ -174,34 +178,34 @@
 
 
 def _reckon(cell: Cell, worker: Worker) -> float:
-    """Reckon a worker's doubt anew and give it; passes look at it some thousand times a second."""
+    """Recompute and return a worker's failure score, which is cached for placement passes."""
     worker.doubt = sum(_weight(cell, worker, charge) for charge in worker.charged.values())
     return worker.doubt
 
 
 def is_doubtful(worker: Worker) -> bool:
-    """Whether a worker is no place for what may not fail again, while another run proves it."""
+    """Check whether a worker is to be avoided for last attempts while it has other runs."""
     return worker.doubt >= _DOUBTFUL and bool(worker.runs)
 
 
 def is_on_trial(worker: Worker, now: float) -> bool:
-    """Whether a worker that was set aside takes one run at a time."""
+    """Check whether a worker is on probation after its quarantine: it takes one run at a time."""
     return worker.trial_until > now
 
 
 def is_being_proved(worker: Worker, now: float) -> bool:
-    """Whether a worker on trial has the one run that shows whether it still fails."""
+    """Check whether a worker on probation already has its one run."""
     return is_on_trial(worker, now) and worker.trial in worker.runs
 
 
 def begin_trial(worker: Worker, run: tuple, now: float) -> None:
-    """Note what a worker is proved by, if it has to be."""
+    """Record the run that a worker executes on probation, if it is on probation."""
     if is_on_trial(worker, now):
         worker.trial = run
 
 
 def _weight(cell: Cell, worker: Worker, charge: Charge) -> float:
-    """Give how much a step's failures on a worker speak against that worker."""
+    """Return the weight of a step's failures in the failure score of a worker."""
     step = charge.step
     bad = _bad_share(cell, worker)
     good = (1 - bad) * _FAULT_ELSEWHERE ** len(_failed_elsewhere(cell, step, worker))
@@ -211,7 +215,7 @@
 
 
 def _note_share(cell: Cell, worker: Worker, is_bad: bool) -> None:
-    """Learn from a step how usual bad ones are."""
+    """Update the moving average of the share of steps that fail everywhere."""
     share = _bad_share(cell, worker)
     share += _SHARE_GAIN * (is_bad - share)
     cell.bad_share[worker.entry.service] = max(_USUAL_BAD, share)
@@ -222,6 +226,6 @@
 
 
 def _is_enough_aside(cell: Cell, worker: Worker, now: float) -> bool:
-    """Whether as much of a service is set aside for failures as may be."""
+    """Check whether a further quarantine would exceed the maximum share of the service."""
     aside, workers = count_aside(cell, worker.entry.service, AsideCause.FAILURES, now)
     return aside + 1 > _MOST_ASIDE * workers
--- a/src/snowdock/jobs/lost_runs.py
+++ b/src/snowdock/jobs/lost_runs.py
@@ -1,14 +1,14 @@
-"""Runs that are lost with their worker: to which tasks that is charged, and when one is given up.
-
-The load this answers: a task that ends each worker that starts it. A worker runs many tasks when it
-goes, and mostly no end of any of them is ever told, so each such loss is charged to all tasks that
-were, or may have been, running there. It is charged as a *crash* where another life of the worker
-has answered, and the worker had told that the run was there. Else it stays a *loss*: the worker may
-have been cut off, and run on, or gone before the start arrived. Where the worker had said that it
-would leave, only runs that may just have begun are charged, with a loss, and none that last and
-that it had told of: these meet many such workers while all are replaced in turn. A start elsewhere
-ends as one of the two, a told end, or a refusal, so a task that crashes every worker is started
-`MOST_LOSSES` times at most, whatever is seen of it.
+"""Handling of runs that are lost with their worker.
+
+This limits tasks that crash every worker on which they start. A worker usually runs many tasks when
+it ends, and reports the end of none of them, so a loss is charged to every task that was, or may
+have been, running there. The loss counts as a *crash* if another life of the worker has answered
+and the worker had confirmed the run. Otherwise it stays a *loss*: the worker may be partitioned and
+still running, or may have ended before the start arrived. If the worker was draining, only runs
+that may have just begun are charged, as losses; confirmed long-running ones are not, since they
+meet many draining workers during a rolling replacement. Every start ends as a crash, a loss, a
+reported end or a refusal, so a task that crashes every worker is started at most `MAX_LOSSES`
+times.
 """
 
 import dataclasses
@@ -32,21 +32,21 @@
 ]
 
 MOST_AT_ONCE = 2
-"""Where more workers fell silent at the same moment, a rack or a hall went, and what ran there is
-charged with losses only: else jobs that could be done are shown as failed."""
+"""If more workers fall silent at the same moment, the cause is taken to be a rack or data hall, and
+their runs are charged as losses only: otherwise healthy jobs would fail."""
 
 _SAME_MOMENT_SECONDS = 0.1
-"""What counts as the same moment: a worker that ends closes its connections, which is seen at
-once."""
+"""Workers that fall silent within this time count as simultaneous: a worker that ends closes its
+connections, which is detected at once."""
 
 _PROVEN_SECONDS = 30.0
-"""A task that lasts is charged with nothing any more once a run of it has worked for so long: over
-hours it outlives many workers that go for reasons of their own."""
+"""A long-running task is cleared of its losses once a run of it has worked for this long: over
+hours it meets many workers that end for unrelated reasons."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _WorkerEnd:
-    """Why a worker's runs are taken as over, and whether it surely crashed by itself."""
+    """Why a worker's runs count as lost, and whether the worker certainly crashed by itself."""
 
     reason: str
     is_crash: bool
@@ -60,9 +60,9 @@
     has_crashed: bool = False,
     has_next_life: bool = False,
 ) -> None:
-    """Take all runs on a worker as over, though how they ended is not known.
+    """Mark all runs on a worker as lost, since it is unknown how they ended.
 
-    Those whose start was not answered wait for the worker's next life, if it has begun one.
+    Runs whose start was not answered wait for the worker's next life, if there is one.
     """
     end = _WorkerEnd(reason, has_crashed and not _is_common(cell, worker))
     if worker.runs:
@@ -78,7 +78,10 @@
 
 
 def charge_late(cell: Cell, worker: Worker, now: float) -> None:
-    """Take losses on a worker as crashes: its leases were over before another life answered."""
+    """Charge losses on a worker as crashes after its next life answered.
+
+    The losses were recorded earlier, when the worker's leases expired.
+    """
     is_crash = not _is_common(cell, worker)
     for task, run, is_told in _take_lost(cell, worker):
         if is_told:
@@ -86,9 +89,9 @@
 
 
 def take_back_losses(cell: Cell, worker: Worker) -> None:
-    """Charge nobody for the runs lost on a worker that answers again as it was.
+    """Revoke the charges for runs lost on a worker whose same life answers again.
 
-    Without this, a task that met five workers that were cut off was given up.
+    Without this, a task that was on `MAX_LOSSES` partitioned workers would be given up.
     """
     for task, run, _ in _take_lost(cell, worker):
         if not task.step.job.status.is_final:
@@ -96,7 +99,7 @@
 
 
 def _take_lost(cell: Cell, worker: Worker) -> Iterator[tuple[Task, int, bool]]:
-    """Give the charged runs of a worker of which it is settled now how it went, and forget them."""
+    """Yield the charged runs of a worker whose fate is now known, and clear the worker's list."""
     lost, worker.lost = worker.lost, {}
     for (task_id, run), is_told in lost.items():
         task = cell.find_task(task_id)
@@ -105,20 +108,20 @@
 
 
 def lose_orphan(cell: Cell, task: Task, life: str, now: float) -> None:
-    """Take a run of an earlier leader as over, whose worker never became known here."""
+    """Mark a run of an earlier leader as lost, whose worker never became known to this one."""
     cell.tell("orphan_lost", task.id.job, task=task.id, worker=life)
     charge_orphan(cell, task, life, now)
     void_run(cell, task, now)
 
 
 def charge_orphan(cell: Cell, task: Task, life: str, now: float) -> None:
-    """Charge a task once with a run whose worker's life is over, and was not known here."""
+    """Charge a task once for a run on a worker life that ended before this leader knew it."""
     if _may_have_run(task) and task.run not in task.lost_runs:
         _charge(cell, task, task.run, life, now, is_crash=False)
 
 
 def absolve(cell: Cell, task: Task, now: float) -> None:
-    """Charge a task that lasts with nothing any more, once a run of it has worked for long."""
+    """Clear a long-running task's losses once a run of it has worked for long enough."""
     if not task.lost_runs or not task.step.spec.long_running:
         return
     if task.phase is Phase.RUNNING and now - task.since >= _PROVEN_SECONDS:
@@ -147,28 +150,29 @@
 
 
 def _may_start_late(task: Task) -> bool:
-    """Whether a task's start was sent, and it is not known that it was carried out."""
+    """Check whether a task's start was sent but never confirmed by the worker."""
     return not task.is_told and task.phase in (Phase.ORDERED, Phase.UNSURE, Phase.STOPPING)
 
 
 def _charge(cell: Cell, task: Task, run: int, life: str, now: float, is_crash: bool) -> None:
-    """Count a run that went with its worker, and give its task up where that is too often."""
+    """Charge a run that was lost with its worker, and fail the job at the task's limit."""
     if charge(cell, task, run, life, is_crash):
         fail_job(cell, task.step.job, now)
 
 
 def _may_have_run(task: Task) -> bool:
-    """Whether a task's newest run may have begun, and is still wanted."""
-    # A start that was never sent can have done nothing. A done task needs no more runs: charged, it
-    # could fail a job that was done.
+    """Check whether a task's newest run may have begun and is still needed."""
+    # A start that was not sent had no effect. A task that is done needs no runs, and a charge could
+    # fail its completed job.
     return task.phase not in (Phase.RECORDED, Phase.DONE)
 
 
 def _may_be_why(worker: Worker, task: Task) -> bool:
-    """Whether a run may be why a worker went that had said that it would leave.
+    """Check whether a run may have crashed a worker that was draining.
 
-    Such a worker takes nothing new once that is known, and ends seconds later: charged to nobody, a
-    task that ends its workers got a start beyond its bound for each worker that drained.
+    A draining worker gets no new runs and ends seconds later, so only a run that just began may be
+    the cause. If none were charged, each draining worker would allow a crashing task a start beyond
+    its limit.
     """
     if task.is_told and task.step.spec.long_running:
         return False
@@ -176,7 +180,7 @@
 
 
 def _tell(cell: Cell, worker: Worker, task: Task, end: _WorkerEnd, is_charged: bool) -> None:
-    """Log a run that is lost with its worker, whether it is charged, and what that goes by."""
+    """Log a run that is lost with its worker, whether it is charged, and on what grounds."""
     silent_after_s = None
     if worker.silent_since is not None:
         silent_after_s = worker.silent_since - task.ordered_at
@@ -196,7 +200,7 @@
 
 
 def _is_common(cell: Cell, worker: Worker) -> bool:
-    """Whether a worker fell silent together with many: a rack, a switch, or an operator's doing."""
+    """Check whether a worker fell silent together with others: a rack, a switch or an operator."""
     since = worker.silent_since
     if since is None:
         return False
--- a/src/snowdock/jobs/overdue.py
+++ b/src/snowdock/jobs/overdue.py
@@ -1,7 +1,7 @@
-"""Runs that take much longer than they should: told every few seconds, with what is known of them.
+"""Periodic logging of runs that take much longer than expected.
 
-A run that its worker no longer has keeps its room, and all that waits for its task, until it is
-looked at. These lines tell such a run from one that is slow.
+A run that its worker no longer has keeps occupying its room and blocks everything that depends on
+its task until its loss is detected. The log lines show whether a run is lost or just slow.
 """
 
 from .cell import Cell
@@ -12,18 +12,18 @@
 __all__ = ["tell_overdue"]
 
 _TELL_SECONDS = 5.0
-"""Time between two looks."""
+"""Interval between two checks."""
 
 _FACTOR = 5.0
 _SLACK_SECONDS = 5.0
-"""A run is overdue after so many times its step's usual time, and so much more."""
+"""A run is overdue after this multiple of its step's typical time plus this slack."""
 
 _MOST_TOLD = 5
-"""The most runs told of at a time, those that are overdue for longest first."""
+"""Maximum number of runs logged at a time, those longest in their phase first."""
 
 
 def tell_overdue(cell: Cell, now: float) -> None:
-    """Tell of runs that stay in one phase for too long, if it is time."""
+    """Log runs that stay in one phase for too long, if the interval has passed."""
     if now - cell.overdue_told_at < _TELL_SECONDS:
         return
     cell.overdue_told_at = now
--- a/src/snowdock/jobs/room_use.py
+++ b/src/snowdock/jobs/room_use.py
@@ -1,6 +1,6 @@
-"""How full the workers are, and what keeps waiting steps from running: told once a second.
+"""Periodic logging of the workers' utilization and of what waiting steps lack.
 
-An operator sees by it whether work waits for room, for advice, or for its turn beside free room.
+The log lines show whether work waits for room, for advice, or for its turn although room is free.
 """
 
 import collections
@@ -13,27 +13,27 @@
 __all__ = ["Lack", "find_lack", "share_in_use", "tell_room_use"]
 
 _TELL_SECONDS = 1.0
-"""Time between two lines; one takes some 3 ms with 150 steps that wait for 270 workers."""
+"""Interval between two log lines; one takes about 3 ms with 150 waiting steps and 270 workers."""
 
 
 class Lack(enum.Enum):
-    """What a waiting step lacks."""
+    """Why a step waits; lower-case member names are log fields."""
 
     ROOM = "room"
-    """No worker with a good ticket, or none at all where no ticket is needed, has room for it."""
+    """No worker with a valid ticket (if one is needed) has room for a task."""
     TICKET = "ticket"
-    """Some worker has room for it, and there is no good ticket for any."""
+    """Some worker has room for a task, but there is no valid ticket for any worker."""
     BOTH = "room and ticket"
     TURN = "turn"
-    """It has what it takes for a task; a gang may need more, and others may rank higher."""
+    """One task could be placed; a gang may need more, and other steps may rank higher."""
     QUOTA = "quota"
-    """Its team's quota lets none of its tasks begin."""
+    """The team's quota allows none of the step's tasks to start."""
     PAUSE = "pause"
-    """It is put off after a failure."""
+    """The step is delayed after a failure."""
 
 
 def tell_room_use(cell: Cell, now: float) -> None:
-    """Tell for each service what room is in use and what its waiting steps lack, if it is time."""
+    """Log room in use and reasons for waiting of each service, if the interval has passed."""
     if now - cell.room_told_at < _TELL_SECONDS:
         return
     cell.room_told_at = now
@@ -59,7 +59,7 @@
 
 
 def find_lack(step: Step, workers: list[Worker], by_life: dict[str, Worker], now: float) -> Lack:
-    """Tell what a waiting step lacks.
+    """Return what a waiting step lacks.
 
     Parameters
     ----------
@@ -94,7 +94,7 @@
 
 
 def share_in_use(workers: list[Worker], kind: str) -> float:
-    """Give the share of one kind of room that is in use; 0 where the workers have none of it."""
+    """Return the share of one kind of room that is in use; 0 if the workers have none of it."""
     capacity = sum(getattr(worker.entry.capacity, kind) for worker in workers)
     used = sum(getattr(worker.used, kind) for worker in workers)
     return used / capacity if capacity else 0.0
--- a/src/snowdock/jobs/set_aside.py
+++ b/src/snowdock/jobs/set_aside.py
@@ -1,4 +1,4 @@
-"""Workers on which nothing new is placed for a while, and what is told of that."""
+"""Quarantine of workers: nothing new is placed on them for a limited time."""
 
 from .cell import Cell
 from .workers import AsideCause, Worker
@@ -9,7 +9,7 @@
 def set_aside(
     cell: Cell, worker: Worker, cause: AsideCause, seconds: float, now: float, **evidence: float
 ) -> None:
-    """Place nothing on a worker for so long, unless it is set aside for longer already.
+    """Quarantine a worker for a time, unless it is already quarantined for longer.
 
     Parameters
     ----------
@@ -18,13 +18,13 @@
     worker
         The worker.
     cause
-        What speaks against it.
+        Why it is quarantined.
     seconds
-        For how long.
+        The duration.
     now
         The steady clock, in seconds.
     evidence
-        What the decision rests on, for the log.
+        Figures on which the decision is based, logged as fields.
     """
     until = now + seconds
     if until <= worker.aside_until:
@@ -44,7 +44,7 @@
 
 
 def take_back(cell: Cell, worker: Worker, cause: AsideCause, now: float) -> None:
-    """End a worker's time aside, where it is set aside for that cause."""
+    """End a worker's quarantine if it has the given cause."""
     if worker.aside_for is cause:
         worker.aside_until = min(worker.aside_until, now)
         _tell_back(cell, worker, now)
@@ -52,7 +52,7 @@
 
 
 def take_back_due(cell: Cell, now: float) -> None:
-    """Tell of workers whose time aside is over."""
+    """Release and log the workers whose quarantine has expired."""
     for worker in cell.workers.values():
         if worker.aside_for is not None and worker.aside_until <= now:
             _tell_back(cell, worker, now)
@@ -66,7 +66,7 @@
 
 
 def count_aside(cell: Cell, service: str, cause: AsideCause, now: float) -> tuple[int, int]:
-    """Count the workers of a service that are set aside for a cause, and all of them."""
+    """Return how many workers of a service are quarantined for a cause, and how many there are."""
     alike = [each for each in cell.workers.values() if each.entry.service == service]
     return sum(each.aside_until > now and each.aside_for is cause for each in alike), len(alike)
 
--- a/src/snowdock/jobs/starving.py
+++ b/src/snowdock/jobs/starving.py
@@ -1,7 +1,7 @@
-"""Jobs that run nothing beside free room: told each second, with what closes the workers to them.
+"""Periodic logging of jobs that run nothing although room is free.
 
-A worker is closed to a step for one reason at a time, the first that applies. Where most of a
-service is free and a task could begin, these counts tell which of them keeps the job waiting.
+For each such job the log line counts the service's workers by the reason for which they are
+excluded for the step. A worker counts for the first reason that applies.
 """
 
 import collections
@@ -18,24 +18,24 @@
 __all__ = ["tell_starving", "why_closed_to"]
 
 _TELL_SECONDS = 1.0
-"""Time between two looks."""
+"""Interval between two checks."""
 
 _IDLE_SECONDS = 1.0
-"""A job that has run nothing for so long is told of; users allow three seconds."""
+"""Time without any run after which a job is logged; the tolerated time is three seconds."""
 
 _MOST_TOLD = 5
-"""The most jobs told of at a time, those that wait longest first: with 270 workers each takes about
-a millisecond to look at."""
+"""Maximum number of jobs logged at a time, longest waiting first; each takes about 1 ms with 270
+workers."""
 
 _MOSTLY_FREE = 0.5
-"""Where more of a service's room is in use, a job may wait for its turn."""
+"""Share of a service's room in use above which a waiting job is not considered starving."""
 
 _SPARE_FACTOR = 2
-"""Room counts as free where it holds what waits so many times over."""
+"""Free room must hold this multiple of the waiting tasks to count as sufficient."""
 
 
 def tell_starving(cell: Cell, now: float) -> None:
-    """Tell of jobs that have run nothing for a while beside free room, if it is time."""
+    """Log jobs that have run nothing for a while although room is free, once per interval."""
     if now - cell.starving_told_at < _TELL_SECONDS:
         return
     cell.starving_told_at = now
@@ -95,7 +95,7 @@
 
 
 def why_closed_to(cell: Cell, step: Step, worker: Worker, now: float) -> Closed | None:
-    """Tell why the next task of a step is not placed on a worker; None where it may be."""
+    """Return why the next task of a step is not placed on a worker, or None if it may be."""
     closed = why_closed(worker, now)
     if closed is not None:
         return closed
--- a/src/snowdock/jobs/suspects.py
+++ b/src/snowdock/jobs/suspects.py
@@ -1,11 +1,12 @@
-"""Who may run beside a task under which workers went, so that it shows whose fault it is.
+"""Isolation of suspects: tasks with runs that were lost with their workers.
 
-The load this answers: a worker runs some ten tasks when one of them ends it, and all of them are
-charged. Placed together again, the innocent are charged again with the guilty one, and given up
-with it. So a suspect shares no worker with another one, and after a second loss a worker with
-nobody. A worker that goes then points at one task.
+When a task crashes a worker, all tasks on that worker are charged. If they were placed together
+again, healthy tasks would be charged repeatedly and given up along with the faulty one. So a
+suspect does not share a worker with another suspect, and after a second loss it gets a worker of
+its own. A further crash then identifies the faulty task.
 
-Where room is short that may have to wait; `_ALONE_SECONDS` and `_APART_SECONDS` bound for how long.
+If room is short, isolation delays the task by at most `_EXCLUSIVE_WAIT_SECONDS` or
+`_SEPARATE_WAIT_SECONDS`.
 """
 
 import dataclasses
@@ -20,24 +21,24 @@
 __all__ = ["Company", "may_join", "next_tasks", "note_crash", "note_suspect", "spread"]
 
 APART_FROM = 1
-"""Losses from which a task is kept apart from other suspects."""
+"""Losses from which a task does not share a worker with other suspects."""
 
 ALONE_FROM = 2
-"""Losses from which a task is kept apart from everything."""
+"""Losses from which a task does not share a worker at all."""
 
 _ALONE_SECONDS = 0.8
 _APART_SECONDS = 1.6
-"""How long a task waits for an empty worker, and for one without a suspect. A start waits for its
-ticket and record besides, and users allow three seconds beside free room."""
+"""How long a task waits for an empty worker, and for one without a suspect. Together with the waits
+for its ticket and record, a start must not exceed three seconds if room is free."""
 
 _UNSOUND_SECONDS = 30.0
 _UNSOUND_MALUS = 10.0
-"""For so long an address where a worker crashed is the last choice for suspects: a worker that goes
-up and down by itself would be charged to whoever is there. The malus is beyond any score."""
+"""For this time an address where a worker crashed is the last choice for suspects: the crashes of a
+flapping worker would be charged to the tasks there. The penalty exceeds any score."""
 
 
 class Company(enum.IntEnum):
-    """Whom a task may share a worker with."""
+    """Which other runs a task may not share a worker with."""
 
     ANYBODY = 0
     NO_SUSPECT = 1
@@ -45,9 +46,9 @@
 
 
 def next_tasks(step: Step, now: float) -> tuple[list[Task], Company]:
-    """Give the waiting tasks of a step to place next, and whom they may share a worker with.
+    """Return the waiting tasks of a step to place next, and their isolation level.
 
-    Those that may share it with most go first; a gang goes whole.
+    Tasks with the lowest level come first; a gang is placed as a whole.
     """
     waiting = [task for task in step.tasks if task.phase is Phase.WAITING]
     if not any(task.lost_runs for task in waiting):
@@ -71,14 +72,14 @@
 
 
 def may_join(worker: Worker, company: Company) -> bool:
-    """Whether a task may share a worker with all that is there."""
+    """Check whether a task's isolation level permits it to join the runs on a worker."""
     if company is Company.NOBODY:
         return not worker.runs
     return company is Company.ANYBODY or not worker.suspects
 
 
 def spread(cell: Cell, step: Step, seats: Iterable[Seats], company: Company) -> list[Seats]:
-    """Give the seats for suspects: one a worker, and those where none crashed lately first."""
+    """Limit seats to one a worker for suspects, and penalize addresses with a recent crash."""
     found = []
     for seat in seats:
         crashed_at = cell.crashed_at.get(seat.worker.entry.address)
@@ -90,12 +91,12 @@
 
 
 def note_suspect(worker: Worker, task: Task, company: Company) -> None:
-    """Remember at a worker that a suspect runs there, and whether nobody may join it."""
+    """Record on a worker that a suspect runs there, and whether it needs exclusive use."""
     if task.lost_runs:
         worker.suspects[task.id, task.run] = company is Company.NOBODY
 
 
 def note_crash(cell: Cell, worker: Worker, now: float) -> None:
-    """Remember where a worker crashed, and forget what was long ago."""
+    """Record the address where a worker crashed, and drop old entries."""
     recent = {at: t for at, t in cell.crashed_at.items() if now - t < _UNSOUND_SECONDS}
     cell.crashed_at = {**recent, worker.entry.address: now}
