--- a/src/snowdock/jobs/forecast.py
+++ b/src/snowdock/jobs/forecast.py
@@ -1,4 +1,4 @@
-"""When runs will end and room will be free, as far as their progress tells."""
+"""Estimates of when runs end and when their room becomes free, from their progress."""
 
 import math
 
@@ -12,16 +12,16 @@
 
 
 def expected_end(step: Step, worker: Worker, now: float) -> float:
-    """Give when a run of a step would end that began on a worker now, in steady seconds."""
+    """Return when a run of a step would end if it began on a worker now, in steady seconds."""
     if step.spec.long_running:
         return math.inf
     return now + usual_seconds(step) * worker.slowness
 
 
 def seconds_left(cell: Cell, worker: Worker, task: Task, now: float) -> float:
-    """Give for how many seconds a task's run is expected to take room at its worker yet.
+    """Return for how many more seconds a task's run is expected to occupy its worker.
 
-    One that should have ended is expected to take as long again as it is overdue.
+    An overdue run is expected to take as much longer as it is overdue.
     """
     return abs(_planned_seconds_left(cell, worker, task, now))
 
@@ -38,9 +38,9 @@
 
 
 def room_to_come(cell: Cell, worker: Worker, now: float) -> list[tuple[float, Size]]:
-    """Give when runs at a worker are expected to end, in steady seconds, and the room of each.
+    """Return the expected end of each run on a worker, in steady seconds, and the room it frees.
 
-    The earliest come first. Runs that nothing on record accounts for are being stopped.
+    The list is sorted by time. Runs that are unknown or outdated are expected to be stopped.
     """
     found = []
     for (task_id, run), room in worker.runs.items():
--- a/src/snowdock/jobs/lives.py
+++ b/src/snowdock/jobs/lives.py
@@ -1,7 +1,7 @@
-"""Names of workers' lives.
+"""Identifiers of worker lives.
 
-A worker may start again under its id, and then holds nothing and knows nothing of before. All that
-is kept of a worker is kept under the name of one life.
+A life is one incarnation of a worker. A worker may restart under its id without its previous state,
+so the leader keeps all state of a worker under the identifier of one life.
 """
 
 __all__ = ["life_of", "worker_of"]
@@ -10,20 +10,20 @@
 
 
 def life_of(worker: str, born_ms: int | None) -> str:
-    """Name one life of a worker.
+    """Return the identifier of one life of a worker.
 
     Parameters
     ----------
     worker
         The worker's id.
     born_ms
-        When this life began, by the worker's time of day, in ms since 1970; None where untold:
-        then the id names its only life.
+        When this life began, by the worker's wall clock, in ms since 1970; None if not reported:
+        then the worker's id identifies its only life.
     """
     return worker if born_ms is None else f"{worker}{_BORN_MARK}{born_ms}"
 
 
 def worker_of(life: str) -> str:
-    """Give the id of the worker whose life is named."""
+    """Return the worker's id from the identifier of one of its lives."""
     worker, mark, born = life.rpartition(_BORN_MARK)
     return worker if mark and born.isdecimal() else life
--- a/src/snowdock/jobs/occupancy.py
+++ b/src/snowdock/jobs/occupancy.py
@@ -1,4 +1,4 @@
-"""The room that runs take: of their worker, and of their team's quota, always of both."""
+"""Accounting of the room that runs occupy on their worker and in their team's quota."""
 
 from .cell import Cell
 from .model import TaskId
@@ -9,13 +9,13 @@
 
 
 def occupy(cell: Cell, worker: Worker, task: TaskId, run: int, step: Step) -> None:
-    """Count a run of a step as one that is, or may be, at a worker."""
+    """Count the room of a run that is, or may be, on a worker."""
     worker.take(task, run, step.spec.room, step.spec.may_yield)
     cell.team_use.hold(worker.life, task, run, step.job.team, step.spec.size)
 
 
 def vacate(cell: Cell, life: str, task: TaskId, run: int) -> None:
-    """Count a run no more that surely neither is nor will be at a worker's life."""
+    """Release the room of a run that certainly is not, and will not be, on a worker's life."""
     worker = cell.workers.get(life)
     if worker is not None:
         worker.release(task, run)
--- a/src/snowdock/jobs/order_answers.py
+++ b/src/snowdock/jobs/order_answers.py
@@ -1,4 +1,4 @@
-"""Answers of workers to starts and stops, or their absence."""
+"""Handling of workers' answers to start and stop orders, and of missing answers."""
 
 from .cell import Cell
 from .durability import RENEW_WAIT_MS, renew
@@ -13,14 +13,14 @@
 __all__ = ["take_start_answer", "take_stop_answer"]
 
 _ABOUT_THE_ORDER = (Refusal.SUPERSEDED, Refusal.MALFORMED)
-"""Refusals that say nothing of the worker; a ticket that does not hold is one more."""
+"""Refusals caused by the order and not by the worker's state; an invalid ticket is another one."""
 
 _UNWELL_SECONDS = 1.0
-"""How long nothing is placed on a worker that turned a start away as unwell."""
+"""Quarantine time of a worker that refused a start, or did not answer it."""
 
 
 def take_start_answer(cell: Cell, event: StartAnswered, now: float) -> None:
-    """Take over the answer to a start, or its absence."""
+    """Handle the answer to a start, or its absence."""
     worker = cell.workers.get(event.life)
     task = cell.find_task(event.task)
     if worker is None:
@@ -52,7 +52,7 @@
     task.phase = Phase.UNSURE
     task.since = now
     if task.step.spec.gang:
-        # The others wait for it, and only for so long.
+        # The other members wait for it, for a limited time only.
         stop_run(cell, task, now)
     if not worker.renewing:
         renew(cell, worker, now, 0)
@@ -75,12 +75,12 @@
     run = task.run
     void_run(cell, task, now)
     if refusal is Refusal.MALFORMED:
-        # Other workers will say the same: without a bound the job never ends for its caller.
+        # Other workers would refuse it as well: without a limit the job would never end.
         refuse_run(cell, task, run, worker.life, now)
 
 
 def take_stop_answer(cell: Cell, event: StopAnswered, now: float) -> None:
-    """Take over the answer to a stop; the end itself comes with a later report."""
+    """Handle the answer to a stop; the run's end itself comes with a later report."""
     worker = cell.workers.get(event.life)
     if worker is None:
         return
@@ -90,7 +90,7 @@
     if stop is None or not event.answered:
         return
     if stop.answered_at is None:
-        # The first answer counts: a repeated stop may not put off what follows from it.
+        # The first answer counts: a repeated stop must not postpone what depends on its time.
         stop.answered_at = now
     if not worker.renewing:
         renew(cell, worker, now, RENEW_WAIT_MS)
--- a/src/snowdock/jobs/orders.py
+++ b/src/snowdock/jobs/orders.py
@@ -1,4 +1,4 @@
-"""What a leader tells workers and the advice service, and what they answer."""
+"""Orders and requests of a leader to workers and the advice service, and their answers."""
 
 import dataclasses
 import enum
@@ -21,24 +21,24 @@
 
 
 class Refusal(enum.Enum):
-    """Why a worker did not do what it was told; it has then done nothing."""
+    """Why a worker refused an order; a refused order has no effect."""
 
     FENCED = "fenced"
-    """It has seen a higher fencing token."""
+    """The worker has seen a higher fencing token."""
     SUPERSEDED = "superseded"
-    """The run is not above one that was stopped or has ended there."""
+    """The run's number is not above that of a run that was stopped or has ended there."""
     LATE = "late"
-    """The lease named in the order was over when it arrived."""
+    """The lease in the order had expired when the order arrived."""
     NO_ROOM = "no_room"
     TICKET = "ticket"
-    """The ticket is missing, expired, or not for this step and life."""
+    """The ticket is missing, expired, or issued for another step or life."""
     UNWELL = "unwell"
     UNREACHED = "unreached"
-    """There was not even a connection, so nothing was sent."""
+    """The connection failed, so nothing was sent."""
     OTHER_LIFE = "other_life"
-    """Another worker answered at the address: the life meant is over."""
+    """Another worker answered at the address: the addressed life has ended."""
     NEXT_LIFE = "next_life"
-    """The worker has begun another life under its id: the one meant is over."""
+    """The worker has restarted under its id: the addressed life has ended."""
     MALFORMED = "malformed"
 
 
@@ -53,12 +53,12 @@
     BROKEN = "broken"
     """Another member of its gang ended."""
     ALONE = "alone"
-    """It waited too long for the other members of its gang."""
+    """The run waited too long for the other members of its gang."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Start a run; ``lease_until_ms`` counts on the worker's clock."""
+    """Start a run; ``lease_until_ms`` is on the worker's clock."""
 
     task: TaskId
     run: int
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop a run, or make sure that it never starts."""
+    """Stop a run, or prevent a run that has not arrived from starting."""
 
     task: TaskId
     run: int
@@ -80,18 +80,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RenewOrder:
-    """Renew the lease of all that runs on a worker, and look at it.
+    """Renew the lease of all runs on a worker, and request a report of them.
 
     Attributes
     ----------
     token
         The fencing token.
     seen_ends
-        The number up to which ended runs are on record and may be forgotten.
+        The number up to which ended runs are recorded, so that the worker may drop them.
     lease_until_ms
-        On the worker's clock; 0 renews nothing.
+        The end of the lease, in ms on the worker's clock; 0 renews nothing.
     wait_ms
-        How long the worker may wait for a run to end before it answers.
+        How long the worker may delay its answer until a run ends, in ms.
     sent_at
         The sender's steady clock, in seconds.
     """
@@ -105,7 +105,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartResult:
-    """A worker's answer to a start; no refusal means that the run is there."""
+    """A worker's answer to a start; without a refusal, the worker has the run."""
 
     refusal: Refusal | None
     clock_ms: float = 0.0
@@ -113,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningRun:
-    """A run that a worker lists; ``percent`` is how far it is, ``load`` a rough recent figure."""
+    """A run that a worker reports; ``percent`` is its progress, ``load`` its approximate load."""
 
     task: TaskId
     run: int
@@ -124,7 +124,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedRun:
-    """An ended run that a worker lists; numbers rise within one life of the worker."""
+    """An ended run that a worker reports; numbers increase within one life of the worker."""
 
     number: int
     task: TaskId
@@ -135,7 +135,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """All that runs on a worker, and the ends that are not forgotten yet."""
+    """All runs on a worker, and the ended runs that it has not dropped yet."""
 
     clock_ms: float
     running: list[RunningRun]
@@ -144,7 +144,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceWanted:
-    """A question to the advice service: which of these workers may run a step."""
+    """A request to the advice service: which of these workers may run a step."""
 
     job: JobId
     repetition: int
@@ -154,7 +154,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceGiven:
-    """Its answer: tickets by worker for those that may run the step."""
+    """The result of a request for advice: tickets by worker, for those that may run the step."""
 
     wanted: AdviceWanted
     tickets: dict[str, str]
--- a/src/snowdock/jobs/progress.py
+++ b/src/snowdock/jobs/progress.py
@@ -1,4 +1,4 @@
-"""The durable record of a job's progress, and of its being taken in or cancelled."""
+"""Durable records of jobs: acceptance, cancellation and progress."""
 
 import hashlib
 
@@ -21,25 +21,25 @@
 ]
 
 CANCEL_PREFIX = "cancel."
-"""Begins the key of a record that cancels a job."""
+"""Prefix of the keys of records that cancel a job."""
 
 _TEAM_MARK = "@"
 _TEAM_DIGEST_BYTES = 6
 
 
 class AcceptedJob(msgspec.Struct, frozen=True, array_like=True):
-    """A job as it was taken in; written once, by the node that took it in.
+    """A job as it was accepted; written once, by the node that accepted it.
 
     Attributes
     ----------
     spec
         What was submitted.
     accepted_ms
-        The taking node's time of day, in ms since 1970.
+        The accepting node's wall clock, in ms since 1970.
     service, priority, max_attempts
-        The queue's terms at that time, for when the queue itself is gone.
+        The queue's settings at that time, used once the queue is removed.
     team
-        The team whose key handed it in; empty where no key was needed.
+        The team whose key submitted the job; empty if no key was required.
     """
 
     spec: JobSpec
@@ -51,24 +51,25 @@
 
 
 class TaskProgress(msgspec.Struct, array_like=True):
-    """Where one task stands.
+    """Progress of one task.
 
     Attributes
     ----------
     repetition, step, index
-        Which task of the job.
+        The task's position within the job.
     run
-        The number of its last start; 0 before the first.
+        The number of its newest run; 0 before the first.
     life
-        The worker's life on which that run is or may be; empty where there is none.
+        The worker's life on which that run is or may be; empty if there is none.
     done
-        Whether a run ended well.
+        Whether a run succeeded.
     failed_runs
-        Runs that ended failed; of a gang's member, the gang's.
+        Numbers of the runs that failed; for a member of a gang, those of the gang.
     checkpoint
-        Where the next run goes on from; empty for the start.
+        The checkpoint from which the next run resumes; empty to start from the beginning.
     lost_runs, crashed_runs
-        Runs that were lost with their worker, and those of them whose worker surely crashed.
+        Numbers of the runs that were lost with their worker, and those of them whose worker
+        certainly crashed.
     """
 
     repetition: int
@@ -84,7 +85,7 @@
 
 
 class JobProgress(msgspec.Struct, array_like=True):
-    """Where a job stands: its status, each task that was ever started, and whose it is."""
+    """Progress of a job: its status, each task that was ever started, and its team."""
 
     status: JobStatus
     tasks: list[TaskProgress]
@@ -92,10 +93,10 @@
 
 
 def record_name(job: JobId, team: str) -> str:
-    """Give the key under which a team's job is taken in.
+    """Return the key under which a team's job is recorded.
 
-    It differs by team: who hands in a job under an identifier of another team's job neither
-    replaces that job's record nor cancels it.
+    The key depends on the team, so that a job submitted under the identifier of another team's job
+    can neither replace that job's record nor cancel it.
     """
     if not team:
         return job
@@ -104,12 +105,12 @@
 
 
 def job_of_record(name: str) -> JobId:
-    """Give the job that a name made by `record_name` is of."""
+    """Return the job identifier from a name made by `record_name`."""
     return name.partition(_TEAM_MARK)[0]
 
 
 def cancel_key(name: str) -> str:
-    """Give the key of the record that cancels the job of a `record_name`."""
+    """Return the key of the record that cancels the job with a given `record_name`."""
     return f"{CANCEL_PREFIX}{name}"
 
 
@@ -119,23 +120,23 @@
 
 
 def decode_accepted(data: bytes) -> AcceptedJob:
-    """Decode a job as it was taken in.
+    """Decode the record of an accepted job.
 
     Raises
     ------
     InvalidInput
-        If the record does not fit.
+        If the record cannot be decoded.
     """
     return _decode(data, AcceptedJob)
 
 
 def decode_progress(data: bytes) -> JobProgress:
-    """Decode a job's progress.
+    """Decode the record of a job's progress.
 
     Raises
     ------
     InvalidInput
-        If the record does not fit.
+        If the record cannot be decoded.
     """
     return _decode(data, JobProgress)
 
@@ -144,4 +145,4 @@
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except UNREADABLE as error:
-        raise InvalidInput(f"a durable record does not fit {kind.__name__}: {error}") from error
+        raise InvalidInput(f"cannot decode record as {kind.__name__}: {error}") from error
--- a/src/snowdock/jobs/speeds.py
+++ b/src/snowdock/jobs/speeds.py
@@ -1,7 +1,7 @@
-"""How fast workers are, learned from the progress of what runs there.
+"""Estimation of workers' speeds from the progress of their runs.
 
-A run's time is taken as its step's usual time times its worker's slowness. Both are learned
-from the progress that workers report, in logarithms, each with what the other is thought to be.
+A run's time is modelled as its step's typical time multiplied by its worker's slowness. Both are
+estimated in logarithms from reported progress, each based on the current estimate of the other.
 """
 
 import math
@@ -14,42 +14,42 @@
 __all__ = ["fade_slowness", "note_progress", "usual_seconds", "would_gain_elsewhere"]
 
 _WINDOW_SECONDS = 0.25
-"""Progress is looked at over at least this long: it is told in whole percents, and a typical
-run makes 4 to 40 of them in that time."""
+"""Minimum time over which progress is measured: it is reported in whole percents, and a typical
+run advances 4 to 40 % in that time."""
 
 _WORKER_WEIGHT = 0.06
-"""Weight of one observation of a worker: some 20 a second come from a busy one, so about a
-second of them decides."""
+"""Weight of one observation in a worker's slowness: a busy worker yields about 20 a second, so the
+estimate covers about the last second."""
 
 _STEP_WEIGHT = 0.25
-"""Weight of one observation of a step: it has few runs, and its first estimate is a guess."""
+"""Weight of one observation in a step's time: a step has few runs, and its initial value is only
+the submitted estimate."""
 
 _LARGEST_LOG = math.log(8)
-"""Observations beyond 8 times as slow, such as of runs that stand still, count as that."""
+"""Limit of one observation, a factor of 8, so that a stalled run does not dominate the estimate."""
 
 _FADE = 0.97
-"""What is left of an idle worker's slowness after each tick (a tenth of a second): half in
-about two seconds, so that it is tried again."""
+"""Factor by which an idle worker's slowness decays each tick of 0.1 s: by half in about two
+seconds, so that the worker is used again."""
 
 _LEAST_SECONDS = 0.05
-"""No run is taken to be shorter: an estimate of 0 has no logarithm."""
+"""Minimum estimate of a run's time, since an estimate of 0 has no logarithm."""
 
 _SLOW = 1.8
-"""Runs are taken away from workers at least so much slower than usual; differences of up to
-half are usual among sound ones."""
+"""Slowness from which runs are moved away from a worker; sound workers differ by up to 50 %."""
 
 _GAIN_FACTOR = 1.6
-"""What is left of a run must take at least so many times as long here as elsewhere."""
+"""A run is moved only if its remaining time here is at least this multiple of that elsewhere."""
 
 _MOVE_SECONDS = 0.5
-"""What a move costs: the stop, new advice, a new start."""
+"""Cost of moving a run: the stop, new advice and a new start."""
 
 _MOST_MOVES = 2
-"""A task is taken away so many times at most, or it might never end."""
+"""Maximum number of moves of a task, so that it ends eventually."""
 
 
 def usual_seconds(step: Step) -> float:
-    """Give how long a run of a step takes on a usual worker, as far as is known."""
+    """Return the estimated time of a run of a step on a worker of normal speed."""
     return max(_LEAST_SECONDS, math.exp(_step_log(step)))
 
 
@@ -60,11 +60,11 @@
 
 
 def note_progress(worker: Worker, task: Task, row: RunningRun, now: float) -> None:
-    """Learn from a report of a run's progress."""
+    """Update the estimates of a worker's slowness and a step's time from a run's progress."""
     if task.phase is not Phase.RUNNING:
         return
     if task.seen_at == 0.0 or row.percent < task.seen_percent:
-        # The first look, or a run that went on from its checkpoint.
+        # The first measurement, or a run that resumed from its checkpoint.
         task.seen_at = now
         task.seen_percent = row.percent
         return
@@ -82,14 +82,14 @@
 
 
 def fade_slowness(cell: Cell) -> None:
-    """Let what is known of idle workers grow old."""
+    """Decay the slowness of idle workers towards normal speed."""
     for worker in cell.workers.values():
         if not worker.runs:
             worker.slow_log *= _FADE
 
 
 def would_gain_elsewhere(cell: Cell, worker: Worker, task: Task) -> bool:
-    """Tell whether a run on a slow worker would end sooner if it began again elsewhere."""
+    """Check whether a run on a slow worker would end sooner if it were moved to another worker."""
     if worker.slowness < _SLOW or task.moves >= _MOST_MOVES or task.phase is not Phase.RUNNING:
         return False
     step = task.step
--- a/src/snowdock/jobs/takeover.py
+++ b/src/snowdock/jobs/takeover.py
@@ -1,4 +1,4 @@
-"""A new leader's state, made from what is on record."""
+"""Reconstruction of a new leader's state from durable records."""
 
 import dataclasses
 
@@ -16,11 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordedJobs:
-    """All that the store keeps of jobs: taken in, cancelled, and how far they are.
+    """All records of jobs in the store: accepted jobs, cancellations and progress.
 
-    What was cancelled is told by its `record_name`. Of ``unreadable`` jobs the progress is there
-    and cannot be read, of ``unstartable`` ones how they were taken in: nothing is told of either,
-    least of all that there is no such job.
+    Cancelled jobs are identified by their `record_name`. ``unreadable`` jobs have a progress record
+    that cannot be decoded, ``unstartable`` ones such an acceptance record. No status is published
+    for either, and they are not reported as unknown.
     """
 
     accepted: dict[JobId, AcceptedJob]
@@ -31,11 +31,11 @@
 
 
 def restore(cell: Cell, recorded: RecordedJobs, now: float, wall_ms: float) -> list[Effect]:
-    """Fill a new leader's state; call before any event, and carry the effects out first.
+    """Restore a new leader's state; call before any event, and execute the effects first.
 
-    Of a job that has ended, and of which nothing runs, only its end may be on record.
+    For a job that has ended and has no runs left, only the final status may be recorded.
 
-    Runs that an earlier leader placed count as running until their worker tells otherwise.
+    Runs placed by an earlier leader count as running until their worker reports otherwise.
     """
     cell.now = now
     cell.unreadable = set(recorded.unreadable)
@@ -63,12 +63,12 @@
 
 
 def _restore_ended(cell: Cell, job_id: JobId, progress: JobProgress, now: float) -> None:
-    """Show how a job has ended of which nothing else is on record."""
+    """Publish the final status of a job for which nothing else is recorded."""
     if not progress.status.is_final:
         cell.tell("job_record_missing", job_id, status=progress.status.name.lower())
         return
     cell.final_jobs[job_id] = now
-    # Its queue is known no more; it counts for none, having ended.
+    # The job's queue is unknown, and not needed since the job has ended.
     cell.emit(PublishStatus(job_id, "", progress.status, progress.team))
 
 
@@ -111,8 +111,8 @@
     task.lost_runs = frozenset(record.lost_runs)
     task.crashed_runs = frozenset(record.crashed_runs)
     task.checkpoint = record.checkpoint
-    # When its phase began is not on record. Left at 0, a task that lasts was cleared of its crashes
-    # by the first report, as if it had worked since this machine's start.
+    # The start of the phase is not recorded. If it were left at 0, the first report would clear a
+    # long-running task of its losses, as if it had run since this machine booted.
     task.since = task.ordered_at = cell.now
     if record.done:
         task.phase = Phase.DONE
--- a/src/snowdock/jobs/times.py
+++ b/src/snowdock/jobs/times.py
@@ -1,4 +1,4 @@
-"""Times that every leader goes by, real or emulated."""
+"""Timeouts and intervals shared by real and emulated leaders."""
 
 __all__ = [
     "HEARING_SECONDS",
@@ -12,47 +12,49 @@
 ]
 
 LEASE_SECONDS = 4.5
-"""The lease that renewals ask for: a takeover takes about two seconds, and a worker that
-vanished blocks its tasks for this long."""
+"""The lease that renewals request. It must outlast a takeover, which takes about two seconds, but
+tasks on a worker that vanished are blocked for this long."""
 
 ISOLATED_SECONDS = 3.0
-"""A leader that reaches neither the store nor any peer for this long may have been replaced
-without learning of it, and gives no more orders."""
+"""Time after which a leader that reaches neither the store nor any peer stops sending orders, since
+it may have been replaced."""
 
 RETENTION_FACTOR = 1.5
-"""A job stays known after its end for so many times as long as callers may ask for it."""
+"""An ended job is kept for this multiple of the time for which callers may query it."""
 
 TICK_SECONDS = 0.1
-"""Time between a leader's looks at what time brings."""
+"""Interval of a leader's timer events."""
 
 LONG_QUESTION_MS = 50.0
-"""A question to the advice service that takes longer is a long one: it could hold up several
-short ones, for jobs with a person waiting."""
+"""Duration from which a request to the advice service counts as long: it could delay several short
+ones for interactive jobs."""
 
 HEARING_SECONDS = 2.0
-"""How long a new leader waits at least for workers to tell of their runs: their entries are known
-when it begins, and a first answer takes up to some half a second."""
+"""Minimum time for which a new leader waits for workers to report their runs: their entries are
+known from the start, and a first answer takes up to about half a second."""
 
 _CLOCK_SLACK_SECONDS = 0.5
-"""What clocks of two nodes, and an order on its way, may add to the end of the last lease."""
+"""Allowance for clock differences between nodes and for orders in transit when the last lease is
+computed."""
 
 
 SLOWEST_CLOCK_RATE = 0.975
-"""A worker's steady clock may run 2 % slow; half a percent is left for the node's own."""
+"""Lowest rate of a worker's steady clock relative to the node's: 2 % slow, with a margin of half a
+percent for the node's own clock."""
 
 
 def takeover_lapse_seconds(longest_lease_s: float) -> float:
-    """Give when, after a claim, all leases that an earlier leader renewed are surely over.
+    """Return the time after a claim by which all leases of earlier leaders have certainly expired.
 
     Parameters
     ----------
     longest_lease_s
-        The longest lease that leaders ask for, in seconds of a worker's clock. A release that asks
-        for more has to reckon with it here one release before.
+        The longest lease that leaders request, in seconds of a worker's clock. Before a release
+        requests a longer lease, the preceding release must already use it here.
 
     Returns
     -------
     float
-        Seconds since the claim: an isolated leader's last orders, and a lease after them.
+        Seconds since the claim: the time until an isolated leader's last orders plus a lease.
     """
     return ISOLATED_SECONDS + longest_lease_s / SLOWEST_CLOCK_RATE + _CLOCK_SLACK_SECONDS
--- a/src/snowdock/jobs/worker_lives.py
+++ b/src/snowdock/jobs/worker_lives.py
@@ -1,4 +1,4 @@
-"""How a worker's life begins and ends for the leader: the list, and refusals of a whole life."""
+"""Beginning and end of worker lives: store entries, and refusals that end a life."""
 
 from .cell import Cell, Orphan
 from .durability import renew
@@ -13,11 +13,11 @@
 __all__ = ["delist_worker", "end_life", "list_named_workers", "list_worker", "take_life_refusal"]
 
 
-_NEXT_LIFE = "its worker has begun another life"
+_NEXT_LIFE = "the worker restarted under its id"
 
 
 def list_worker(cell: Cell, entry: WorkerEntry, now: float) -> None:
-    """Take over a worker's entry."""
+    """Handle a worker's entry in the store, which may be new or updated."""
     _end_other_life(cell, entry, now)
     if entry.life in cell.ended_lives:
         return
@@ -43,7 +43,7 @@
 
 
 def _take_orphan(cell: Cell, worker: Worker, orphan: Orphan, now: float) -> None:
-    """Count a run as there, for now, that waited for a life of its worker."""
+    """Assign a run that waited for a life of its worker to that life, until it reports."""
     task, run = orphan.task, orphan.run
     vacate(cell, orphan.life, task.id, run)
     if not task.is_current_run(run, orphan.life):
@@ -52,15 +52,15 @@
     occupy(cell, worker, task.id, run, task.step)
     note_suspect(worker, task, Company.NO_SUSPECT)
     if orphan.life not in (worker.life, worker.entry.worker):
-        # The life before is over; but its start may yet be carried out by this one.
+        # The previous life has ended, but this one may still execute the start.
         worker.inherited.add((task.id, run))
         charge_orphan(cell, task, orphan.life, now)
 
 
 def _end_other_life(cell: Cell, entry: WorkerEntry, now: float) -> None:
-    """Take the life that was listed under a worker's id before as over, where it is another one.
+    """End the life that was listed before under a worker's id, if it is another one.
 
-    Whichever was listed last counts: a time of day may be set back between two lives.
+    The life that was listed last counts, since a wall clock may be set back between two lives.
     """
     before = cell.newest_lives.get(entry.worker)
     cell.newest_lives[entry.worker] = entry.life
@@ -75,17 +75,17 @@
 
 
 def list_named_workers(cell: Cell, now: float) -> None:
-    """Take over the entries of workers whose service has come to be named."""
+    """Handle the pending entries of workers again after a change to the known services."""
     waiting, cell.unnamed = cell.unnamed, {}
     for entry in waiting.values():
         list_worker(cell, entry, now)
 
 
 def delist_worker(cell: Cell, life: str, may_return: bool, now: float) -> None:
-    """Note that an entry is gone; what runs there runs on until its lease is over.
+    """Handle the removal of a worker's entry; its runs continue until their lease expires.
 
-    An entry that goes while the store is well is that of a worker that leaves without having
-    said so, is cut off, or is gone.
+    If the store is healthy, a removed entry means that the worker shut down without draining, is
+    partitioned, or has ended.
     """
     cell.ended_lives.discard(life)
     cell.unnamed.pop(life, None)
@@ -109,9 +109,9 @@
     has_crashed: bool = False,
     has_next_life: bool = False,
 ) -> None:
-    """Take a worker's life as over, and with it all that ran there.
+    """End a worker's life, and mark all runs on it as lost.
 
-    A start that it did not answer may yet be carried out by its next life under the same id.
+    A start that it did not answer may still be executed by its next life under the same id.
     """
     if has_crashed:
         note_crash(cell, worker, now)
@@ -127,17 +127,17 @@
 
 
 def _forget_name(cell: Cell, life: str) -> None:
-    """Forget a life of which nothing is kept any more."""
+    """Drop the newest-life entry of a worker whose life is no longer tracked."""
     worker = worker_of(life)
     if cell.newest_lives.get(worker) == life:
         del cell.newest_lives[worker]
 
 
 def take_life_refusal(cell: Cell, worker: Worker, refusal: Refusal | None, now: float) -> bool:
-    """Take over a refusal that tells of the worker as a whole; tell whether this one did."""
+    """Handle a refusal that concerns the worker's life; return whether it was one."""
     if refusal is Refusal.OTHER_LIFE:
         has_crashed = not worker.entry.draining
-        end_life(cell, worker, now, "another life answered at its address", has_crashed)
+        end_life(cell, worker, now, "another life answered at the worker's address", has_crashed)
         return True
     if refusal is Refusal.NEXT_LIFE:
         end_life(cell, worker, now, _NEXT_LIFE, not worker.entry.draining, has_next_life=True)
--- a/src/snowdock/jobs/worker_reports.py
+++ b/src/snowdock/jobs/worker_reports.py
@@ -1,4 +1,4 @@
-"""Answers to renewals: what a worker reports of its runs, or that it does not answer."""
+"""Handling of answers to renewals: workers' reports of their runs, and missing answers."""
 
 from ..declarations import ZERO
 from .cell import Cell
@@ -17,14 +17,15 @@
 __all__ = ["take_renewal"]
 
 _SILENT_RETRY_SECONDS = 0.4
-"""Pause before a worker that gave no answer again is called; after the first time, none."""
+"""Delay before the next renewal after repeated missing answers; the first one is retried at
+once."""
 
 _IDLE_RENEW_SECONDS = 2.0
-"""How often an empty worker is looked at; nothing there needs its lease."""
+"""Interval of renewals for a worker without runs, which needs no lease."""
 
 
 def take_renewal(cell: Cell, event: RenewAnswered, now: float) -> None:
-    """Take over the answer to a renewal, or its absence."""
+    """Handle the answer to a renewal, or its absence."""
     worker = cell.workers.get(event.life)
     if worker is None:
         return
@@ -85,7 +86,7 @@
 
 
 def _tell_passed_over(cell: Cell, worker: Worker, end: EndedRun) -> None:
-    """Tell of an end that counts as known by its number, while its run counts as there."""
+    """Log an end that counts as processed by its number although its run is still tracked."""
     cell.tell(
         "end_passed_over",
         end.task.job,
@@ -138,14 +139,14 @@
 
 
 def _stop_stray(cell: Cell, worker: Worker, task: TaskId, run: int, now: float) -> None:
-    """Stop a run that nothing on record accounts for any more, and count its room."""
+    """Stop a run that is unknown or outdated, and count its room until it ends."""
     if (worker.life, task, run) in cell.stops:
         return
     known = cell.find_task(task)
     if known is not None:
         occupy(cell, worker, task, run, known.step)
     else:
-        # How much room it takes is on record no more; it may be all that is free.
+        # The run's size is unknown, so all free room is counted as taken.
         worker.take(task, run, worker.free.at_least(ZERO))
     send_stop(cell, worker.life, task, run, now)
     cell.tell("stray_stopped", task.job, task=task, run=run, worker=worker.life)
@@ -154,7 +155,7 @@
 def _check_missing(
     cell: Cell, worker: Worker, listed: set[tuple[TaskId, int]], sent_at: float, now: float
 ) -> None:
-    """Find runs that should be there and are not listed."""
+    """Handle runs that are tracked on a worker but missing from its report."""
     for task_id, run in list(worker.runs):
         if (task_id, run) in listed:
             continue
@@ -163,12 +164,12 @@
         stop = cell.stops.get((worker.life, task_id, run))
         if stop is not None:
             if stop.answered_at is not None and stop.answered_at < sent_at:
-                # The worker has refused it for good, or its end was forgotten.
+                # The worker will not start the run any more, or has dropped its end.
                 _void(cell, worker, task if current else None, task_id, run, now)
         elif not current:
             vacate(cell, worker.life, task_id, run)
         elif (task_id, run) in worker.inherited and task.phase is not Phase.DONE:
-            # Refused there for good, it cannot come later either.
+            # After a stop, the worker refuses the run if its start arrives late.
             stop_run(cell, task, now)
         elif not worker.settled or task.phase is Phase.DONE:
             _void(cell, worker, task, task_id, run, now)
--- a/src/snowdock/jobs/worker_watch.py
+++ b/src/snowdock/jobs/worker_watch.py
@@ -1,4 +1,4 @@
-"""What time brings at workers: renewals that are due, leases that are over, stops to repeat."""
+"""Periodic checks of workers: due renewals, expired leases and stops to repeat."""
 
 from .cell import Cell, Stop
 from .durability import RENEW_WAIT_MS, renew
@@ -15,19 +15,19 @@
 __all__ = ["watch_workers"]
 
 _STOP_RETRY_SECONDS = 0.5
-"""Pause before a stop without an answer is sent again."""
+"""Delay before an unanswered stop is sent again."""
 
 _ANSWERED_STOP_RETRY_SECONDS = 2.0
-"""Pause before a stop that was answered is repeated: its end comes with a report, and one may
-wait for a second."""
+"""Delay, added to the stop timeout, before an answered stop is sent again: the run's end comes with
+a report, which may take a second."""
 
 _DELISTED_CLOSE_SECONDS = 15.0
-"""How long an empty worker that is no longer listed is still called: entries that lapsed with
-the store are back in about two seconds, and a lease is over long before."""
+"""How long a worker without runs is still called after its entry was removed: entries that expired
+during a store outage are restored in about two seconds."""
 
 
 def watch_workers(cell: Cell, now: float) -> None:
-    """Renew what is due, give up what is surely over, and repeat stops."""
+    """Send due renewals, mark runs with expired leases as lost, and repeat stops."""
     fade_slowness(cell)
     for worker in list(cell.workers.values()):
         _watch_worker(cell, worker, now)
@@ -37,7 +37,7 @@
 
 
 def _lose_orphans(cell: Cell, now: float) -> None:
-    """Give up runs whose worker has not become known for as long as they may still be there."""
+    """Mark orphaned runs as lost once their leases have expired and no worker was listed."""
     for worker, orphans in list(cell.orphans.items()):
         for orphan in [each for each in orphans if _is_lapsed(cell, each.since, now)]:
             orphans.remove(orphan)
@@ -51,7 +51,7 @@
 
 def _watch_worker(cell: Cell, worker: Worker, now: float) -> None:
     if worker.silent_since is not None and worker.runs and _is_over(cell, worker, now):
-        lose_runs(cell, worker, now, "its leases are over and it does not answer")
+        lose_runs(cell, worker, now, "the worker does not answer and its leases have expired")
         worker.settled = False
     if not worker.listed and not worker.runs:
         quiet = worker.silent_since is not None or not worker.settled
@@ -71,14 +71,14 @@
 
 
 def _are_earlier_leases_over(cell: Cell, now: float) -> bool:
-    """Whether no lease that an earlier leader gave can still hold."""
-    # Leases are counted from the claim: reading the records may take seconds on a store that loses
-    # answers, and tasks that last stand meanwhile.
+    """Check whether all leases granted by earlier leaders have expired."""
+    # Measured from the claim and not from the start, since reading the records may take seconds on
+    # a slow store and would delay the restart of long-running tasks.
     return _is_lapsed(cell, cell.claimed_at, now)
 
 
 def _is_lapsed(cell: Cell, since: float, now: float) -> bool:
-    """Whether no lease that was given until a moment can still hold, where workers had a say."""
+    """Check whether leases granted before a time have expired, and workers had time to report."""
     has_heard = now - cell.started_at >= HEARING_SECONDS
     return has_heard and now - since >= cell.settings.takeover_lapse_s
 
--- a/src/snowdock/jobs/workers.py
+++ b/src/snowdock/jobs/workers.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one life of a worker."""
+"""The leader's state of one life of a worker."""
 
 import dataclasses
 import enum
@@ -14,34 +14,34 @@
 
 
 class AsideCause(enum.Enum):
-    """What speaks against a worker that is set aside."""
+    """Why a worker is quarantined."""
 
     FAILURES = "failures"
-    """Runs failed there."""
+    """Runs failed on the worker."""
     UNANSWERED = "unanswered"
-    """A start had no answer."""
+    """The worker did not answer a start."""
     REFUSED = "refused"
-    """It refused a start."""
+    """The worker refused a start."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """A worker as it records itself.
+    """A worker's entry in the store, as the worker published it.
 
     Attributes
     ----------
     life
-        Names one life of the worker, see `lives`.
+        The identifier of one life of the worker, see `lives`.
     service, address, hall, rack
-        Its pool, IP number and port, data hall and rack.
+        Its pool, IP address and port, data hall and rack.
     labels
-        All its labels, the rack's included.
+        All its labels, including that of the rack.
     capacity
-        All its room.
+        Its total room.
     draining
-        Whether it is about to leave and takes nothing new.
+        Whether it is about to shut down and accepts nothing new.
     remaining_ms
-        While it drains: the least time left; None where not told.
+        The minimum time left while it drains; None if not reported.
     """
 
     life: str
@@ -56,23 +56,22 @@
 
     @property
     def worker(self) -> str:
-        """The worker's id, which its next life may have as well."""
+        """The worker's id, which its next life may reuse."""
         return worker_of(self.life)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hold:
-    """Room at one worker that is kept for a step.
+    """Room on one worker that is reserved for a step.
 
     Attributes
     ----------
     room
-        How much.
+        The reserved room.
     due
-        When the step is expected to take it, in steady seconds: a run that ends before may use
-        it.
+        When the step is expected to use it, in steady seconds: a run that ends before may use it.
     rank
-        What ranks higher than this may use it too.
+        The step's rank; higher-ranked steps may use the room too.
     """
 
     room: Size
@@ -82,7 +81,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Charge:
-    """A step whose runs failed on a worker, how many did, and when last, in steady seconds."""
+    """Failed runs of a step on one worker: their number, and the last time in steady seconds."""
 
     step: Step
     runs: int = 0
@@ -91,66 +90,66 @@
 
 @dataclasses.dataclass(slots=True)
 class Worker:
-    """One life of a worker, as the leader sees it.
+    """The leader's state of one life of a worker.
 
     Attributes
     ----------
     entry
-        What it last recorded of itself.
+        Its latest entry in the store.
     used
-        Room taken by all that runs, may run, or is being stopped there.
+        Room taken by all runs that are, or may be, there, including those being stopped.
     runs
-        Room by (task, run) of all that is or may be there.
+        Room by (task, run) of all runs that are, or may be, there.
     yielding, yieldable
-        Those of the runs that may be stopped and go on elsewhere, and the room they take.
+        The runs that may be preempted and resume elsewhere, and the room they take.
     claims
-        Room that is kept for steps, by step.
-    listed
-        Whether the store still lists it; ``delisted_at`` tells since when not.
+        Room that is reserved for steps, by step.
+    listed, delisted_at
+        Whether the store lists it, and if not, since when, in steady seconds.
     may_return
-        Of a worker that is not listed: whether its entry may have lapsed with the store.
+        If it is not listed: whether its entry may have expired due to a store outage.
     settled
-        Whether it has answered a renewal with this leader's token since it was last lost.
+        Whether it has answered a renewal of this leader since its runs were last marked as lost.
     clock_ms, clock_at
-        Its clock in an answer, and the steady time in seconds when that answer came.
+        Its clock in its latest answer, and the steady time in seconds when that answer arrived.
     lease_until_ms
-        The latest lease end that was ever sent to it, on its clock.
+        The latest lease end ever sent to it, on its clock.
     seen_ends
-        Ends up to this number are on record.
+        The number up to which ended runs are recorded.
     known_ends
-        Ends up to this number have been taken over, but may not be on record yet.
+        The number up to which ended runs have been processed, though maybe not recorded yet.
     renewing
-        Whether a renewal is on its way.
+        Whether a renewal is in progress.
     next_renew_at
         When the next renewal is due, in steady seconds.
     heard_at
-        When it last told what runs there, in steady seconds.
+        When its last report arrived, in steady seconds.
     silent_since
-        When a call first found no answer; None while it answers.
+        When a call first failed to get an answer, in steady seconds; None while it answers.
     is_mute
-        Whether several calls in a row found no answer.
+        Whether several calls in a row got no answer.
     charged
-        Steps whose runs failed there since one ended well, and how many runs of each.
+        Failed runs since the last success there, by step.
     doubt
-        How much these failures speak against it, as last reckoned; see `failed_runs`.
+        The failure score computed from them; see `failed_runs`.
     times_aside
-        How often it was set aside for failures since a run ended well there.
+        How often it was quarantined for failures since the last success there.
     trial_until, trial
-        Until when it takes one run at a time after that, in steady seconds, and which one it took.
+        Until when it is on probation, in steady seconds, and the run it took on probation.
     aside_until
-        Until when nothing new is placed there, in steady seconds.
+        Until when it is quarantined, in steady seconds.
     aside_for
-        What it is, or was last, set aside for; None once it is known to be back.
+        Why it is, or was last, quarantined; None once its release is logged.
     slow_log
-        The logarithm of how many times longer runs take there than usual.
+        The logarithm of the factor by which runs take longer there than normal.
     suspects
-        Of the runs, those of tasks under which workers went before; True where nothing may join.
+        The runs of suspects there, see `suspects`; True for those that need exclusive use.
     lost
-        Runs that were charged as lost there since it last answered, and whether it had told of
-        each: how it went is not known yet.
+        Runs charged as lost there since its last answer, and whether it had confirmed each of
+        them: it is not known yet whether the worker crashed.
     inherited
-        Of the runs, those that were placed on an earlier life; whether they came here is not known
-        before it first tells what runs.
+        The runs that were placed on an earlier life; whether this one has them is unknown until
+        its first report.
     """
 
     entry: WorkerEntry
@@ -189,33 +188,33 @@
 
     @property
     def life(self) -> str:
-        """Names this life of the worker."""
+        """The identifier of this life of the worker."""
         return self.entry.life
 
     @property
     def is_kept_alone(self) -> bool:
-        """Whether a run there has to be alone."""
+        """Whether a run there requires exclusive use of the worker."""
         return bool(self.suspects) and any(self.suspects.values())
 
     @property
     def is_aside_for_failures(self) -> bool:
-        """Whether it is set aside since runs failed there, as far as is told."""
+        """Whether it is quarantined for failures, or its release is not logged yet."""
         return self.aside_for is AsideCause.FAILURES
 
     @property
     def failure_streak(self) -> int:
-        """How many steps have failed there in a row."""
+        """The number of steps with failed runs there since the last success."""
         return len(self.charged)
 
     @property
     def slowness(self) -> float:
-        """How many times longer runs take here than usual."""
+        """The factor by which runs take longer here than on a worker of normal speed."""
         return math.exp(self.slow_log)
 
     @property
     def free(self) -> Size:
-        """Room that nothing takes."""
-        # Passes ask for it some thousand times a second; it changes with a run's start or end.
+        """Room that no run takes."""
+        # Cached: read very often by placement passes, and changed only when a run starts or ends.
         of = self._free_of
         if of is None or of[0] is not self.entry.capacity or of[1] is not self.used:
             self._free_of = (self.entry.capacity, self.used)
@@ -223,9 +222,9 @@
         return self._free
 
     def still_holds(self, room: Size) -> bool:
-        """Whether a run of that room, which is counted here, is within what there is now.
+        """Check whether a run that is counted here still fits into the worker's capacity.
 
-        The room of a worker may have shrunk since the run was placed.
+        The capacity may have shrunk since the run was placed.
         """
         free = self.free
         return (
@@ -235,14 +234,14 @@
         )
 
     def free_for(self, step: StepKey, rank: float = -math.inf, ends_at: float = math.inf) -> Size:
-        """Room that nothing takes and that is kept for no other step.
+        """Return the free room that is not reserved for other steps.
 
         Parameters
         ----------
         step, rank
-            The step that asks, and its rank.
+            The requesting step, and its rank.
         ends_at
-            When a run of it would end there, in steady seconds.
+            When a run of the step would end there, in steady seconds.
         """
         free = self.free
         for key, hold in self.claims.items():
@@ -251,7 +250,7 @@
         return free
 
     def unclaimed(self, step: StepKey) -> Size:
-        """Room that nothing takes and for which no runs are being stopped; it may be reserved."""
+        """Return the free room that may be reserved, without that being freed by preemption."""
         return self.free_for(step, rank=math.inf)
 
     def take(self, task: TaskId, run: int, size: Size, may_yield: bool = False) -> None:
@@ -265,7 +264,7 @@
             self.yieldable = self.yieldable.plus(size)
 
     def release(self, task: TaskId, run: int) -> None:
-        """Give a run's room back, if it was taken."""
+        """Release a run's room, if it was taken."""
         size = self.runs.pop((task, run), None)
         if size is None:
             return
@@ -277,19 +276,19 @@
         self.inherited.discard((task, run))
 
     def note_clock(self, clock_ms: float, now: float) -> None:
-        """Remember the worker's clock from an answer that came now."""
+        """Update the worker's clock from an answer that arrived now."""
         if clock_ms > 0 and clock_ms >= self.clock_ms:
             self.clock_ms = clock_ms
             self.clock_at = now
 
     def extend_lease(self, now: float, lease_s: float) -> int:
-        """Note that a lease from now on is sent; give its end in ms on the worker's clock."""
+        """Record a new lease that starts now, and return its end in ms on the worker's clock."""
         until = int(self.clock_ms + (now - self.clock_at + lease_s) * 1000)
         self.lease_until_ms = max(self.lease_until_ms, until)
         return until
 
     def is_surely_lapsed(self, now: float) -> bool:
-        """Whether every lease ever sent is over, however slow the worker's clock runs."""
+        """Check whether every lease ever sent has expired, even if the worker's clock is slow."""
         if not self.clock_ms:
             return False
         earliest = self.clock_ms + (now - self.clock_at) * 1000 * SLOWEST_CLOCK_RATE
