--- a/tests/test_jobs_chaos.py
+++ b/tests/test_jobs_chaos.py
@@ -1,4 +1,4 @@
-"""Random troubles against the real decisions, in virtual time: what must hold, holds."""
+"""Tests of the scheduler's invariants under random faults, on the emulator."""
 
 import dataclasses
 import random
@@ -18,7 +18,7 @@
 
 
 def trouble(emulator: Emulator, source: random.Random, kinds: int) -> None:
-    """Break or mend one thing."""
+    """Inject or repair one random fault."""
     kind = source.randrange(kinds)
     lives = [life for life, model in emulator.workers.items() if model.is_up]
     life = source.choice(lives)
@@ -67,7 +67,7 @@
 def play(
     seed: int, crashing_share: float = 0.0, kinds: int = RESTART
 ) -> tuple[Emulator, list[DrawnJob]]:
-    """Play a day with troubles of the first so many kinds."""
+    """Run the emulator with random faults of the first `kinds` kinds."""
     source = random.Random(seed)
     mixes = [
         dataclasses.replace(mix, crashing_share=crashing_share)
@@ -92,7 +92,7 @@
 
 class TestChaos(unittest.TestCase):
     def test_promises_hold_and_all_jobs_end(self) -> None:
-        """No limit, doubling, order, attempts or cancelling broken, and no job is forgotten."""
+        """Limits, single execution, order, attempts and cancellation hold, and every job ends."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed)
@@ -100,7 +100,7 @@
                 self.assertEqual(unended(emulator, jobs), [])
 
     def test_tasks_that_end_their_workers(self) -> None:
-        """Beside all troubles they are given up within their bound, and nothing else hangs."""
+        """Crashing tasks are given up within their limit, and every other job ends."""
         for seed in CRASHING_SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed, crashing_share=0.02)
@@ -112,7 +112,7 @@
                 self.assertEqual(unended(emulator, jobs), [])
 
     def test_workers_that_restart_under_their_ids(self) -> None:
-        """Beside all other troubles, no life's runs, ends or leases are taken for another's."""
+        """Runs, ends and leases of a worker's lives are not mixed up, beside all other faults."""
         for seed in RETURNING_SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed, kinds=RESTART + 1)
@@ -120,7 +120,7 @@
                 self.assertEqual(unended(emulator, jobs), [])
 
     def test_calm_day_wastes_nothing(self) -> None:
-        """Without troubles no gang waits in vain and all jobs end as they should."""
+        """Without faults there are no violations, and jobs whose runs always fail have failed."""
         workload = WorkloadOptions(SECONDS, 0.5, default_mixes())
         jobs = draw_workload(7, workload)
         emulator = Emulator(7, EmulatorOptions(workload), jobs)
--- a/tests/test_jobs_crash_replay.py
+++ b/tests/test_jobs_crash_replay.py
@@ -1,4 +1,4 @@
-"""Walks of the model of crashing tasks, replayed on the real reducer: both count alike."""
+"""Replay of random walks through the model of crashing tasks on the real reducer."""
 
 import random
 import unittest
@@ -15,15 +15,15 @@
 WALKS = 150
 STEPS = 60
 _LAPSE_SECONDS = 12.0
-"""When runs on workers that a new leader never learned of are over."""
+"""Time after which runs on workers unknown to a new leader count as lost."""
 
 
 class Replay:
-    """Feeds what happens in a walk to the reducer."""
+    """Feeds the transitions of a walk to the reducer."""
 
     def __init__(self) -> None:
         self.leaders = Leaders(SMALL, workers=0)
-        # Batches wait until the walk says that they are on record.
+        # Batches wait until the walk records them.
         self.leaders.bench.holds_store = True
         self.life = ""
         self.is_listed = True
@@ -34,11 +34,11 @@
         return step.tasks[0]
 
     def take(self, label: str) -> None:
-        """Let one thing happen."""
+        """Apply the transition with a given label."""
         take = {
             "is placed": self._place,
             "is on record": self._record,
-            # The model tells runs apart by whether their number is odd.
+            # The model keeps run numbers modulo 2, so an older record may count as this run's.
             "is sent": self._record,
             "another leader takes over": self._take_over,
             "is answered": lambda: self._answer(is_answered=True),
@@ -56,7 +56,7 @@
     def _place(self) -> None:
         if not self.task.life:
             self.leaders.add_worker()
-            # A suspect waits for company that suits it.
+            # Wait for the end of the suspect's isolation.
             self.leaders.bench.tick(2.0)
         self.life = self.task.life
         self.is_listed = True
@@ -89,8 +89,8 @@
         self.is_listed = True
 
     def _deny(self) -> None:
-        """Have the worker tell that the run is not there, and refuse it for good."""
-        # It takes nothing more: the walk says when the task is placed again.
+        """Report that the run is not on the worker, and confirm its stop."""
+        # The worker drains so that the task is placed again only when the walk places it.
         self._list(draining=True)
         bench = self.leaders.bench
         run = self.task.run
@@ -100,7 +100,7 @@
                 return
             bench.tick(0.1)
             bench.feed(StopAnswered(self.life, self.task.id, run, True, None))
-        raise AssertionError("the run is still taken as there")
+        raise AssertionError("the run still counts as placed on the worker")
 
     def _end_life(self) -> None:
         self._list()
@@ -118,7 +118,7 @@
 
 class TestReplay(unittest.TestCase):
     def test_walks(self) -> None:
-        """Charges, and whether the task is given up, are those of the model after each step."""
+        """After each transition, the reducer's charges and the job's failure match the model."""
         model = crash_model.Model(crash_model.Bounds(takeovers=4), Rules(""))
         given_up = 0
         for seed in range(WALKS):
@@ -127,7 +127,7 @@
         self.assertGreater(given_up, WALKS // 10)
 
     def walk(self, model: crash_model.Model, source: random.Random) -> bool:
-        """Replay one walk; tell whether the task was given up."""
+        """Replay one walk; return whether the task was given up."""
         state, replay, labels = State(), Replay(), []
         for _ in range(STEPS):
             steps = model.transitions(state)
--- a/tests/test_jobs_crashes.py
+++ b/tests/test_jobs_crashes.py
@@ -20,15 +20,15 @@
 from tests.standins.entry_cluster import EntryCluster
 
 MOST_STARTS = 5
-"""After three crashes under a task, fewer than three more starts."""
+"""Limit of a crashing task's starts: at most two more after its third crash."""
 
 ROUNDS = 12
 
 
 class Crashes:
-    """Workers that one task ends whenever it starts there; all other tasks end well.
+    """Workers that crash whenever one given task starts; all other tasks succeed.
 
-    Workers return as another life at the same address.
+    Each crashed worker is replaced by a new one.
     """
 
     def __init__(self, guilty: int = 0) -> None:
@@ -44,7 +44,7 @@
         self.bench.add_worker(f"w{self._lives}")
 
     def carry_out(self, starts: list[SendStart]) -> bool:
-        """Start runs as ordered; tell whether a worker crashed."""
+        """Execute starts; return whether a worker crashed."""
         crashed = set()
         for start in starts:
             if start.order.task.index == self.guilty:
@@ -63,7 +63,7 @@
         return bool(crashed)
 
     def play(self, after_crash=lambda: None) -> None:
-        """Go on until nothing is started any more, or for a number of rounds."""
+        """Execute starts for `ROUNDS` rounds."""
         for _ in range(ROUNDS):
             if self.carry_out(self.bench.new_starts()):
                 after_crash()
@@ -75,7 +75,7 @@
         return bench.cell.jobs[job].status
 
     def test_it_is_given_up(self) -> None:
-        """A task that ends each worker that starts it is given up, and its job has failed."""
+        """A task that crashes every worker is given up, and its job fails."""
         crashes = Crashes()
         job = crashes.bench.submit(SMALL)
         crashes.play()
@@ -83,7 +83,7 @@
         self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
 
     def test_successors_count_on(self) -> None:
-        """It is given up as soon where another leader takes over after each crash."""
+        """The limit also holds if the leader changes after each crash."""
         crashes = Crashes()
         spec = accepted(SMALL)
         job = crashes.bench.submit(SMALL)
@@ -106,7 +106,7 @@
 
 
 class TestCharges(unittest.TestCase):
-    """What counts as a crash, and what only as a loss."""
+    """Classification of lost runs as crashes or losses."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -122,14 +122,14 @@
         return len(self.task.crashed_runs), len(self.task.lost_runs)
 
     def pass_time(self, seconds: float, running=()) -> None:
-        """Let time pass while the worker tells what runs there."""
+        """Advance time while the worker reports its runs."""
         for _ in range(round(seconds * 10)):
             self.bench.tick(0.1)
             if "w" in self.bench.renewals:
                 self.bench.report("w", running=running)
 
     def start_on_another(self) -> SendStart:
-        """Give the start that the task gets on a new worker."""
+        """Return the start that the task gets on a new worker."""
         self.bench.add_worker("v")
         self.bench.tick(0.2)
         (again,) = [each for each in self.bench.starts(self.bench.seen) if each.life == "v"]
@@ -139,18 +139,18 @@
         cut_off(self.bench, "w", seconds)
 
     def test_another_life_is_a_crash(self) -> None:
-        """A worker whose next life answers has crashed."""
+        """A worker whose next life answers counts as crashed."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (1, 1))
 
     def test_start_without_an_answer(self) -> None:
-        """Where the start was not answered, the worker may have gone before it arrived: a loss."""
+        """If the start was not answered, the worker may have ended before it arrived: a loss."""
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 1))
 
     def test_worker_that_had_said_it_leaves(self) -> None:
-        """Where the worker was draining, the end of its life is charged to nobody."""
+        """A run of some seconds is not charged if its worker was draining."""
         self.bench.confirm(self.start)
         self.bench.drain("w")
         self.pass_time(3.0, running=[(self.task.id, 1, 1.0)])
@@ -158,7 +158,7 @@
         self.assertEqual(self.counts(), (0, 0))
 
     def test_run_that_is_being_stopped(self) -> None:
-        """A run that worked for long is no younger for being stopped as its worker leaves."""
+        """Stopping a run on a draining worker does not make it count as just begun."""
         self.bench.confirm(self.start)
         self.bench.drain("w")
         self.pass_time(3.0, running=[(self.task.id, 1, 1.0)])
@@ -167,11 +167,7 @@
         self.assertEqual(self.counts(), (0, 0))
 
     def test_worker_that_leaves_as_soon_as_it_is_given_a_task(self) -> None:
-        """A draining worker takes nothing new, and ends seconds later: what is younger may be why.
-
-        A task that ended each worker was started three times after its third crash, since one of
-        its workers was draining when it went, 0.4 s after the start.
-        """
+        """A run that just began is charged with a loss, since it may have crashed the worker."""
         self.bench.drain("w")
         self.bench.confirm(self.start)
         self.bench.tick(0.4)
@@ -179,7 +175,7 @@
         self.assertEqual(self.counts(), (0, 1))
 
     def test_task_that_lasts_outlives_a_roll(self) -> None:
-        """A task that lasts goes on, however many workers are replaced under it in turn."""
+        """A long-running task keeps running, however many of its workers are replaced in turn."""
         bench = self.bench = Bench()
         bench.add_worker("w0")
         job = bench.submit(msgspec.structs.replace(SMALL, long_running=True))
@@ -193,7 +189,7 @@
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
 
     def test_silence_is_a_loss_until_another_life_answers(self) -> None:
-        """Leases that are over tell of no crash; another life's answer after them does."""
+        """Expired leases count as a loss, a later answer of another life as a crash."""
         self.bench.confirm(self.start)
         self.fall_silent(9.0)
         self.assertEqual(self.counts(), (0, 1))
@@ -201,7 +197,7 @@
         self.assertEqual(self.counts(), (1, 1))
 
     def test_worker_that_was_cut_off_has_not_crashed(self) -> None:
-        """A worker that answers again after its leases takes nothing as a crash later."""
+        """A run is not charged as a crash if its worker answered after its leases expired."""
         self.bench.confirm(self.start)
         self.fall_silent(9.0)
         self.bench.report("w")
@@ -210,7 +206,7 @@
         self.assertEqual(self.task.crashed_runs & {1}, set())
 
     def test_placement_that_was_never_sent_is_not_charged(self) -> None:
-        """A start that waits for its record has done nothing to the worker."""
+        """A start that still waits for its record cannot have affected the worker."""
         bench = self.bench = Bench()
         bench.add_worker("w")
         bench.holds_store = True
@@ -222,7 +218,7 @@
         self.assertEqual(task.lost_runs, frozenset())
 
     def test_age_of_a_placement_that_was_never_sent(self) -> None:
-        """What is logged of it goes by the placement, not by an earlier run's order."""
+        """The logged age is based on this placement, not on the order of an earlier run."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
         self.bench.tick(10.0)
@@ -238,7 +234,7 @@
         self.assertLess(dict(line.fields)["silent_after_s"], 5.0)
 
     def test_orphan_is_a_loss(self) -> None:
-        """A run whose worker a new leader never gets to know is charged as a loss."""
+        """A run whose worker stays unknown to a new leader is charged as a loss."""
         progress = decode_progress(self.bench.recorded[self.job])
         self.bench = Bench(2)
         self.bench.restore(RecordedJobs({self.job: accepted(SMALL)}, set(), {self.job: progress}))
@@ -246,7 +242,7 @@
         self.assertEqual(self.counts(), (0, 1))
 
     def test_late_crash_is_put_on_record(self) -> None:
-        """What another life's answer tells after the leases were over is known to successors."""
+        """A crash that is detected after the leases expired is recorded for later leaders."""
         self.bench.confirm(self.start)
         self.fall_silent(9.0)
         self.bench.end_life("w")
@@ -255,13 +251,13 @@
         self.assertEqual((task.crashed_runs, task.lost_runs), ([1], [1]))
 
     def test_run_that_only_a_report_told_of(self) -> None:
-        """A start without an answer counts as a crash once a report has listed its run."""
+        """An unanswered start counts as a crash if a report has listed its run."""
         self.bench.report("w", running=[(self.task.id, 1, 1.0)])
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (1, 1))
 
     def test_second_run_is_told_of_anew(self) -> None:
-        """What was told of an earlier run says nothing of the next."""
+        """The confirmation of an earlier run does not apply to the next one."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
         self.start_on_another()
@@ -269,7 +265,7 @@
         self.assertEqual(self.counts(), (1, 2))
 
     def test_unanswered_start_on_a_draining_worker(self) -> None:
-        """It may be carried out seconds later, and then be why the worker went."""
+        """The start may be executed seconds later and then crash the worker, so it is a loss."""
         self.bench.drain("w")
         order = self.start.order
         self.bench.feed(StartAnswered("w", order.task, order.run, None))
@@ -278,7 +274,7 @@
         self.assertEqual(self.counts(), (0, 1))
 
     def test_start_that_waited_for_its_record(self) -> None:
-        """A run is as old as its order: its placement may wait for the store for seconds."""
+        """A run's age counts from its order, since its placement may wait for the store."""
         bench = self.bench = Bench()
         bench.add_worker("w")
         bench.holds_store = True
@@ -294,7 +290,7 @@
         self.assertEqual(self.counts(), (0, 1))
 
     def test_task_with_an_end_is_not_absolved(self) -> None:
-        """Only one that lasts is cleared by its work: another may end its worker at its end."""
+        """A finite task is not cleared of its losses by its running time."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
         again = self.start_on_another()
@@ -305,7 +301,7 @@
         self.assertEqual(self.counts(), (1, 1))
 
     def test_stops_charge_no_task_that_lost_nothing(self) -> None:
-        """However often an innocent task is stopped just after it began, it goes on."""
+        """A task without losses is not charged for runs that are stopped just after their start."""
         for run in range(1, 8):
             self.bench.report("w", ended=[(self.task.id, run, EndKind.STOPPED)])
             self.bench.tick(0.2)
@@ -313,7 +309,7 @@
         self.assertEqual(self.bench.cell.jobs[self.job].status, JobStatus.RUNNING)
 
     def test_task_that_lasts_is_absolved(self) -> None:
-        """Once it has worked for long, earlier losses of a task that lasts count no more."""
+        """Losses of a long-running task are cleared once a run of it has worked for long enough."""
         bench = self.bench = Bench()
         bench.add_worker("w")
         bench.submit(msgspec.structs.replace(SMALL, long_running=True))
@@ -332,17 +328,17 @@
         self.assertEqual((task.crashed_runs, task.lost_runs), ([], []))
 
     def test_records_without_charges_are_read(self) -> None:
-        """Progress that was put on record before charges were kept has none."""
+        """Progress records of older releases without charges are decoded with none."""
         old = msgspec.msgpack.encode([1, [[0, 0, 0, 3, "w", False, [2], ""]], ""])
         (task,) = decode_progress(old).tasks
         self.assertEqual((task.lost_runs, task.crashed_runs), ([], []))
 
 
 class TestCutOffWorkers(unittest.TestCase):
-    """Workers that are cut off lose their leases, and answer again as they were."""
+    """Partitioned workers, whose leases expire and which later answer in the same life."""
 
     def test_loss_is_taken_back(self) -> None:
-        """A worker that answers again as it was did not crash: its losses charge nobody."""
+        """Losses are revoked when the worker answers in the same life."""
         bench = Bench()
         bench.add_worker("w")
         job = bench.submit(SMALL)
@@ -363,7 +359,7 @@
         self.assertEqual(recorded.lost_runs, [])
 
     def test_it_is_put_on_record(self) -> None:
-        """A successor knows of it, also where the task runs elsewhere by then."""
+        """The revocation is recorded, even if the task runs elsewhere by then."""
         bench = Bench()
         bench.add_worker("w")
         job = bench.submit(SMALL)
@@ -381,7 +377,7 @@
 
 class TestWholePath(unittest.TestCase):
     def test_callers_hear_of_it(self) -> None:
-        """With real daemons, such a job is shown as failed, and its neighbours as completed."""
+        """With real daemons, a crashing job is reported as failed and the others as completed."""
         cluster = EntryCluster(2, workers=4)
         self.addCleanup(cluster.close)
         self.assertTrue(cluster.wait_ready())
@@ -401,7 +397,7 @@
 
 
 def _recorded(bench: Bench, job: str):
-    """Give a job's progress as the last batch has put it on record."""
+    """Return a job's progress as recorded by the last batch."""
     return decode_progress(bench.recorded[job])
 
 
--- a/tests/test_jobs_failed_runs.py
+++ b/tests/test_jobs_failed_runs.py
@@ -1,4 +1,4 @@
-"""Tests of whom a failed run speaks against, on workers and steps made for it."""
+"""Tests of the attribution of failed runs to workers or steps."""
 
 import secrets
 import unittest
@@ -15,7 +15,7 @@
 
 
 def make_step() -> Step:
-    """Make a step of a job that is not handed in."""
+    """Create a step of a job that is not submitted."""
     job = Job(secrets.token_hex(8), accepted(SMALL), 100.0)
     return open_repetition(job, 0)[0]
 
@@ -52,18 +52,18 @@
 
 class TestWeights(FailedRuns):
     def test_one_failure_is_chance(self) -> None:
-        """A run of a step fails by its own fault now and then."""
+        """One failed run does not quarantine its worker."""
         self.fail_runs("w0", self.step())
         self.assertEqual(self.aside, [])
 
     def test_two_failures_are_none(self) -> None:
-        """Two runs of one step, or one each of two, set their worker aside."""
+        """Two failed runs, of one step or of two, quarantine their worker."""
         self.fail_runs("w0", self.step(), runs=2)
         self.fail_runs("w1", self.step(), self.step())
         self.assertEqual(self.aside, ["w0", "w1"])
 
     def test_failures_elsewhere_clear_a_worker(self) -> None:
-        """A step that fails on others as well clears its worker."""
+        """A worker is released when the step that failed there fails on another one too."""
         bad = self.step()
         self.fail_runs("w0", bad, runs=2)
         self.assertEqual(self.aside, ["w0"])
@@ -71,7 +71,7 @@
         self.assertEqual(self.aside, [])
 
     def test_good_ends_elsewhere_convict_it(self) -> None:
-        """A step that ends well elsewhere was not to blame, also where that comes out late."""
+        """Successes of the step on other workers quarantine the worker, even if they come later."""
         good = self.step()
         self.fail_runs("w1", good)
         self.fail_runs("w0", good, runs=2)
@@ -81,7 +81,7 @@
         self.assertIn("w0", self.aside)
 
     def test_good_end_clears_what_came_before_it(self) -> None:
-        """A run that began before the failures says nothing of them."""
+        """A success clears a worker only if the run began after the failures."""
         self.fail_runs("w0", self.step(), runs=2)
         self.end_well("w0", self.step(), began_at=self.now - 1)
         self.assertEqual(self.aside, ["w0"])
@@ -89,7 +89,7 @@
         self.assertEqual(self.aside, [])
 
     def test_many_bad_steps_make_failures_usual(self) -> None:
-        """Where most steps fail on all workers, two more failures speak against nobody."""
+        """If most steps fail on all workers, two more failures do not quarantine a worker."""
         for _ in range(30):
             bad = self.step()
             for life in ("w1", "w2", "w3"):
@@ -99,23 +99,20 @@
         self.assertNotIn("w0", self.aside)
 
     def test_charges_are_bounded(self) -> None:
-        """A worker where nothing ends well keeps a bounded number of them."""
+        """The number of failed steps kept for a worker without successes is limited."""
         self.fail_runs("w0", *(self.step() for _ in range(100)))
         self.assertLessEqual(len(self.cell.workers["w0"].charged), 32)
 
 
 class TestSettingAside(FailedRuns):
     def test_half_of_a_service_at_most(self) -> None:
-        """However many workers fail, half of them stay in use."""
+        """At most half of a service's workers are quarantined, however many fail."""
         for life in ("w0", "w1", "w2", "w3"):
             self.fail_runs(life, self.step(), self.step(), runs=3)
         self.assertEqual(self.aside, ["w0", "w1"])
 
     def test_workers_are_judged_in_one_order(self) -> None:
-        """What one event brings about does not hang on how the interpreter orders a set.
-
-        Days of one seed had 204,665 to 204,960 effects, by the hash seed of the process.
-        """
+        """Workers are quarantined in a fixed order, independent of the hash seed."""
         for number in range(4, 12):
             self.bench.add_worker(f"w{number}")
         good = self.step()
@@ -131,7 +128,7 @@
         self.assertEqual(aside, failing)
 
     def test_longer_each_time(self) -> None:
-        """The time aside doubles up to its bound, until a run ends well."""
+        """The quarantine time doubles up to its maximum, until a run succeeds."""
         worker = self.cell.workers["w0"]
         self.fail_runs("w0", self.step())
         found = []
@@ -145,7 +142,7 @@
         self.assertEqual(round(worker.aside_until - self.now), 2)
 
     def test_runs_that_fail_meanwhile_count_as_further_times(self) -> None:
-        """Many runs that fail at the same moment set their worker aside for the longest time."""
+        """Many failures at the same moment quarantine the worker for the maximum time."""
         self.fail_runs("w0", self.step(), runs=4)
         self.assertEqual(round(self.cell.workers["w0"].aside_until - self.now), 8)
 
@@ -158,13 +155,13 @@
         self.worker = self.bench.cell.workers["w0"]
 
     def set_aside(self) -> None:
-        """Have runs of two steps fail on the large worker."""
+        """Quarantine the large worker by failed runs of two steps."""
         for _ in range(2):
             failed_runs.note_failed_run(self.bench.cell, self.worker, make_step(), self.bench.now)
         self.assertGreater(self.worker.aside_until, self.bench.now)
 
     def test_one_run_proves_a_worker_that_is_back(self) -> None:
-        """It takes one run, and more once that has ended well."""
+        """A worker on probation takes one run, and more once that has succeeded."""
         self.set_aside()
         self.bench.tick(self.worker.aside_until - self.bench.now + 0.1)
         self.bench.submit(WIDE)
@@ -177,7 +174,7 @@
         self.assertEqual(len(found), 2)
 
     def test_step_that_runs_nothing_takes_a_worker_that_is_set_aside(self) -> None:
-        """Where nobody else has room it does so before users call it lost."""
+        """If no other worker has room, a waiting step uses a quarantined worker within 2.5 s."""
         self.set_aside()
         self.worker.aside_until = self.bench.now + 8.0
         self.bench.submit(StepSpec(count=1, size=Size(2000, 100), estimate_ms=1000))
--- a/tests/test_jobs_failing.py
+++ b/tests/test_jobs_failing.py
@@ -1,4 +1,4 @@
-"""Failing jobs, and workers that spoil what they start: neither may halt the rest."""
+"""Tests of failing jobs and of workers that fail every run: other jobs are not held up."""
 
 import dataclasses
 import unittest
@@ -18,7 +18,7 @@
 
 
 def play(seed: int, failing_share: float, spoiling: int = 0) -> tuple[Emulator, list[DrawnJob]]:
-    """Play a day on 24 workers, some of which fail all that they start until it ends."""
+    """Run the emulator; the first `spoiling` workers fail every run until `SECONDS`."""
     mixes = [dataclasses.replace(mix, hopeless_share=failing_share) for mix in default_mixes()]
     workload = WorkloadOptions(SECONDS, 0.5, tuple(mixes))
     jobs = draw_workload(seed, workload)
@@ -34,7 +34,7 @@
 
 class TestFailingJobs(unittest.TestCase):
     def test_nobody_starves_beside_them(self) -> None:
-        """All workers are sound, three jobs in ten always fail: no job waits beside free room."""
+        """With 30 % of the jobs always failing on sound workers, no job starves."""
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
                 emulator, _ = play(seed, 0.3)
@@ -42,7 +42,7 @@
                 self.assertEqual(list(emulator.starvation.found.values()), [])
 
     def test_nobody_starves_beside_spoiling_workers_too(self) -> None:
-        """A sixth of the workers fail all that they start besides; good jobs end well."""
+        """With some workers failing every run too, no job starves and good jobs complete."""
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed, 0.2, spoiling=4)
@@ -60,14 +60,14 @@
         self.there: list[tuple] = []
 
     def begin(self, step: StepSpec) -> None:
-        """Have a task run on the only worker from now on."""
+        """Start a task on the only worker and keep it running."""
         self.bench.submit(step)
         (start,) = self.bench.starts()
         self.bench.confirm(start)
         self.there.append((start.order.task, start.order.run, 1.0))
 
     def fail_jobs(self, count: int) -> None:
-        """Have jobs of one task each fail on the worker as soon as they run there."""
+        """Submit jobs of one task each that fail on the worker immediately."""
         for _ in range(count):
             self.bench.submit()
             start = self.wait_for_start()
@@ -77,7 +77,7 @@
             self.bench.feed(JobCancelled(task.job))
 
     def wait_for_start(self, seconds: float = 12.0):
-        """Give the next start; the worker tells of what runs there meanwhile."""
+        """Return the next start; meanwhile the worker reports its runs."""
         found = self.bench.starts()
         waited = 0.0
         while not found and waited < seconds:
@@ -89,7 +89,7 @@
         return found[0]
 
     def test_it_ends_beside_a_run_that_lasts(self) -> None:
-        """A worker that failed some runs takes work again, whatever else goes on there."""
+        """Probation ends beside a long run that neither fails nor succeeds."""
         for step in (LASTING, LONG):
             with self.subTest(lasts=step.long_running):
                 self.setUp()
@@ -99,7 +99,7 @@
                 self.wait_for_start()
 
     def test_last_attempt_beside_a_run_that_lasts(self) -> None:
-        """What may not fail again prefers sound workers, and does not wait for one for ever."""
+        """A last attempt prefers sound workers, but its wait for one is limited."""
         self.begin(LASTING)
         job = self.bench.submit()
         for run in (1, 2, 3):
@@ -112,7 +112,7 @@
 
 
 class TestMalformedStarts(unittest.TestCase):
-    """A worker that calls a start malformed has said something of the job, not of itself."""
+    """A start that is refused as malformed counts against the job, not the worker."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -123,7 +123,7 @@
         self.bench.feed(StartAnswered("w", start.order.task, start.order.run, result))
 
     def test_worker_serves_others_at_once(self) -> None:
-        """Nothing is set aside for it."""
+        """The worker is not quarantined and gets the next start."""
         self.bench.submit()
         (bad,) = self.bench.starts()
         self.refuse(bad)
@@ -132,7 +132,7 @@
         self.assertEqual([start.order.task.job for start in found], [good])
 
     def test_job_is_given_up(self) -> None:
-        """Its caller gets its final answer after as many refusals as failed runs are allowed."""
+        """The job fails after as many refusals as failed runs are allowed."""
         job = self.bench.submit()
         starts = self.bench.starts()
         for _ in range(3):
--- a/tests/test_jobs_leader_changes.py
+++ b/tests/test_jobs_leader_changes.py
@@ -1,4 +1,4 @@
-"""Tests of tasks that crash their workers while leaders change."""
+"""Tests of tasks that crash their workers while the leader changes."""
 
 import dataclasses
 import random
@@ -15,7 +15,7 @@
 from tests.jobs_tools import SMALL, Leaders, unended
 
 MOST_STARTS = 5
-"""After three crashes under a task, fewer than three more starts."""
+"""Limit of a crashing task's starts: at most two more after its third crash."""
 
 GANG = msgspec.structs.replace(SMALL, count=2, gang=True, most_per_worker=1)
 LASTING = msgspec.structs.replace(SMALL, long_running=True)
@@ -24,30 +24,30 @@
 SECONDS = 20
 SETTLE_SECONDS = 140
 DRAINING_SEEDS = (167, 266, 271)
-"""Days on which runs were lost with draining workers under a new leader."""
+"""Seeds with runs lost on draining workers under a new leader."""
 
 GANG_SEEDS = (1, 50, 82, 88)
-"""Days on which a gang broke off just as one of its members ended its own worker."""
+"""Seeds with a gang that breaks just as one of its members crashes its worker."""
 
 FEW_CRASHING = 0.04
 MANY_CRASHING = 0.15
-"""Shares of jobs with a task that ends its workers."""
+"""Shares of jobs with a task that crashes its workers."""
 
 
 class TestDrainingWorkers(unittest.TestCase):
     def test_crash_of_a_draining_worker_under_a_new_leader(self) -> None:
-        """It is charged, though the new leader does not know when the run began."""
+        """A lost run is charged although the new leader does not know when it began."""
         leaders = Leaders(SMALL)
         self.assertLessEqual(self.count_starts(leaders), MOST_STARTS)
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     def test_task_that_lasts(self) -> None:
-        """One that lasts is charged as well where its worker went before it told of the run."""
+        """A long-running task is charged too if its worker ended before reporting the run."""
         self.assertLessEqual(self.count_starts(Leaders(LASTING)), MOST_STARTS)
 
     @staticmethod
     def count_starts(leaders: Leaders) -> int:
-        """Have each worker drain, and crash as the leader changes; give how often one is tried."""
+        """Count the starts while each worker drains, and crashes as the leader changes."""
         starts = 0
         while starts < ROUNDS and (found := leaders.next_starts()):
             (start,) = found
@@ -58,7 +58,7 @@
         return starts
 
     def test_leader_that_was_away(self) -> None:
-        """A leader that stood still knows not when the worker went: what it heard last counts."""
+        """After a stall of the leader, a run's age is based on the worker's last report."""
         leaders = Leaders(SMALL)
         (start,) = leaders.next_starts()
         leaders.bench.confirm(start)
@@ -69,15 +69,15 @@
         self.assertEqual(task.lost_runs, {1})
 
     def test_days_with_draining_workers(self) -> None:
-        """On emulated days no task is started three times after it crashed three workers."""
+        """In the emulator, no task exceeds its limit of starts."""
         check_days(self, DRAINING_SEEDS)
 
 
 class TestTakenOverRuns(unittest.TestCase):
-    """What a new leader goes by that finds a run on record."""
+    """Runs that a new leader restores from durable records."""
 
     def test_task_that_lasts_is_cleared_by_its_work(self) -> None:
-        """A takeover does not count as 30 seconds of work."""
+        """Losses are not cleared by a takeover, only by 30 seconds of running afterwards."""
         leaders = Leaders(LASTING)
         for _ in range(2):
             (start,) = leaders.next_starts()
@@ -96,7 +96,7 @@
         self.assertEqual(task.lost_runs, frozenset())
 
     def test_run_that_goes_once_it_was_told_of(self) -> None:
-        """On a draining worker it is charged, however old the new leader's machine is."""
+        """A reported run lost on a draining worker is charged, however long the node is up."""
         leaders = Leaders(SMALL)
         (start,) = leaders.next_starts()
         leaders.take_over()
@@ -107,7 +107,7 @@
         self.assertEqual(task.lost_runs, {1})
 
     def test_crashes_are_counted_on(self) -> None:
-        """Three crashes that were seen as such are the most, though a new leader saw the third."""
+        """The task is given up at its third crash, even if a new leader detected that one."""
         leaders = Leaders(SMALL)
         starts = 0
         while starts < ROUNDS and (found := leaders.next_starts()):
@@ -124,7 +124,7 @@
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     def test_member_that_is_done(self) -> None:
-        """Its worker may never become known to a new leader, which charges nobody."""
+        """A member that is done is not charged if its worker stays unknown to a new leader."""
         leaders = Leaders(GANG, msgspec.structs.replace(SMALL, after=(0,)))
         one, other = leaders.next_starts()
         losses = frozenset({-1, -2, -3, -4})
@@ -138,7 +138,7 @@
         self.assertEqual(leaders.status, JobStatus.RUNNING)
 
     def test_time_to_come_of_a_run_that_was_taken_over(self) -> None:
-        """Room that a run takes is expected back after its estimate, not after days."""
+        """A restored run's room is expected to be free after the run's estimated time."""
         leaders = Leaders(SMALL)
         (start,) = leaders.next_starts()
         leaders.take_over()
@@ -149,10 +149,10 @@
 
 
 class TestGangs(unittest.TestCase):
-    """A start that ends in another way than with its worker."""
+    """Starts of gang members that end without the loss of their worker."""
 
     def test_member_that_is_broken_off(self) -> None:
-        """After three losses under a member, a start of it counts though the gang broke first."""
+        """After three losses, each start of a member is charged even if the gang broke first."""
         leaders = Leaders(GANG)
         for _ in range(3):
             starts = self.start_all(leaders)
@@ -171,7 +171,7 @@
 
     @staticmethod
     def start_all(leaders: Leaders) -> list[SendStart]:
-        """Start both members, the guilty one last; give none once the job is given up."""
+        """Confirm the starts of both members; return none once the job is given up."""
         starts = sorted(leaders.next_starts(), key=lambda start: start.order.task.index)
         for start in starts:
             leaders.bench.confirm(start)
@@ -182,7 +182,7 @@
         return (start.order.task, start.order.run, EndKind.BROKEN)
 
     def test_days_with_gangs(self) -> None:
-        """On emulated days no member is started three times after it crashed three workers."""
+        """In the emulator, no member of a gang exceeds its limit of starts."""
         check_days(self, GANG_SEEDS, MANY_CRASHING)
 
 
@@ -197,7 +197,7 @@
 
 
 def play(seed: int, crashing_share: float = FEW_CRASHING) -> tuple[Emulator, list[str]]:
-    """Play a day on which leaders change every second or so; give the jobs that did not end too."""
+    """Run the emulator with frequent leader changes; also return the jobs that did not end."""
     source = random.Random(seed)
     mixes = [
         dataclasses.replace(mix, crashing_share=crashing_share)
@@ -217,7 +217,7 @@
 
 
 def change(emulator: Emulator, source: random.Random) -> None:
-    """Change the leader, or have a worker drain."""
+    """Change the leader, or drain and replace a worker."""
     kind = source.random()
     lives = [life for life, model in emulator.workers.items() if model.takes_work]
     if kind < 0.5:
--- a/tests/test_jobs_lives.py
+++ b/tests/test_jobs_lives.py
@@ -1,4 +1,4 @@
-"""What is known of one life of a worker is never taken for what is known of another."""
+"""Tests that the state of one worker life is not applied to another."""
 
 import itertools
 import types
@@ -60,19 +60,19 @@
 
 class TestBorder(unittest.TestCase):
     def test_names(self) -> None:
-        """A life's name tells the worker, and lives that differ in their start differ."""
+        """A life's identifier contains the worker's id, and differs with the life's start."""
         self.assertNotEqual(FIRST, SECOND)
         self.assertEqual({worker_of(FIRST), worker_of(SECOND), worker_of("i-1")}, {"i-1"})
         self.assertEqual(worker_of("odd@name"), "odd@name")
 
     def test_entry_names_its_life(self) -> None:
-        """An entry's life is that of its start; without one, the id names its only life."""
+        """An entry's life is derived from its start; without one, the id identifies the life."""
         self.assertEqual(decode_worker_entry("i-1", entry(born=100)).life, FIRST)
         self.assertEqual(decode_worker_entry("i-1", entry(born=100)).worker, "i-1")
         self.assertEqual(decode_worker_entry("i-1", entry()).life, "i-1")
 
     def test_start_that_is_no_time(self) -> None:
-        """A start that is no whole number, or negative, makes what carries it unusable."""
+        """An entry or report whose start is not a non-negative integer is rejected."""
         for born in BAD_BORN:
             with self.subTest(born=born):
                 with self.assertRaises(PlatformError):
@@ -81,7 +81,7 @@
                     decode_renewal(held(born=born), FIRST)
 
     def test_list_of_runs_of_another_life(self) -> None:
-        """It is told as such, where both tell of their start."""
+        """A report of another life is detected if both starts are known."""
         self.assertIs(decode_renewal(held(born=200), FIRST), Refusal.NEXT_LIFE)
         for reply, life in ((held(born=100), FIRST), (held(), FIRST), (held(born=9), "i-1")):
             self.assertIsInstance(decode_renewal(reply, life), WorkerReport)
@@ -89,7 +89,7 @@
 
 class TestAdvice(unittest.TestCase):
     def test_service_knows_workers_by_id(self) -> None:
-        """It is asked about ids, and what it says counts for the lives that were asked about."""
+        """Requests contain worker ids, and the answer applies to the requested lives."""
         service = AdviceStandin()
         self.addCleanup(service.close)
         service.unfit = {"i-2"}
@@ -110,7 +110,7 @@
         self.handle._take_worker(KeyedRecord("i-1", value, offset))
 
     def test_entry_that_goes_names_the_life_that_was_listed(self) -> None:
-        """The entry's key tells the worker only."""
+        """A removed entry, whose key has only the worker's id, ends the life listed last."""
         self.take(entry(born=100), 0)
         self.take(entry(born=200), 1)
         self.take(None, 2)
@@ -119,7 +119,7 @@
         self.assertEqual([each.life for each in of_type(self.told, WorkerDelisted)], [SECOND])
 
     def test_entry_of_a_life_before_is_read_again(self) -> None:
-        """Entries are read again after a page that shows later ones: they change nothing."""
+        """Older entries that are read again after a newer page are ignored."""
         self.handle._take_all_workers([KeyedRecord("i-1", entry(born=200), 7)])
         self.take(entry(born=100), 5)
         self.take(None, 6)
@@ -144,7 +144,7 @@
         return start
 
     def test_end_of_the_next_life_is_dropped(self) -> None:
-        """Ends of the next life count from 1, however many the life before had told."""
+        """Ends of the next life are numbered from 1 and count, after ends of the previous one."""
         for _ in range(3):
             order = self.start().order
             self.bench.report(FIRST, ended=[(order.task, order.run, DONE)])
@@ -156,7 +156,7 @@
         self.assertIs(self.bench.cell.jobs[self.job].status, JobStatus.COMPLETED)
 
     def test_run_goes_with_its_life(self) -> None:
-        """What ran in the life before starts again, as soon as the next one is listed."""
+        """Runs of the previous life start again as soon as the next life is listed."""
         start = self.start()
         self.bench.confirm(start)
         self.begin()
@@ -166,7 +166,7 @@
         self.assertNotIn(FIRST, self.bench.cell.workers)
 
     def test_late_answer_of_the_life_before(self) -> None:
-        """It changes nothing of the next one."""
+        """Answers of the previous life do not affect the next one."""
         order = self.start().order
         late = self.bench.renewal(FIRST)
         self.begin()
@@ -177,12 +177,12 @@
         self.assertEqual(self.bench.cell.workers[SECOND].known_ends, before)
 
     def test_time_of_day_set_back_between_two_lives(self) -> None:
-        """Whichever life was listed last counts."""
+        """The life that was listed last counts, even if its start is earlier."""
         self.begin(BEFORE_FIRST)
         self.assertEqual(list(self.bench.cell.workers), [BEFORE_FIRST])
 
     def test_ended_life_is_listed_again(self) -> None:
-        """The entry of a life that is over brings it not back; the next one does."""
+        """An entry of an ended life does not bring it back; the next life's entry is accepted."""
         self.bench.feed(RenewAnswered(FIRST, self.bench.renewal(FIRST), Refusal.NEXT_LIFE))
         self.bench.add_worker(FIRST, settled=False)
         self.assertEqual(list(self.bench.cell.workers), [])
@@ -191,7 +191,7 @@
         self.assertEqual(self.bench.cell.ended_lives, set())
 
     def test_names_are_forgotten(self) -> None:
-        """Nothing is kept of a worker that is gone, whichever life it had."""
+        """No state is kept of a worker that is gone."""
         self.begin()
         self.bench.feed(WorkerDelisted(SECOND, False))
         self.bench.tick(16.0)
@@ -200,7 +200,7 @@
 
 
 class TestStartInDoubt(unittest.TestCase):
-    """A start without an answer, and a worker that begins its next life."""
+    """An unanswered start on a worker that then restarts under its id."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -214,7 +214,7 @@
         self.bench.add_worker(SECOND, settled=False)
 
     def test_next_life_has_carried_it_out(self) -> None:
-        """The run goes on there, and no other begins."""
+        """If the next life executes the start, the run continues and no other one begins."""
         order = self.first.order
         self.bench.report(SECOND, running=[(order.task, order.run, 10)])
         self.bench.tick(0.5)
@@ -223,7 +223,7 @@
         self.assertIs(self.bench.cell.jobs[self.job].status, JobStatus.COMPLETED)
 
     def test_next_life_does_not_have_it(self) -> None:
-        """It is refused there for good before the task starts again."""
+        """If the next life does not have the run, it is stopped there before the task restarts."""
         self.bench.report(SECOND)
         (stop,) = of_type(self.bench.seen, SendStop)
         self.assertEqual((stop.life, stop.order.run), (SECOND, self.first.order.run))
@@ -237,12 +237,12 @@
         self.assertEqual(again.order.run, 2)
 
     def test_start_in_doubt_is_charged_twice(self) -> None:
-        """A loss is told and counted when its life ends, and not again with the next life."""
+        """The loss is charged when the first life ends, and not again with the next one."""
         charged = [e for e in of_type(self.bench.told, Decided) if e.decision == "task_charged"]
         self.assertEqual(len(charged), 1)
 
     def test_no_next_life_is_listed(self) -> None:
-        """After the leases of a takeover, the task starts again elsewhere."""
+        """If no next life is listed, the task restarts elsewhere once the leases have expired."""
         bench = Bench()
         bench.tick(20.0)
         bench.add_worker(FIRST)
@@ -257,7 +257,7 @@
 
 
 class TestTakeover(unittest.TestCase):
-    """A leader that begins with runs on record."""
+    """A new leader that restores recorded runs."""
 
     def take_over(self, recorded_life: str) -> Bench:
         before = Bench()
@@ -273,7 +273,7 @@
         return after
 
     def test_run_of_a_life_before_waits_for_its_leases(self) -> None:
-        """Its worker's next life proves it over, and it is charged as lost once."""
+        """A run of a previous life ends when the next life refuses it, and is charged once."""
         bench = self.take_over(FIRST)
         bench.add_worker(SECOND)
         (stop,) = of_type(bench.seen, SendStop)
@@ -286,7 +286,7 @@
         self.assertEqual((again.order.run, self.task.lost_runs), (2, {1}))
 
     def test_record_without_a_start(self) -> None:
-        """A run on record for an id alone goes on in the life that has it."""
+        """A run recorded for a worker id without a start continues in the life that has it."""
         bench = self.take_over("i-1")
         bench.add_worker(FIRST, settled=False)
         bench.report(FIRST, running=[(self.task.id, 1, 30)])
--- a/tests/test_jobs_returning.py
+++ b/tests/test_jobs_returning.py
@@ -1,4 +1,4 @@
-"""Workers that begin another life under their id, in virtual time."""
+"""Tests of workers that restart under their ids."""
 
 import random
 import unittest
@@ -19,7 +19,7 @@
 def play(
     seed: int, changes_leader: bool = False, forgets_anew: bool = True
 ) -> tuple[Emulator, list[DrawnJob]]:
-    """Play a day on which a third of the workers restarts under their ids, over and over."""
+    """Run the emulator while a third of the workers repeatedly restarts under their ids."""
     source = random.Random(seed)
     workload = WorkloadOptions(SECONDS, 0.4, tuple(default_mixes(seed % 2 == 0)))
     jobs = draw_workload(seed, workload)
@@ -42,21 +42,21 @@
 
 class TestReturningWorkers(unittest.TestCase):
     def test_task_runs_again_after_its_worker_returned(self) -> None:
-        """Ends of a worker's next life count, though their numbers begin again."""
+        """Ends of a worker's next life count although their numbers start again at 1."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 emulator, _ = play(seed, forgets_anew=True)
                 self.assertEqual(emulator.checks.violations[:3], [])
 
     def test_job_never_ends_after_its_worker_returned(self) -> None:
-        """A run whose end a worker's next life lists does not count as there for ever."""
+        """A run whose end is reported by a worker's next life does not stay tracked forever."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed, forgets_anew=False)
                 self.assertEqual(unended(emulator, jobs)[:5], [])
 
     def test_leaders_change_as_workers_return(self) -> None:
-        """Nothing runs twice, and every job ends, whichever leader knew the life before."""
+        """Nothing runs twice and every job ends if leaders change while workers restart."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = play(seed, changes_leader=True)
@@ -66,7 +66,7 @@
 
 class TestWholePath(unittest.TestCase):
     def test_task_runs_again_with_real_daemons(self) -> None:
-        """Each task starts once after its worker returned under its id, and its job ends."""
+        """After a worker's restart under its id, each task starts once and its job ends."""
         cluster = EntryCluster(1, workers=1)
         self.addCleanup(cluster.close)
         self.assertTrue(cluster.wait_ready())
--- a/tests/test_jobs_starving.py
+++ b/tests/test_jobs_starving.py
@@ -1,4 +1,4 @@
-"""Jobs that run nothing beside free room, and what the log tells of them."""
+"""Tests of the log events of starving jobs, quarantines and overdue runs."""
 
 import unittest
 
@@ -21,7 +21,7 @@
         self.bench.add_worker("w")
 
     def test_worker_set_aside_and_back(self) -> None:
-        """Both are told, with the cause and how many of the service are set aside for it."""
+        """Both are logged with the cause and the number of workers quarantined for it."""
         worker = self.bench.cell.workers["w"]
         set_aside(self.bench.cell, worker, AsideCause.REFUSED, 1.0, self.bench.now)
         self.bench.tick(0.1)
@@ -32,7 +32,7 @@
         self.assertEqual((back["cause"], back["aside"]), ("refused", 0))
 
     def test_job_that_starves(self) -> None:
-        """It is told of with what closes the workers, and not before a second has gone by."""
+        """A starving job is logged after a second, with the reasons that exclude workers."""
         self.bench.cell.workers["w"].aside_until = self.bench.now + 60
         job = self.bench.submit()
         self.assertEqual(told(self.bench.tick(0.9), "job_starves"), [])
@@ -41,7 +41,7 @@
         self.assertEqual(self.bench.cell.jobs[job].status.name, "PENDING")
 
     def test_job_that_waits_for_room_does_not_starve(self) -> None:
-        """A service that is mostly in use, and one without the room, are no news."""
+        """Jobs that wait because too little room is free are not logged as starving."""
         self.bench.add_worker("busy", cpu=1000)
         for life in ("w", "busy"):
             self.bench.cell.workers[life].aside_until = self.bench.now + 60
@@ -50,7 +50,7 @@
         self.assertEqual(told(self.bench.tick(3.0), "job_starves"), [])
 
     def test_run_that_takes_too_long(self) -> None:
-        """It is told with its phase, its age and when its worker was heard; others are not."""
+        """An overdue run is logged with its phase, its age and that of the last report."""
         self.bench.submit()
         (start,) = self.bench.new_starts()
         self.bench.confirm(start)
@@ -61,7 +61,7 @@
         self.assertGreater(found["heard_s"], 9.0)
 
     def test_run_counts_as_there_though_its_worker_lists_its_end(self) -> None:
-        """Its end is told as passed over, and taken over, though its number is known."""
+        """An end with a processed number is logged and applied if its run is still tracked."""
         job = self.bench.submit()
         (start,) = self.bench.new_starts()
         self.bench.confirm(start)
--- a/tests/test_jobs_suspects.py
+++ b/tests/test_jobs_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of who may run beside a task under which workers went."""
+"""Tests of the isolation of tasks whose runs were lost with their workers."""
 
 import dataclasses
 import itertools
@@ -36,7 +36,7 @@
 
 class TestCompany(Suspects):
     def lose_twice_beside(self, cpu: int) -> str:
-        """Have two workers go under a task while another task runs on a third, which is given."""
+        """Crash two workers under a task; return a third worker that runs another task."""
         self.add_workers(1)
         self.bench.submit(SMALL)
         self.crash_all(self.bench.new_starts())
@@ -50,7 +50,7 @@
         return busy
 
     def test_suspects_go_to_workers_of_their_own(self) -> None:
-        """Two tasks that went with one worker are not placed together again."""
+        """Two tasks that were lost with one worker are not placed together again."""
         self.add_workers(1)
         self.bench.submit(PAIR)
         first = self.bench.new_starts()
@@ -62,7 +62,7 @@
         self.assertEqual(len({start.life for start in again}), 2)
 
     def test_after_a_second_loss_nobody_is_beside_it(self) -> None:
-        """A task under which two workers went gets an empty worker, which takes nothing else."""
+        """A task with two losses gets an empty worker, which takes nothing else."""
         self.lose_twice_beside(cpu=9000)
         self.assertEqual(self.bench.new_starts(), [])
         (empty,) = self.add_workers(1)
@@ -77,7 +77,7 @@
         self.assertNotIn(empty, {start.life for start in placed})
 
     def test_suspects_of_different_jobs(self) -> None:
-        """They are kept apart as well, and the second one waits less than two seconds for that."""
+        """Suspects of different jobs are separated, and the second waits at most two seconds."""
         jobs = self.make_suspects(2)
         (one,) = self.add_workers(1)
         self.bench.tick(0.2)
@@ -89,7 +89,7 @@
         self.assertEqual(len(jobs), 2)
 
     def make_suspects(self, count: int) -> list[str]:
-        """Have a worker go under tasks of so many jobs."""
+        """Crash a worker under tasks of `count` jobs."""
         self.add_workers(1)
         jobs = []
         for _ in range(count):
@@ -101,7 +101,7 @@
         return jobs
 
     def test_suspect_that_was_taken_over(self) -> None:
-        """A new leader keeps other suspects away from the worker where it finds one running."""
+        """A new leader keeps other suspects away from a worker with a restored suspect."""
         job, other = self.make_suspects(2)
         (one,) = self.add_workers(1)
         self.bench.tick(0.2)
@@ -121,7 +121,7 @@
         self.assertEqual([start.life for start in self.bench.new_starts()], [two])
 
     def test_tasks_with_unlike_pasts(self) -> None:
-        """The rest of a step is placed with the next news, not with the next tick."""
+        """The remaining tasks of a step are placed on the next event, not on the next tick."""
         job = self.bench.submit(PAIR)
         ((step,),) = self.bench.cell.jobs[job].repetitions
         step.tasks[0].lost_runs = frozenset({1})
@@ -135,7 +135,7 @@
         self.assertEqual(sum(task.is_placed for task in step.tasks), 2)
 
     def test_address_where_a_worker_crashed(self) -> None:
-        """Suspects go there last, also where its next life is the roomiest."""
+        """Suspects are placed there last, even if it has the most free room."""
         self.bench.add_worker("old", address="a:1")
         self.bench.submit(SMALL)
         (start,) = self.bench.new_starts()
@@ -150,7 +150,7 @@
         self.assertEqual([start.life for start in self.bench.new_starts()], ["else"])
 
     def test_it_does_not_wait_for_ever(self) -> None:
-        """Where no worker is empty a suspect shares one before two seconds have gone by."""
+        """If no worker is empty, a suspect shares one within two seconds."""
         busy = self.lose_twice_beside(cpu=4000)
         self.bench.tick(0.5)
         self.assertEqual(self.bench.new_starts(), [])
@@ -158,7 +158,7 @@
         self.assertEqual([start.life for start in self.bench.new_starts()], [busy])
 
     def test_something_of_a_waiting_step_is_always_next(self) -> None:
-        """Whatever its tasks' pasts are, and since when each waits, no step is left behind."""
+        """A waiting step has a task to place next, for all losses and waiting times."""
         pasts = list(itertools.product((0, 1, 2, 4), (0.0, 0.5, 1.0, 3.0)))
         job = self.bench.submit(PAIR)
         ((step,),) = self.bench.cell.jobs[job].repetitions
@@ -173,7 +173,7 @@
 
 class TestCommonCauses(Suspects):
     def charges(self, count: int) -> list[tuple[int, int]]:
-        """Give crashes and losses of tasks whose workers, one each, fall silent at once."""
+        """Return crashes and losses of tasks whose workers, one each, fall silent at once."""
         lives = self.add_workers(count, cpu=1000)
         job = self.bench.submit(msgspec.structs.replace(SMALL, count=count))
         for start in self.bench.new_starts():
@@ -186,15 +186,15 @@
         return [(len(task.crashed_runs), len(task.lost_runs)) for task in tasks]
 
     def test_many_at_the_same_moment_are_no_crashes(self) -> None:
-        """Where three workers fall silent at once, what ran there is charged with losses only."""
+        """If three workers fall silent at once, their runs are charged as losses only."""
         self.assertEqual(self.charges(3), [(0, 1)] * 3)
 
     def test_one_of_two_may_be_to_blame(self) -> None:
-        """Two workers may each have had a task of their own that ended them."""
+        """If two workers fall silent at once, their runs are charged as crashes."""
         self.assertEqual(self.charges(2), [(1, 1)] * 2)
 
     def test_many_whose_leases_were_over_first(self) -> None:
-        """It stays losses only where other lives answer after the leases were over."""
+        """Simultaneous losses stay losses if other lives answer after the leases expired."""
         lives = self.add_workers(3, cpu=1000)
         job = self.bench.submit(msgspec.structs.replace(SMALL, count=3))
         for start in self.bench.new_starts():
@@ -214,7 +214,7 @@
 
 class TestGangs(Suspects):
     def test_gang_does_not_wait_for_empty_workers(self) -> None:
-        """A gang whose member lost two workers goes where no other suspect is, beside others."""
+        """A gang with two losses may share a worker with other runs, but not with suspects."""
         self.add_workers(1)
         job = self.bench.submit(msgspec.structs.replace(SMALL, gang=True, count=2))
         gang = self.bench.new_starts()
@@ -229,7 +229,7 @@
         self.assertEqual([start.life for start in self.bench.new_starts()], [busy, busy])
 
     def test_member_that_is_done_already(self) -> None:
-        """One member's good end is that of all; the loss of another's worker charges nobody."""
+        """A success of one member completes the gang, so a later loss is not charged."""
         self.add_workers(2, cpu=1000)
         job = self.bench.submit(msgspec.structs.replace(SMALL, gang=True, count=2))
         one, other = self.bench.new_starts()
@@ -241,7 +241,7 @@
         self.assertEqual([len(task.lost_runs) for task in tasks], [0, 0])
 
     def test_members_whose_start_was_not_answered(self) -> None:
-        """Losing one member stops the others, which does not make their starts answered ones."""
+        """Stopping the other members after a loss does not confirm their starts."""
         self.add_workers(1)
         spec = StepSpec(count=3, size=Size(1000, 1000), estimate_ms=1000, gang=True)
         job = self.bench.submit(spec)
--- a/tests/test_room_use.py
+++ b/tests/test_room_use.py
@@ -1,4 +1,4 @@
-"""Tests of telling how full the workers are, and what waiting steps lack."""
+"""Tests of the log event for room in use and its table."""
 
 import dataclasses
 import unittest
@@ -18,14 +18,14 @@
 
 
 def told(effects) -> list[dict]:
-    """Give the fields of the lines about room among some effects."""
+    """Return the fields of the room log events among effects."""
     lines = [each for each in of_type(effects, Decided) if each.decision == "room_use"]
     return [dict(each.fields) for each in lines]
 
 
 class TestRoomUse(unittest.TestCase):
     def test_shares_and_lack_of_room(self) -> None:
-        """Half of the processors are in use, and a step that needs all of a worker lacks room."""
+        """Half of the CPU is in use, and a step that needs a whole worker lacks room."""
         bench = Bench()
         bench.add_worker("w", cpu=4000)
         bench.submit(HALF)
@@ -37,14 +37,14 @@
         self.assertEqual(fields["ticket"] + fields["both"] + fields["turn"], 0)
 
     def test_once_a_second(self) -> None:
-        """However often time is told."""
+        """The event is logged once a second, independent of the tick interval."""
         bench = Bench()
         bench.add_worker()
-        # Ticks come each 0.1 s, and rounding may put a line off to the next one.
+        # Ticks are 0.1 s apart, and rounding may delay an event to the next one.
         self.assertIn(len(told(bench.tick(6.0))), (5, 6))
 
     def test_lack_of_tickets(self) -> None:
-        """With room and no ticket, with neither, and with a ticket and no room."""
+        """Steps that lack a ticket, room and ticket, and room only are told apart."""
         bench = Bench(advice=AdviceTerms(10.0, 0.1, 60_000))
         bench.add_worker("w", cpu=4000)
         bench.submit(WHOLE)
@@ -64,7 +64,7 @@
         self.assertEqual((fields["room"], fields["both"]), (1, 0))
 
     def test_pause_after_a_failure(self) -> None:
-        """A step that is put off lacks nothing else."""
+        """A step that is delayed after a failure counts under `pause`."""
         bench = Bench()
         bench.add_worker("w")
         bench.cell.policy = with_pause(bench)
@@ -77,7 +77,7 @@
 
 
 def with_pause(bench: Bench):
-    """Give the bench's policy with a long pause after each failure."""
+    """Return the bench's policy with a long pause after each failure."""
     return dataclasses.replace(bench.cell.policy, backoff_seconds=lambda step, failures: 30.0)
 
 
@@ -94,7 +94,7 @@
         return format_line(message)
 
     def test_means_of_two_seconds(self) -> None:
-        """Lines of the same window count for one row."""
+        """Lines of the same two seconds are averaged into one row."""
         lines = [self.line(10.0, 0.4, 4, 1), self.line(11.0, 0.6, 6, 3), self.line(12.5, 0.9, 0, 0)]
         title, first, second = format_room(read_room([*lines, "time=1 event=other node=n"]))
         self.assertIn("ticket", title)
@@ -103,7 +103,7 @@
         self.assertEqual(second.split()[:3], ["pool", "2", "0.90"])
 
     def test_logs_without_such_lines(self) -> None:
-        """Nothing is told."""
+        """Logs without room events yield an empty table."""
         self.assertEqual(format_room(read_room(["time=1 event=other node=n"])), [])
 
 
