--- a/src/snowdock/jobs/availability.py
+++ b/src/snowdock/jobs/availability.py
@@ -4,25 +4,25 @@
 
 from .workers import Worker
 
-__all__ = ["Closed", "why_closed"]
+__all__ = ["ExclusionReason", "find_exclusion"]
 
 _DELISTED_GRACE_SECONDS = 3.0
 """How long a worker that still answers stays eligible after its store entry expired during a store
 outage: such entries are restored about two seconds after the store recovers."""
 
 
-class Closed(enum.Enum):
+class ExclusionReason(enum.Enum):
     """Why a worker is excluded from placement, for all steps or for one; values are log fields."""
 
     SILENT = "silent"
     """The worker has not answered this leader yet, or has stopped answering."""
     LEAVING = "leaving"
     """The worker is draining, or its store entry was removed."""
-    ASIDE = "aside"
+    QUARANTINED = "aside"
     """The worker is in quarantine, see `quarantine`."""
-    ALONE = "alone"
+    EXCLUSIVE = "alone"
     """A run on the worker requires exclusive use of it."""
-    ON_TRIAL = "on_trial"
+    ON_PROBATION = "on_trial"
     """The worker is on probation after failures and accepts one run at a time."""
     DOUBTFUL = "doubtful"
     """Runs have failed on the worker, and the step is on its last attempt."""
@@ -38,21 +38,25 @@
     """There is no valid ticket for the worker."""
 
 
-def why_closed(worker: Worker, now: float, is_last_resort: bool = False) -> Closed | None:
+def find_exclusion(
+    worker: Worker, now: float, is_last_resort: bool = False
+) -> ExclusionReason | None:
     """Return why a worker is excluded from all placements, or None if it is eligible.
 
     With `is_last_resort`, workers that are in quarantine for failures are eligible.
     """
     # Called for every worker in each placement pass, so the checks are kept cheap.
-    if not worker.settled or worker.is_mute:
-        return Closed.SILENT
+    if not worker.is_synced or worker.is_unresponsive:
+        return ExclusionReason.SILENT
     if worker.entry.draining:
-        return Closed.LEAVING
-    if worker.aside_until > now and not (is_last_resort and worker.is_aside_for_failures):
-        return Closed.ASIDE
-    if worker.is_kept_alone:
-        return Closed.ALONE
+        return ExclusionReason.LEAVING
+    if worker.quarantined_until > now and not (
+        is_last_resort and worker.is_quarantined_for_failures
+    ):
+        return ExclusionReason.QUARANTINED
+    if worker.is_exclusive:
+        return ExclusionReason.EXCLUSIVE
     if worker.listed:
         return None
     may_return = worker.may_return and now - worker.delisted_at < _DELISTED_GRACE_SECONDS
-    return None if may_return else Closed.LEAVING
+    return None if may_return else ExclusionReason.LEAVING
--- a/src/snowdock/jobs/lives.py
+++ b/src/snowdock/jobs/lives.py
@@ -4,12 +4,12 @@
 so the leader keeps all state of a worker under the identifier of one life.
 """
 
-__all__ = ["life_of", "worker_of"]
+__all__ = ["format_life", "worker_id_of"]
 
-_BORN_MARK = "@"
+_BORN_SEPARATOR = "@"
 
 
-def life_of(worker: str, born_ms: int | None) -> str:
+def format_life(worker: str, born_ms: int | None) -> str:
     """Return the identifier of one life of a worker.
 
     Parameters
@@ -20,10 +20,10 @@
         When this life began, by the worker's wall clock, in ms since 1970; None if not reported:
         then the worker's id identifies its only life.
     """
-    return worker if born_ms is None else f"{worker}{_BORN_MARK}{born_ms}"
+    return worker if born_ms is None else f"{worker}{_BORN_SEPARATOR}{born_ms}"
 
 
-def worker_of(life: str) -> str:
+def worker_id_of(life: str) -> str:
     """Return the worker's id from the identifier of one of its lives."""
-    worker, mark, born = life.rpartition(_BORN_MARK)
-    return worker if mark and born.isdecimal() else life
+    worker, separator, born = life.rpartition(_BORN_SEPARATOR)
+    return worker if separator and born.isdecimal() else life
--- a/src/snowdock/jobs/lost_runs.py
+++ b/src/snowdock/jobs/lost_runs.py
@@ -15,31 +15,31 @@
 from collections.abc import Iterator
 
 from .cell import Cell, Orphan
-from .charges import charge, may_have_ended_at_once, take_back_charge
-from .durability import mark
+from .charges import charge_run, may_have_ended_early, revoke_charge
+from .durability import mark_dirty
+from .job_state import Phase, Task
 from .occupancy import vacate
-from .parts import Phase, Task
 from .runs import fail_job, void_run
 from .workers import Worker
 
 __all__ = [
-    "absolve",
-    "charge_late",
+    "charge_confirmed_crashes",
     "charge_orphan",
+    "clear_losses",
     "lose_orphan",
     "lose_runs",
-    "take_back_losses",
+    "revoke_losses",
 ]
 
-MOST_AT_ONCE = 2
+MAX_INDEPENDENT_FAILURES = 2
 """If more workers fall silent at the same moment, the cause is taken to be a rack or data hall, and
 their runs are charged as losses only: otherwise healthy jobs would fail."""
 
-_SAME_MOMENT_SECONDS = 0.1
+_CORRELATION_WINDOW_SECONDS = 0.1
 """Workers that fall silent within this time count as simultaneous: a worker that ends closes its
 connections, which is detected at once."""
 
-_PROVEN_SECONDS = 30.0
+_STABLE_RUN_SECONDS = 30.0
 """A long-running task is cleared of its losses once a run of it has worked for this long: over
 hours it meets many workers that end for unrelated reasons."""
 
@@ -64,43 +64,45 @@
 
     Runs whose start was not answered wait for the worker's next life, if there is one.
     """
-    end = _WorkerEnd(reason, has_crashed and not _is_common(cell, worker))
+    end = _WorkerEnd(reason, has_crashed and not _is_correlated_failure(cell, worker))
     if worker.runs:
         count = len(worker.runs)
-        cell.tell("runs_lost", worker.life, count=count, reason=reason, is_crash=end.is_crash)
+        cell.log_decision(
+            "runs_lost", worker.life, count=count, reason=reason, is_crash=end.is_crash
+        )
     for task_id, run in list(worker.runs):
         vacate(cell, worker.life, task_id, run)
-        cell.stops.pop((worker.life, task_id, run), None)
+        cell.pending_stops.pop((worker.life, task_id, run), None)
         task = cell.find_task(task_id)
         if task is None or not task.is_current_run(run, worker.life):
             continue
         _lose_run(cell, worker, task, now, end, has_next_life and _may_start_late(task))
 
 
-def charge_late(cell: Cell, worker: Worker, now: float) -> None:
+def charge_confirmed_crashes(cell: Cell, worker: Worker, now: float) -> None:
     """Charge losses on a worker as crashes after its next life answered.
 
     The losses were recorded earlier, when the worker's leases expired.
     """
-    is_crash = not _is_common(cell, worker)
-    for task, run, is_told in _take_lost(cell, worker):
+    is_crash = not _is_correlated_failure(cell, worker)
+    for task, run, is_told in _pop_losses(cell, worker):
         if is_told:
-            _charge(cell, task, run, worker.life, now, is_crash)
+            _charge_lost_run(cell, task, run, worker.life, now, is_crash)
 
 
-def take_back_losses(cell: Cell, worker: Worker) -> None:
+def revoke_losses(cell: Cell, worker: Worker) -> None:
     """Revoke the charges for runs lost on a worker whose same life answers again.
 
     Without this, a task that was on `MAX_LOSSES` partitioned workers would be given up.
     """
-    for task, run, _ in _take_lost(cell, worker):
+    for task, run, _ in _pop_losses(cell, worker):
         if not task.step.job.status.is_final:
-            take_back_charge(cell, task, run, worker.life)
+            revoke_charge(cell, task, run, worker.life)
 
 
-def _take_lost(cell: Cell, worker: Worker) -> Iterator[tuple[Task, int, bool]]:
+def _pop_losses(cell: Cell, worker: Worker) -> Iterator[tuple[Task, int, bool]]:
     """Yield the charged runs of a worker whose fate is now known, and clear the worker's list."""
-    lost, worker.lost = worker.lost, {}
+    lost, worker.unresolved_losses = worker.unresolved_losses, {}
     for (task_id, run), is_told in lost.items():
         task = cell.find_task(task_id)
         if task is not None and run in task.lost_runs:
@@ -109,7 +111,7 @@
 
 def lose_orphan(cell: Cell, task: Task, life: str, now: float) -> None:
     """Mark a run of an earlier leader as lost, whose worker never became known to this one."""
-    cell.tell("orphan_lost", task.id.job, task=task.id, worker=life)
+    cell.log_decision("orphan_lost", task.id.job, task=task.id, worker=life)
     charge_orphan(cell, task, life, now)
     void_run(cell, task, now)
 
@@ -117,46 +119,50 @@
 def charge_orphan(cell: Cell, task: Task, life: str, now: float) -> None:
     """Charge a task once for a run on a worker life that ended before this leader knew it."""
     if _may_have_run(task) and task.run not in task.lost_runs:
-        _charge(cell, task, task.run, life, now, is_crash=False)
+        _charge_lost_run(cell, task, task.run, life, now, is_crash=False)
 
 
-def absolve(cell: Cell, task: Task, now: float) -> None:
+def clear_losses(cell: Cell, task: Task, now: float) -> None:
     """Clear a long-running task's losses once a run of it has worked for long enough."""
     if not task.lost_runs or not task.step.spec.long_running:
         return
-    if task.phase is Phase.RUNNING and now - task.since >= _PROVEN_SECONDS:
+    if task.phase is Phase.RUNNING and now - task.phase_since >= _STABLE_RUN_SECONDS:
         task.lost_runs = task.crashed_runs = frozenset()
-        mark(cell, task.step.job)
-        cell.tell("task_absolved", task.id.job, task=task.id, run=task.run)
+        mark_dirty(cell, task.step.job)
+        cell.log_decision("task_absolved", task.id.job, task=task.id, run=task.run)
 
 
 def _lose_run(
     cell: Cell, worker: Worker, task: Task, now: float, end: _WorkerEnd, may_start_late: bool
 ) -> None:
     run = task.run
-    is_charged = _may_have_run(task) and (not worker.entry.draining or _may_be_why(worker, task))
-    _tell(cell, worker, task, end, is_charged)
+    is_charged = _may_have_run(task) and (
+        not worker.entry.draining or _may_have_caused_exit(worker, task)
+    )
+    _log_lost_run(cell, worker, task, end, is_charged)
     if may_start_late:
         task.phase = Phase.UNSURE
-        task.since = now
+        task.phase_since = now
         orphan = Orphan(task, run, worker.life, now)
         cell.orphans.setdefault(worker.entry.worker, []).append(orphan)
     else:
         void_run(cell, task, now)
     if not is_charged:
         return
-    worker.lost[task.id, run] = task.is_told
-    _charge(cell, task, run, worker.life, now, end.is_crash and task.is_told)
+    worker.unresolved_losses[task.id, run] = task.is_confirmed
+    _charge_lost_run(cell, task, run, worker.life, now, end.is_crash and task.is_confirmed)
 
 
 def _may_start_late(task: Task) -> bool:
     """Check whether a task's start was sent but never confirmed by the worker."""
-    return not task.is_told and task.phase in (Phase.ORDERED, Phase.UNSURE, Phase.STOPPING)
+    return not task.is_confirmed and task.phase in (Phase.ORDERED, Phase.UNSURE, Phase.STOPPING)
 
 
-def _charge(cell: Cell, task: Task, run: int, life: str, now: float, is_crash: bool) -> None:
+def _charge_lost_run(
+    cell: Cell, task: Task, run: int, life: str, now: float, is_crash: bool
+) -> None:
     """Charge a run that was lost with its worker, and fail the job at the task's limit."""
-    if charge(cell, task, run, life, is_crash):
+    if charge_run(cell, task, run, life, is_crash):
         fail_job(cell, task.step.job, now)
 
 
@@ -167,24 +173,26 @@
     return task.phase not in (Phase.RECORDED, Phase.DONE)
 
 
-def _may_be_why(worker: Worker, task: Task) -> bool:
+def _may_have_caused_exit(worker: Worker, task: Task) -> bool:
     """Check whether a run may have crashed a worker that was draining.
 
     A draining worker gets no new runs and ends seconds later, so only a run that just began may be
     the cause. If none were charged, each draining worker would allow a crashing task a start beyond
     its limit.
     """
-    if task.is_told and task.step.spec.long_running:
+    if task.is_confirmed and task.step.spec.long_running:
         return False
-    return may_have_ended_at_once(worker, task)
+    return may_have_ended_early(worker, task)
 
 
-def _tell(cell: Cell, worker: Worker, task: Task, end: _WorkerEnd, is_charged: bool) -> None:
+def _log_lost_run(
+    cell: Cell, worker: Worker, task: Task, end: _WorkerEnd, is_charged: bool
+) -> None:
     """Log a run that is lost with its worker, whether it is charged, and on what grounds."""
     silent_after_s = None
     if worker.silent_since is not None:
         silent_after_s = worker.silent_since - task.ordered_at
-    cell.tell(
+    cell.log_decision(
         "run_lost",
         task.id.job,
         task=task.id,
@@ -193,16 +201,18 @@
         phase=task.phase.value,
         silent_after_s=silent_after_s,
         is_charged=is_charged,
-        is_told=task.is_told,
+        is_told=task.is_confirmed,
         is_leaving=worker.entry.draining,
         reason=end.reason,
     )
 
 
-def _is_common(cell: Cell, worker: Worker) -> bool:
+def _is_correlated_failure(cell: Cell, worker: Worker) -> bool:
     """Check whether a worker fell silent together with others: a rack, a switch or an operator."""
     since = worker.silent_since
     if since is None:
         return False
-    near = sum(abs(other - since) <= _SAME_MOMENT_SECONDS for other in cell.silences)
-    return near > MOST_AT_ONCE
+    silent_count = sum(
+        abs(other - since) <= _CORRELATION_WINDOW_SECONDS for other in cell.silence_times
+    )
+    return silent_count > MAX_INDEPENDENT_FAILURES
--- a/src/snowdock/jobs/worker_lives.py
+++ b/src/snowdock/jobs/worker_lives.py
@@ -1,48 +1,56 @@
 """Beginning and end of worker lives: store entries, and refusals that end a life."""
 
 from .cell import Cell, Orphan
-from .durability import renew
+from .durability import send_renewal
 from .events import CloseWorker, OpenWorker, StepDown
-from .lives import worker_of
-from .lost_runs import charge_late, charge_orphan, lose_runs
+from .lives import worker_id_of
+from .lost_runs import charge_confirmed_crashes, charge_orphan, lose_runs
 from .occupancy import occupy, vacate
 from .orders import Refusal
-from .suspects import Company, note_crash, note_suspect
+from .suspects import IsolationLevel, record_crash, record_suspect
 from .workers import Worker, WorkerEntry
 
-__all__ = ["delist_worker", "end_life", "list_named_workers", "list_worker", "take_life_refusal"]
+__all__ = [
+    "end_life",
+    "handle_life_refusal",
+    "handle_worker_delisted",
+    "handle_worker_listed",
+    "list_pending_workers",
+]
 
 
-_NEXT_LIFE = "the worker restarted under its id"
+_NEXT_LIFE_REASON = "the worker restarted under its id"
 
 
-def list_worker(cell: Cell, entry: WorkerEntry, now: float) -> None:
+def handle_worker_listed(cell: Cell, entry: WorkerEntry, now: float) -> None:
     """Handle a worker's entry in the store, which may be new or updated."""
-    _end_other_life(cell, entry, now)
+    _end_previous_life(cell, entry, now)
     if entry.life in cell.ended_lives:
         return
     worker = cell.workers.get(entry.life)
     if worker is not None:
         if entry.draining and not worker.entry.draining:
-            cell.tell("worker_draining", entry.life, remaining_ms=entry.remaining_ms)
+            cell.log_decision("worker_draining", entry.life, remaining_ms=entry.remaining_ms)
         worker.entry = entry
         worker.listed = True
         return
-    if not cell.names_service(entry.service):
-        if entry.life not in cell.unnamed:
-            cell.tell("worker_unnamed", entry.life, service=entry.service, address=entry.address)
-        cell.unnamed[entry.life] = entry
+    if not cell.is_known_service(entry.service):
+        if entry.life not in cell.unknown_service_workers:
+            cell.log_decision(
+                "worker_unnamed", entry.life, service=entry.service, address=entry.address
+            )
+        cell.unknown_service_workers[entry.life] = entry
         return
     worker = Worker(entry)
     cell.workers[entry.life] = worker
-    cell.tell("worker_listed", entry.life, service=entry.service, address=entry.address)
+    cell.log_decision("worker_listed", entry.life, service=entry.service, address=entry.address)
     for orphan in cell.orphans.pop(entry.worker, []):
-        _take_orphan(cell, worker, orphan, now)
+        _adopt_orphan(cell, worker, orphan, now)
     cell.emit(OpenWorker(entry.life, entry.address))
-    renew(cell, worker, now, 0)
+    send_renewal(cell, worker, now, 0)
 
 
-def _take_orphan(cell: Cell, worker: Worker, orphan: Orphan, now: float) -> None:
+def _adopt_orphan(cell: Cell, worker: Worker, orphan: Orphan, now: float) -> None:
     """Assign a run that waited for a life of its worker to that life, until it reports."""
     task, run = orphan.task, orphan.run
     vacate(cell, orphan.life, task.id, run)
@@ -50,55 +58,55 @@
         return
     task.life = worker.life
     occupy(cell, worker, task.id, run, task.step)
-    note_suspect(worker, task, Company.NO_SUSPECT)
+    record_suspect(worker, task, IsolationLevel.FROM_SUSPECTS)
     if orphan.life not in (worker.life, worker.entry.worker):
         # The previous life has ended, but this one may still execute the start.
         worker.inherited.add((task.id, run))
         charge_orphan(cell, task, orphan.life, now)
 
 
-def _end_other_life(cell: Cell, entry: WorkerEntry, now: float) -> None:
+def _end_previous_life(cell: Cell, entry: WorkerEntry, now: float) -> None:
     """End the life that was listed before under a worker's id, if it is another one.
 
     The life that was listed last counts, since a wall clock may be set back between two lives.
     """
-    before = cell.newest_lives.get(entry.worker)
+    previous_life = cell.newest_lives.get(entry.worker)
     cell.newest_lives[entry.worker] = entry.life
-    if before is None or before == entry.life:
+    if previous_life is None or previous_life == entry.life:
         return
-    cell.unnamed.pop(before, None)
-    worker = cell.workers.get(before)
+    cell.unknown_service_workers.pop(previous_life, None)
+    worker = cell.workers.get(previous_life)
     if worker is not None:
         has_crashed = not worker.entry.draining
-        end_life(cell, worker, now, _NEXT_LIFE, has_crashed, has_next_life=True)
-    cell.ended_lives.discard(before)
+        end_life(cell, worker, now, _NEXT_LIFE_REASON, has_crashed, has_next_life=True)
+    cell.ended_lives.discard(previous_life)
 
 
-def list_named_workers(cell: Cell, now: float) -> None:
+def list_pending_workers(cell: Cell, now: float) -> None:
     """Handle the pending entries of workers again after a change to the known services."""
-    waiting, cell.unnamed = cell.unnamed, {}
+    waiting, cell.unknown_service_workers = cell.unknown_service_workers, {}
     for entry in waiting.values():
-        list_worker(cell, entry, now)
+        handle_worker_listed(cell, entry, now)
 
 
-def delist_worker(cell: Cell, life: str, may_return: bool, now: float) -> None:
+def handle_worker_delisted(cell: Cell, life: str, may_return: bool, now: float) -> None:
     """Handle the removal of a worker's entry; its runs continue until their lease expires.
 
     If the store is healthy, a removed entry means that the worker shut down without draining, is
     partitioned, or has ended.
     """
     cell.ended_lives.discard(life)
-    cell.unnamed.pop(life, None)
+    cell.unknown_service_workers.pop(life, None)
     worker = cell.workers.get(life)
     if worker is None:
-        _forget_name(cell, life)
+        _forget_newest_life(cell, life)
         return
     if not worker.listed:
         return
     worker.listed = False
     worker.delisted_at = now
     worker.may_return = may_return
-    cell.tell("worker_delisted", life, runs=len(worker.runs), may_return=may_return)
+    cell.log_decision("worker_delisted", life, runs=len(worker.runs), may_return=may_return)
 
 
 def end_life(
@@ -114,33 +122,35 @@
     A start that it did not answer may still be executed by its next life under the same id.
     """
     if has_crashed:
-        note_crash(cell, worker, now)
-        charge_late(cell, worker, now)
+        record_crash(cell, worker, now)
+        charge_confirmed_crashes(cell, worker, now)
     lose_runs(cell, worker, now, reason, has_crashed, has_next_life)
     del cell.workers[worker.life]
     if worker.listed:
         cell.ended_lives.add(worker.life)
     else:
-        _forget_name(cell, worker.life)
+        _forget_newest_life(cell, worker.life)
     cell.emit(CloseWorker(worker.life))
-    cell.tell("worker_ended", worker.life, reason=reason)
+    cell.log_decision("worker_ended", worker.life, reason=reason)
 
 
-def _forget_name(cell: Cell, life: str) -> None:
+def _forget_newest_life(cell: Cell, life: str) -> None:
     """Drop the newest-life entry of a worker whose life is no longer tracked."""
-    worker = worker_of(life)
+    worker = worker_id_of(life)
     if cell.newest_lives.get(worker) == life:
         del cell.newest_lives[worker]
 
 
-def take_life_refusal(cell: Cell, worker: Worker, refusal: Refusal | None, now: float) -> bool:
+def handle_life_refusal(cell: Cell, worker: Worker, refusal: Refusal | None, now: float) -> bool:
     """Handle a refusal that concerns the worker's life; return whether it was one."""
     if refusal is Refusal.OTHER_LIFE:
         has_crashed = not worker.entry.draining
         end_life(cell, worker, now, "another life answered at the worker's address", has_crashed)
         return True
     if refusal is Refusal.NEXT_LIFE:
-        end_life(cell, worker, now, _NEXT_LIFE, not worker.entry.draining, has_next_life=True)
+        end_life(
+            cell, worker, now, _NEXT_LIFE_REASON, not worker.entry.draining, has_next_life=True
+        )
         return True
     if refusal is Refusal.FENCED:
         cell.emit(StepDown(f"worker {worker.life} has seen a higher token"))
--- a/tests/test_jobs_lives.py
+++ b/tests/test_jobs_lives.py
@@ -7,21 +7,21 @@
 import msgspec
 
 from snowdock.declarations import Size
+from snowdock.entry.job_status_table import JobStatusTable
 from snowdock.entry.leader_handle import LeaderHandle
-from snowdock.entry.statuses import StatusBook
 from snowdock.errors import PlatformError
 from snowdock.jobs.events import (
-    Decided,
+    LogDecision,
     RenewAnswered,
     SendStop,
     StopAnswered,
     WorkerDelisted,
     WorkerListed,
 )
-from snowdock.jobs.lives import life_of, worker_of
+from snowdock.jobs.job_state import Phase
+from snowdock.jobs.lives import format_life, worker_id_of
 from snowdock.jobs.model import JobStatus
-from snowdock.jobs.orders import AdviceWanted, Refusal, WorkerReport
-from snowdock.jobs.parts import Phase
+from snowdock.jobs.orders import AdviceRequest, Refusal, WorkerReport
 from snowdock.jobs.progress import decode_progress
 from snowdock.jobs.takeover import RecordedJobs
 from snowdock.platform.advice import AdviceClient
@@ -29,10 +29,14 @@
 from snowdock.platform.store import KeyedRecord
 from snowdock.platform.worker_calls import decode_renewal
 from snowdock.platform.worker_list import decode_worker_entry
-from tests.jobs_tools import DONE, SMALL, Bench, accepted, of_type
+from tests.jobs_tools import DONE, SMALL, Bench, filter_by_type, make_accepted_job
 from tests.standins.platform import AdviceStandin
 
-FIRST, SECOND, BEFORE_FIRST = life_of("i-1", 100), life_of("i-1", 200), life_of("i-1", 50)
+FIRST, SECOND, BEFORE_FIRST = (
+    format_life("i-1", 100),
+    format_life("i-1", 200),
+    format_life("i-1", 50),
+)
 
 ENTRY = {
     "service": "pool",
@@ -53,17 +57,17 @@
     return msgspec.json.encode(ENTRY | fields)
 
 
-def held(**fields: object) -> Reply:
+def runs_reply(**fields: object) -> Reply:
     told = {"clock_ms": 1, "running": [], "ended": []}
     return Reply(200, msgspec.json.encode(told | fields))
 
 
-class TestBorder(unittest.TestCase):
+class TestDecoding(unittest.TestCase):
     def test_names(self) -> None:
         """A life's identifier contains the worker's id, and differs with the life's start."""
         self.assertNotEqual(FIRST, SECOND)
-        self.assertEqual({worker_of(FIRST), worker_of(SECOND), worker_of("i-1")}, {"i-1"})
-        self.assertEqual(worker_of("odd@name"), "odd@name")
+        self.assertEqual({worker_id_of(FIRST), worker_id_of(SECOND), worker_id_of("i-1")}, {"i-1"})
+        self.assertEqual(worker_id_of("odd@name"), "odd@name")
 
     def test_entry_names_its_life(self) -> None:
         """An entry's life is derived from its start; without one, the id identifies the life."""
@@ -78,12 +82,16 @@
                 with self.assertRaises(PlatformError):
                     decode_worker_entry("i-1", entry(born=born))
                 with self.assertRaises(PlatformError):
-                    decode_renewal(held(born=born), FIRST)
+                    decode_renewal(runs_reply(born=born), FIRST)
 
     def test_list_of_runs_of_another_life(self) -> None:
         """A report of another life is detected if both starts are known."""
-        self.assertIs(decode_renewal(held(born=200), FIRST), Refusal.NEXT_LIFE)
-        for reply, life in ((held(born=100), FIRST), (held(), FIRST), (held(born=9), "i-1")):
+        self.assertIs(decode_renewal(runs_reply(born=200), FIRST), Refusal.NEXT_LIFE)
+        for reply, life in (
+            (runs_reply(born=100), FIRST),
+            (runs_reply(), FIRST),
+            (runs_reply(born=9), "i-1"),
+        ):
             self.assertIsInstance(decode_renewal(reply, life), WorkerReport)
 
 
@@ -94,38 +102,40 @@
         self.addCleanup(service.close)
         service.unfit = {"i-2"}
         client = AdviceClient(service.address)
-        lives = (SECOND, life_of("i-2", 300))
-        given = client.ask(AdviceWanted("a" * 16, 0, 0, lives), 5.0)
+        lives = (SECOND, format_life("i-2", 300))
+        given = client.ask(AdviceRequest("a" * 16, 0, 0, lives), 5.0)
         self.assertEqual(given.tickets, {SECOND: "t-i-1"})
 
 
 class TestList(unittest.TestCase):
     def setUp(self) -> None:
-        self.told: list = []
-        actor = types.SimpleNamespace(tell=self.told.append)
+        self.events: list = []
+        actor = types.SimpleNamespace(tell=self.events.append)
         context = types.SimpleNamespace(store=types.SimpleNamespace(), parts=1, metrics=None)
-        self.handle = LeaderHandle(context, actor, StatusBook())
+        self.handle = LeaderHandle(context, actor, JobStatusTable())
 
     def take(self, value: bytes | None, offset: int) -> None:
-        self.handle._take_worker(KeyedRecord("i-1", value, offset))
+        self.handle._apply_worker_record(KeyedRecord("i-1", value, offset))
 
-    def test_entry_that_goes_names_the_life_that_was_listed(self) -> None:
+    def test_removed_entry_delists_the_listed_life(self) -> None:
         """A removed entry, whose key has only the worker's id, ends the life listed last."""
         self.take(entry(born=100), 0)
         self.take(entry(born=200), 1)
         self.take(None, 2)
-        lives = [event.entry.life for event in of_type(self.told, WorkerListed)]
+        lives = [event.entry.life for event in filter_by_type(self.events, WorkerListed)]
         self.assertEqual(lives, [FIRST, SECOND])
-        self.assertEqual([each.life for each in of_type(self.told, WorkerDelisted)], [SECOND])
+        self.assertEqual(
+            [each.life for each in filter_by_type(self.events, WorkerDelisted)], [SECOND]
+        )
 
-    def test_entry_of_a_life_before_is_read_again(self) -> None:
+    def test_older_entry_read_again_is_ignored(self) -> None:
         """Older entries that are read again after a newer page are ignored."""
-        self.handle._take_all_workers([KeyedRecord("i-1", entry(born=200), 7)])
+        self.handle._replace_workers([KeyedRecord("i-1", entry(born=200), 7)])
         self.take(entry(born=100), 5)
         self.take(None, 6)
         self.take(entry(born=200), 7)
-        lives = [event.entry.life for event in of_type(self.told, WorkerListed)]
-        self.assertEqual((lives, len(self.told)), ([SECOND, SECOND], 2))
+        lives = [event.entry.life for event in filter_by_type(self.events, WorkerListed)]
+        self.assertEqual((lives, len(self.events)), ([SECOND, SECOND], 2))
 
 
 class TestNextLife(unittest.TestCase):
@@ -133,9 +143,9 @@
         self.bench = Bench()
         self.bench.add_worker(FIRST)
 
-    def begin(self, life: str = SECOND, settled: bool = True) -> None:
+    def start_next_life(self, life: str = SECOND, settled: bool = True) -> None:
         self.bench._ends = itertools.count(1)
-        self.bench.add_worker(life, settled=settled)
+        self.bench.add_worker(life, is_settled=settled)
 
     def start(self):
         self.job = self.bench.submit()
@@ -143,63 +153,63 @@
         (start,) = self.bench.new_starts()
         return start
 
-    def test_end_of_the_next_life_is_dropped(self) -> None:
+    def test_ends_of_the_next_life_count(self) -> None:
         """Ends of the next life are numbered from 1 and count, after ends of the previous one."""
         for _ in range(3):
             order = self.start().order
             self.bench.report(FIRST, ended=[(order.task, order.run, DONE)])
-        self.begin()
+        self.start_next_life()
         start = self.start()
         self.assertEqual(start.life, SECOND)
-        self.assertEqual(self.bench.renewals[SECOND].seen_ends, 0)
+        self.assertEqual(self.bench.renewals[SECOND].last_recorded_end, 0)
         self.bench.report(SECOND, ended=[(start.order.task, start.order.run, DONE)])
         self.assertIs(self.bench.cell.jobs[self.job].status, JobStatus.COMPLETED)
 
-    def test_run_goes_with_its_life(self) -> None:
+    def test_run_restarts_in_the_next_life(self) -> None:
         """Runs of the previous life start again as soon as the next life is listed."""
         start = self.start()
         self.bench.confirm(start)
-        self.begin()
+        self.start_next_life()
         self.bench.tick(0.2)
         (again,) = self.bench.new_starts()
         self.assertEqual((again.life, again.order.run), (SECOND, 2))
         self.assertNotIn(FIRST, self.bench.cell.workers)
 
-    def test_late_answer_of_the_life_before(self) -> None:
+    def test_late_answer_of_the_previous_life(self) -> None:
         """Answers of the previous life do not affect the next one."""
         order = self.start().order
-        late = self.bench.renewal(FIRST)
-        self.begin()
-        before = self.bench.cell.workers[SECOND].known_ends
+        late = self.bench.await_renewal(FIRST)
+        self.start_next_life()
+        before = self.bench.cell.workers[SECOND].last_processed_end
         report = WorkerReport(self.bench.now * 1000, [], [])
         self.bench.feed(RenewAnswered(FIRST, late, report))
         self.bench.feed(StopAnswered(FIRST, order.task, order.run, True))
-        self.assertEqual(self.bench.cell.workers[SECOND].known_ends, before)
+        self.assertEqual(self.bench.cell.workers[SECOND].last_processed_end, before)
 
     def test_time_of_day_set_back_between_two_lives(self) -> None:
         """The life that was listed last counts, even if its start is earlier."""
-        self.begin(BEFORE_FIRST)
+        self.start_next_life(BEFORE_FIRST)
         self.assertEqual(list(self.bench.cell.workers), [BEFORE_FIRST])
 
     def test_ended_life_is_listed_again(self) -> None:
         """An entry of an ended life does not bring it back; the next life's entry is accepted."""
-        self.bench.feed(RenewAnswered(FIRST, self.bench.renewal(FIRST), Refusal.NEXT_LIFE))
-        self.bench.add_worker(FIRST, settled=False)
+        self.bench.feed(RenewAnswered(FIRST, self.bench.await_renewal(FIRST), Refusal.NEXT_LIFE))
+        self.bench.add_worker(FIRST, is_settled=False)
         self.assertEqual(list(self.bench.cell.workers), [])
-        self.begin()
+        self.start_next_life()
         self.assertEqual(list(self.bench.cell.workers), [SECOND])
         self.assertEqual(self.bench.cell.ended_lives, set())
 
     def test_names_are_forgotten(self) -> None:
         """No state is kept of a worker that is gone."""
-        self.begin()
+        self.start_next_life()
         self.bench.feed(WorkerDelisted(SECOND, False))
         self.bench.tick(16.0)
         cell = self.bench.cell
         self.assertEqual((cell.workers, cell.newest_lives, cell.ended_lives), ({}, {}, set()))
 
 
-class TestStartInDoubt(unittest.TestCase):
+class TestUnansweredStart(unittest.TestCase):
     """An unanswered start on a worker that then restarts under its id."""
 
     def setUp(self) -> None:
@@ -207,13 +217,13 @@
         self.bench.add_worker(FIRST)
         self.job = self.bench.submit()
         (self.first,) = self.bench.new_starts()
-        refused = RenewAnswered(FIRST, self.bench.renewal(FIRST), Refusal.NEXT_LIFE)
+        refused = RenewAnswered(FIRST, self.bench.await_renewal(FIRST), Refusal.NEXT_LIFE)
         self.bench.feed(refused)
         self.bench.tick(0.5)
         self.assertEqual(self.bench.new_starts(), [])
-        self.bench.add_worker(SECOND, settled=False)
+        self.bench.add_worker(SECOND, is_settled=False)
 
-    def test_next_life_has_carried_it_out(self) -> None:
+    def test_next_life_runs_it(self) -> None:
         """If the next life executes the start, the run continues and no other one begins."""
         order = self.first.order
         self.bench.report(SECOND, running=[(order.task, order.run, 10)])
@@ -225,7 +235,7 @@
     def test_next_life_does_not_have_it(self) -> None:
         """If the next life does not have the run, it is stopped there before the task restarts."""
         self.bench.report(SECOND)
-        (stop,) = of_type(self.bench.seen, SendStop)
+        (stop,) = filter_by_type(self.bench.all_effects, SendStop)
         self.assertEqual((stop.life, stop.order.run), (SECOND, self.first.order.run))
         self.assertEqual(self.bench.new_starts(), [])
         self.bench.feed(StopAnswered(SECOND, stop.order.task, stop.order.run, True))
@@ -236,9 +246,13 @@
         (again,) = self.bench.new_starts()
         self.assertEqual(again.order.run, 2)
 
-    def test_start_in_doubt_is_charged_twice(self) -> None:
+    def test_unanswered_start_is_charged_once(self) -> None:
         """The loss is charged when the first life ends, and not again with the next one."""
-        charged = [e for e in of_type(self.bench.told, Decided) if e.decision == "task_charged"]
+        charged = [
+            e
+            for e in filter_by_type(self.bench.decisions, LogDecision)
+            if e.decision == "task_charged"
+        ]
         self.assertEqual(len(charged), 1)
 
     def test_no_next_life_is_listed(self) -> None:
@@ -248,7 +262,7 @@
         bench.add_worker(FIRST)
         bench.submit()
         bench.new_starts()
-        bench.feed(RenewAnswered(FIRST, bench.renewal(FIRST), Refusal.NEXT_LIFE))
+        bench.feed(RenewAnswered(FIRST, bench.await_renewal(FIRST), Refusal.NEXT_LIFE))
         bench.add_worker("other", address="b:1")
         bench.tick(9.0)
         self.assertEqual(bench.new_starts(), [])
@@ -268,7 +282,7 @@
         progress = {name: decode_progress(data) for name, data in before.recorded.items()}
         after = Bench(token=2)
         after.now = before.now + 0.5
-        after.restore(RecordedJobs({job: accepted(SMALL)}, set(), progress))
+        after.restore(RecordedJobs({job: make_accepted_job(SMALL)}, set(), progress))
         self.task = after.cell.jobs[job].repetitions[0][0].tasks[0]
         return after
 
@@ -276,7 +290,7 @@
         """A run of a previous life ends when the next life refuses it, and is charged once."""
         bench = self.take_over(FIRST)
         bench.add_worker(SECOND)
-        (stop,) = of_type(bench.seen, SendStop)
+        (stop,) = filter_by_type(bench.all_effects, SendStop)
         bench.feed(StopAnswered(SECOND, stop.order.task, stop.order.run, True))
         bench.report(SECOND)
         bench.tick(0.6)
@@ -288,11 +302,11 @@
     def test_record_without_a_start(self) -> None:
         """A run recorded for a worker id without a start continues in the life that has it."""
         bench = self.take_over("i-1")
-        bench.add_worker(FIRST, settled=False)
+        bench.add_worker(FIRST, is_settled=False)
         bench.report(FIRST, running=[(self.task.id, 1, 30)])
         self.assertEqual((self.task.life, self.task.phase), (FIRST, Phase.RUNNING))
         self.assertEqual(self.task.lost_runs, set())
-        self.assertEqual(of_type(bench.seen, SendStop), [])
+        self.assertEqual(filter_by_type(bench.all_effects, SendStop), [])
         self.assertEqual(bench.cell.workers[FIRST].used, Size(1000, 1000))
 
 
--- a/tests/test_jobs_suspects.py
+++ b/tests/test_jobs_suspects.py
@@ -12,12 +12,12 @@
 from snowdock.jobs.progress import decode_progress
 from snowdock.jobs.suspects import next_tasks
 from snowdock.jobs.takeover import RecordedJobs
-from tests.jobs_tools import DONE, SMALL, Bench, accepted
+from tests.jobs_tools import DONE, SMALL, Bench, make_accepted_job
 
 PAIR = msgspec.structs.replace(SMALL, count=2)
 
 
-class Suspects(unittest.TestCase):
+class SuspectsTestCase(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench()
         self._lives = 0
@@ -34,8 +34,8 @@
             self.bench.end_life(life)
 
 
-class TestCompany(Suspects):
-    def lose_twice_beside(self, cpu: int) -> str:
+class TestIsolation(SuspectsTestCase):
+    def crash_two_workers_beside(self, cpu: int) -> str:
         """Crash two workers under a task; return a third worker that runs another task."""
         self.add_workers(1)
         self.bench.submit(SMALL)
@@ -49,7 +49,7 @@
         self.crash_all(suspect)
         return busy
 
-    def test_suspects_go_to_workers_of_their_own(self) -> None:
+    def test_suspects_are_placed_apart(self) -> None:
         """Two tasks that were lost with one worker are not placed together again."""
         self.add_workers(1)
         self.bench.submit(PAIR)
@@ -61,9 +61,9 @@
         again = self.bench.new_starts()
         self.assertEqual(len({start.life for start in again}), 2)
 
-    def test_after_a_second_loss_nobody_is_beside_it(self) -> None:
+    def test_exclusive_worker_after_a_second_loss(self) -> None:
         """A task with two losses gets an empty worker, which takes nothing else."""
-        self.lose_twice_beside(cpu=9000)
+        self.crash_two_workers_beside(cpu=9000)
         self.assertEqual(self.bench.new_starts(), [])
         (empty,) = self.add_workers(1)
         self.bench.tick(0.2)
@@ -100,7 +100,7 @@
         self.crash_all(starts)
         return jobs
 
-    def test_suspect_that_was_taken_over(self) -> None:
+    def test_suspect_recovered_by_a_new_leader(self) -> None:
         """A new leader keeps other suspects away from a worker with a restored suspect."""
         job, other = self.make_suspects(2)
         (one,) = self.add_workers(1)
@@ -108,11 +108,11 @@
         (start,) = self.bench.new_starts()
         self.assertEqual(start.order.task.job, job)
         recorded = {name: decode_progress(self.bench.recorded[name]) for name in (job, other)}
-        jobs = {name: accepted(SMALL) for name in (job, other)}
+        jobs = {name: make_accepted_job(SMALL) for name in (job, other)}
         before, self.bench = self.bench, Bench(2)
         self.bench.now = before.now
         self.bench.restore(RecordedJobs(jobs, set(), recorded))
-        self.bench.add_worker(one, settled=False)
+        self.bench.add_worker(one, is_settled=False)
         self.bench.report(one, running=[(start.order.task, start.order.run, 1.0)])
         self.bench.tick(1.0)
         self.assertEqual(self.bench.new_starts(), [])
@@ -120,12 +120,12 @@
         self.bench.tick(0.2)
         self.assertEqual([start.life for start in self.bench.new_starts()], [two])
 
-    def test_tasks_with_unlike_pasts(self) -> None:
+    def test_tasks_with_different_losses(self) -> None:
         """The remaining tasks of a step are placed on the next event, not on the next tick."""
         job = self.bench.submit(PAIR)
         ((step,),) = self.bench.cell.jobs[job].repetitions
         step.tasks[0].lost_runs = frozenset({1})
-        step.tasks[0].since = self.bench.now
+        step.tasks[0].phase_since = self.bench.now
         self.add_workers(1)
         entry = self.bench.cell.workers["w0"].entry
         for placed in range(2):
@@ -149,15 +149,15 @@
         self.bench.tick(0.2)
         self.assertEqual([start.life for start in self.bench.new_starts()], ["else"])
 
-    def test_it_does_not_wait_for_ever(self) -> None:
+    def test_isolation_wait_is_bounded(self) -> None:
         """If no worker is empty, a suspect shares one within two seconds."""
-        busy = self.lose_twice_beside(cpu=4000)
+        busy = self.crash_two_workers_beside(cpu=4000)
         self.bench.tick(0.5)
         self.assertEqual(self.bench.new_starts(), [])
         self.bench.tick(1.5)
         self.assertEqual([start.life for start in self.bench.new_starts()], [busy])
 
-    def test_something_of_a_waiting_step_is_always_next(self) -> None:
+    def test_waiting_step_always_has_next_tasks(self) -> None:
         """A waiting step has a task to place next, for all losses and waiting times."""
         pasts = list(itertools.product((0, 1, 2, 4), (0.0, 0.5, 1.0, 3.0)))
         job = self.bench.submit(PAIR)
@@ -166,12 +166,12 @@
         for chosen in itertools.product(pasts, repeat=2):
             for task, (losses, waited) in zip(step.tasks, chosen, strict=True):
                 task.lost_runs = frozenset(range(losses))
-                task.since = now - waited
+                task.phase_since = now - waited
             tasks, _ = next_tasks(step, now)
             self.assertTrue(tasks, chosen)
 
 
-class TestCommonCauses(Suspects):
+class TestCommonCauses(SuspectsTestCase):
     def charges(self, count: int) -> list[tuple[int, int]]:
         """Return crashes and losses of tasks whose workers, one each, fall silent at once."""
         lives = self.add_workers(count, cpu=1000)
@@ -179,21 +179,21 @@
         for start in self.bench.new_starts():
             self.bench.confirm(start)
         for life in lives:
-            self.bench.miss(life)
+            self.bench.leave_unanswered(life)
         for life in lives:
             self.bench.end_life(life)
         tasks = self.bench.cell.jobs[job].all_tasks()
         return [(len(task.crashed_runs), len(task.lost_runs)) for task in tasks]
 
-    def test_many_at_the_same_moment_are_no_crashes(self) -> None:
+    def test_simultaneous_failures_are_no_crashes(self) -> None:
         """If three workers fall silent at once, their runs are charged as losses only."""
         self.assertEqual(self.charges(3), [(0, 1)] * 3)
 
-    def test_one_of_two_may_be_to_blame(self) -> None:
+    def test_two_simultaneous_failures_are_crashes(self) -> None:
         """If two workers fall silent at once, their runs are charged as crashes."""
         self.assertEqual(self.charges(2), [(1, 1)] * 2)
 
-    def test_many_whose_leases_were_over_first(self) -> None:
+    def test_simultaneous_failures_after_lease_expiry(self) -> None:
         """Simultaneous losses stay losses if other lives answer after the leases expired."""
         lives = self.add_workers(3, cpu=1000)
         job = self.bench.submit(msgspec.structs.replace(SMALL, count=3))
@@ -203,7 +203,7 @@
         while self.bench.now < end:
             for life in lives:
                 if life in self.bench.renewals:
-                    self.bench.miss(life)
+                    self.bench.leave_unanswered(life)
             self.bench.tick(0.1)
         for life in lives:
             self.bench.end_life(life)
@@ -212,7 +212,7 @@
         self.assertEqual([len(task.crashed_runs) for task in tasks], [0] * 3)
 
 
-class TestGangs(Suspects):
+class TestGangs(SuspectsTestCase):
     def test_gang_does_not_wait_for_empty_workers(self) -> None:
         """A gang with two losses may share a worker with other runs, but not with suspects."""
         self.add_workers(1)
