--- a/src/snowdock/jobs/orders.py
+++ b/src/snowdock/jobs/orders.py
@@ -86,7 +86,7 @@
     ----------
     token
         The fencing token.
-    seen_ends
+    last_recorded_end
         The number up to which ended runs are recorded, so that the worker may drop them.
     lease_until_ms
         The end of the lease, in ms on the worker's clock; 0 renews nothing.
--- a/src/snowdock/jobs/progress.py
+++ b/src/snowdock/jobs/progress.py
@@ -1,4 +1,4 @@
-"""Durable records of jobs: acceptance, cancellation and progress."""
+"""Durable records of jobs: submission, cancellation and progress."""
 
 import hashlib
 
@@ -28,7 +28,7 @@
 
 
 class AcceptedJob(msgspec.Struct, frozen=True, array_like=True):
-    """A job as it was accepted; written once, by the node that accepted it.
+    """Submission record of a job; written once, by the node that accepted the job.
 
     Attributes
     ----------
@@ -120,7 +120,7 @@
 
 
 def decode_accepted(data: bytes) -> AcceptedJob:
-    """Decode the record of an accepted job.
+    """Decode a submission record.
 
     Raises
     ------
@@ -131,7 +131,7 @@
 
 
 def decode_progress(data: bytes) -> JobProgress:
-    """Decode the record of a job's progress.
+    """Decode a progress record.
 
     Raises
     ------
--- a/src/snowdock/jobs/takeover.py
+++ b/src/snowdock/jobs/takeover.py
@@ -16,10 +16,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordedJobs:
-    """All records of jobs in the store: accepted jobs, cancellations and progress.
+    """All records of jobs in the store: submissions, cancellations and progress.
 
     Cancelled jobs are identified by their `record_name`. ``unreadable`` jobs have a progress record
-    that cannot be decoded, ``unstartable`` ones such an acceptance record. No status is published
+    that cannot be decoded, ``unstartable`` ones such a submission record. No status is published
     for either, and they are not reported as unknown.
     """
 
--- a/src/snowdock/jobs/workers.py
+++ b/src/snowdock/jobs/workers.py
@@ -68,7 +68,7 @@
     ----------
     room
         The reserved room.
-    due
+    needed_at
         When the step is expected to use it, in steady seconds: a run that ends before may use it.
     rank
         The step's rank; higher-ranked steps may use the room too.
@@ -100,51 +100,51 @@
         Room taken by all runs that are, or may be, there, including those being stopped.
     runs
         Room by (task, run) of all runs that are, or may be, there.
-    yielding, yieldable
+    preemptible_runs, preemptible_room
         The runs that may be preempted and resume elsewhere, and the room they take.
-    claims
+    room_holds
         Room that is reserved for steps, by step.
     listed, delisted_at
         Whether the store lists it, and if not, since when, in steady seconds.
     may_return
         If it is not listed: whether its entry may have expired due to a store outage.
-    settled
+    is_synced
         Whether it has answered a renewal of this leader since its runs were last marked as lost.
     clock_ms, clock_at
         Its clock in its latest answer, and the steady time in seconds when that answer arrived.
     lease_until_ms
         The latest lease end ever sent to it, on its clock.
-    seen_ends
+    last_recorded_end
         The number up to which ended runs are recorded.
-    known_ends
+    last_processed_end
         The number up to which ended runs have been processed, though maybe not recorded yet.
-    renewing
+    is_renewing
         Whether a renewal is in progress.
     next_renew_at
         When the next renewal is due, in steady seconds.
-    heard_at
+    last_report_at
         When its last report arrived, in steady seconds.
     silent_since
         When a call first failed to get an answer, in steady seconds; None while it answers.
-    is_mute
+    is_unresponsive
         Whether several calls in a row got no answer.
-    charged
+    failures_by_step
         Failed runs since the last success there, by step.
-    doubt
+    failure_score
         The failure score computed from them; see `failed_runs`.
-    times_aside
+    quarantine_count
         How often it was quarantined for failures since the last success there.
-    trial_until, trial
+    probation_until, probation_run
         Until when it is on probation, in steady seconds, and the run it took on probation.
-    aside_until
+    quarantined_until
         Until when it is quarantined, in steady seconds.
-    aside_for
+    quarantine_cause
         Why it is, or was last, quarantined; None once its release is logged.
-    slow_log
+    log_slowness
         The logarithm of the factor by which runs take longer there than normal.
     suspects
         The runs of suspects there, see `suspects`; True for those that need exclusive use.
-    lost
+    unresolved_losses
         Runs charged as lost there since its last answer, and whether it had confirmed each of
         them: it is not known yet whether the worker crashed.
     inherited
