--- a/src/snowdock/jobs/failed_runs.py
+++ b/src/snowdock/jobs/failed_runs.py
@@ -84,7 +84,7 @@
     _update_failure_score(cell, worker)
     if worker.quarantine_count and _failure_weight(cell, worker, failures) < _SIGNIFICANT_WEIGHT:
         return
-    _quarantine_if_suspect(cell, worker, now)
+    _quarantine_if_over_score(cell, worker, now)
 
 
 def record_success(cell: Cell, worker: Worker, step: Step, began_at: float, now: float) -> None:
@@ -101,7 +101,7 @@
     if worker.life in step.done_on:
         return
     if not step.done_on:
-        _update_failing_share(cell, worker, is_bad=False)
+        _update_failing_share(cell, worker, fails_everywhere=False)
     step.done_on.add(worker.life)
     _reevaluate_others(cell, worker, step, now)
 
@@ -125,10 +125,10 @@
     ):
         return
     step.fails_everywhere = True
-    _update_failing_share(cell, worker, is_bad=True)
+    _update_failing_share(cell, worker, fails_everywhere=True)
 
 
-def _quarantine_if_suspect(cell: Cell, worker: Worker, now: float) -> None:
+def _quarantine_if_over_score(cell: Cell, worker: Worker, now: float) -> None:
     if worker.failure_score < _QUARANTINE_SCORE or _is_quarantine_full(cell, worker, now):
         return
     seconds = min(_MIN_QUARANTINE_SECONDS * 2**worker.quarantine_count, _MAX_QUARANTINE_SECONDS)
@@ -167,7 +167,7 @@
         if is_cleared and other.is_quarantined_for_failures:
             _reset_quarantine(cell, other, now)
         elif not other.quarantine_count:
-            _quarantine_if_suspect(cell, other, now)
+            _quarantine_if_over_score(cell, other, now)
 
 
 def _other_failed_workers(cell: Cell, step: Step, worker: Worker | None = None) -> set[str]:
@@ -184,7 +184,7 @@
 def _update_failure_score(cell: Cell, worker: Worker) -> float:
     """Recompute and return a worker's failure score, which is cached for placement passes."""
     worker.failure_score = sum(
-        _failure_weight(cell, worker, charge) for charge in worker.failures_by_step.values()
+        _failure_weight(cell, worker, failures) for failures in worker.failures_by_step.values()
     )
     return worker.failure_score
 
@@ -225,10 +225,10 @@
     )
 
 
-def _update_failing_share(cell: Cell, worker: Worker, is_bad: bool) -> None:
+def _update_failing_share(cell: Cell, worker: Worker, fails_everywhere: bool) -> None:
     """Update the moving average of the share of steps that fail everywhere."""
     share = _failing_step_share(cell, worker)
-    share += _FAILING_SHARE_GAIN * (is_bad - share)
+    share += _FAILING_SHARE_GAIN * (fails_everywhere - share)
     cell.failing_step_share[worker.entry.service] = max(_MIN_FAILING_SHARE, share)
 
 
--- a/src/snowdock/jobs/lost_runs.py
+++ b/src/snowdock/jobs/lost_runs.py
@@ -85,8 +85,8 @@
     The losses were recorded earlier, when the worker's leases expired.
     """
     is_crash = not _is_correlated_failure(cell, worker)
-    for task, run, is_told in _pop_losses(cell, worker):
-        if is_told:
+    for task, run, is_confirmed in _pop_losses(cell, worker):
+        if is_confirmed:
             _charge_lost_run(cell, task, run, worker.life, now, is_crash)
 
 
@@ -101,12 +101,12 @@
 
 
 def _pop_losses(cell: Cell, worker: Worker) -> Iterator[tuple[Task, int, bool]]:
-    """Yield the charged runs of a worker whose fate is now known, and clear the worker's list."""
-    lost, worker.unresolved_losses = worker.unresolved_losses, {}
-    for (task_id, run), is_told in lost.items():
+    """Yield and remove a worker's unresolved losses, once it is known whether it crashed."""
+    losses, worker.unresolved_losses = worker.unresolved_losses, {}
+    for (task_id, run), is_confirmed in losses.items():
         task = cell.find_task(task_id)
         if task is not None and run in task.lost_runs:
-            yield task, run, is_told
+            yield task, run, is_confirmed
 
 
 def lose_orphan(cell: Cell, task: Task, life: str, now: float) -> None:
--- a/src/snowdock/jobs/overdue.py
+++ b/src/snowdock/jobs/overdue.py
@@ -54,5 +54,5 @@
 def _is_overdue(task: Task, worker: Worker, now: float) -> bool:
     if task.step.spec.long_running and task.phase is Phase.RUNNING:
         return False
-    usual = typical_seconds(task.step) * max(1.0, worker.slowness)
-    return now - task.phase_since > _OVERDUE_FACTOR * usual + _OVERDUE_SLACK_SECONDS
+    typical = typical_seconds(task.step) * max(1.0, worker.slowness)
+    return now - task.phase_since > _OVERDUE_FACTOR * typical + _OVERDUE_SLACK_SECONDS
--- a/src/snowdock/jobs/quarantine.py
+++ b/src/snowdock/jobs/quarantine.py
@@ -84,5 +84,5 @@
     cell: Cell, worker: Worker, cause: QuarantineCause, now: float
 ) -> dict[str, object]:
     service = worker.entry.service
-    aside, workers = count_quarantined(cell, service, cause, now)
-    return {"service": service, "aside": aside, "workers": workers}
+    quarantined, workers = count_quarantined(cell, service, cause, now)
+    return {"service": service, "aside": quarantined, "workers": workers}
--- a/src/snowdock/jobs/room_use.py
+++ b/src/snowdock/jobs/room_use.py
@@ -54,7 +54,7 @@
             memory=used_share(workers, "memory"),
             accelerators=used_share(workers, "accelerators"),
             waiting=len(waiting[service]),
-            **{lack.name.lower(): reason_counts[lack] for lack in WaitReason},
+            **{reason.name.lower(): reason_counts[reason] for reason in WaitReason},
         )
 
 
--- a/src/snowdock/jobs/speeds.py
+++ b/src/snowdock/jobs/speeds.py
@@ -110,7 +110,7 @@
 def _has_room_elsewhere(cell: Cell, worker: Worker, step: Step) -> bool:
     wanted = len(step.tasks) if step.spec.gang else 1
     room = step.spec.room
-    seats = 0
+    slots = 0
     for other in cell.workers.values():
         if other is worker or not other.is_synced or other.entry.draining:
             continue
@@ -119,9 +119,9 @@
         if step.advice is not None and other.life not in step.advice.tickets:
             continue
         free = other.free
-        while free.holds(room) and seats < wanted:
-            seats += 1
+        while free.holds(room) and slots < wanted:
+            slots += 1
             free = free.minus(room)
-        if seats >= wanted:
+        if slots >= wanted:
             return True
     return False
--- a/src/snowdock/jobs/starving.py
+++ b/src/snowdock/jobs/starving.py
@@ -71,10 +71,10 @@
 
 def _has_spare_room(step: Step, workers: list[Worker]) -> bool:
     wanted = len(step.tasks) if step.spec.gang else 1
-    seats = 0
+    slots = 0
     for worker in workers:
-        seats += min(count_fitting(worker.free, step.spec.room), max_additional_tasks(step, worker))
-        if seats >= _SPARE_FACTOR * wanted:
+        slots += min(count_fitting(worker.free, step.spec.room), max_additional_tasks(step, worker))
+        if slots >= _SPARE_FACTOR * wanted:
             return True
     return False
 
--- a/src/snowdock/jobs/suspects.py
+++ b/src/snowdock/jobs/suspects.py
@@ -86,17 +86,19 @@
 
 
 def limit_suspect_seats(
-    cell: Cell, step: Step, seats: Iterable[Candidate], isolation: IsolationLevel
+    cell: Cell, step: Step, candidates: Iterable[Candidate], isolation: IsolationLevel
 ) -> list[Candidate]:
-    """Limit seats to one a worker for suspects, and penalize addresses with a recent crash."""
-    found = []
-    for seat in seats:
-        crashed_at = cell.crashed_at.get(seat.worker.entry.address)
+    """Limit suspects to one task per worker, and penalize addresses with a recent crash."""
+    limited = []
+    for candidate in candidates:
+        crashed_at = cell.crashed_at.get(candidate.worker.entry.address)
         if crashed_at is not None and cell.now - crashed_at < _CRASHED_ADDRESS_SECONDS:
-            seat = dataclasses.replace(seat, score=seat.score - _CRASHED_ADDRESS_PENALTY)
+            candidate = dataclasses.replace(
+                candidate, score=candidate.score - _CRASHED_ADDRESS_PENALTY
+            )
         is_isolated = isolation is not IsolationLevel.NONE and not step.spec.gang
-        found.append(dataclasses.replace(seat, count=1) if is_isolated else seat)
-    return found
+        limited.append(dataclasses.replace(candidate, count=1) if is_isolated else candidate)
+    return limited
 
 
 def record_suspect(worker: Worker, task: Task, isolation: IsolationLevel) -> None:
--- a/src/snowdock/jobs/worker_watch.py
+++ b/src/snowdock/jobs/worker_watch.py
@@ -39,7 +39,9 @@
 def _lose_orphans(cell: Cell, now: float) -> None:
     """Mark orphaned runs as lost once their leases have expired and no worker was listed."""
     for worker, orphans in list(cell.orphans.items()):
-        for orphan in [each for each in orphans if _are_leases_over_since(cell, each.since, now)]:
+        for orphan in [
+            each for each in orphans if _have_leases_expired_since(cell, each.since, now)
+        ]:
             orphans.remove(orphan)
             if orphan.task.is_current_run(orphan.run, orphan.life):
                 lose_orphan(cell, orphan.task, orphan.life, now)
@@ -50,7 +52,7 @@
 
 
 def _watch_worker(cell: Cell, worker: Worker, now: float) -> None:
-    if worker.silent_since is not None and worker.runs and _are_leases_over(cell, worker, now):
+    if worker.silent_since is not None and worker.runs and _have_leases_expired(cell, worker, now):
         lose_runs(cell, worker, now, "the worker does not answer and its leases have expired")
         worker.is_synced = False
     if not worker.listed and not worker.runs:
@@ -62,22 +64,22 @@
         send_renewal(cell, worker, now, RENEW_WAIT_MS if worker.runs else 0)
 
 
-def _are_leases_over(cell: Cell, worker: Worker, now: float) -> bool:
+def _have_leases_expired(cell: Cell, worker: Worker, now: float) -> bool:
     if worker.clock_ms:
         # An earlier leader may have renewed later than this one did.
-        is_known = worker.is_synced or _are_earlier_leases_over(cell, now)
+        is_known = worker.is_synced or _have_earlier_leases_expired(cell, now)
         return worker.are_leases_expired(now) and is_known
-    return _are_earlier_leases_over(cell, now)
+    return _have_earlier_leases_expired(cell, now)
 
 
-def _are_earlier_leases_over(cell: Cell, now: float) -> bool:
+def _have_earlier_leases_expired(cell: Cell, now: float) -> bool:
     """Check whether all leases granted by earlier leaders have expired."""
     # Measured from the claim and not from the start, since reading the records may take seconds on
     # a slow store and would delay the restart of long-running tasks.
-    return _are_leases_over_since(cell, cell.leadership_claimed_at, now)
+    return _have_leases_expired_since(cell, cell.leadership_claimed_at, now)
 
 
-def _are_leases_over_since(cell: Cell, since: float, now: float) -> bool:
+def _have_leases_expired_since(cell: Cell, since: float, now: float) -> bool:
     """Check whether leases granted before a time have expired, and workers had time to report."""
     has_waited = now - cell.started_at >= WORKER_REPORT_WAIT_SECONDS
     return has_waited and now - since >= cell.settings.unreached_run_expiry_s
--- a/tests/test_jobs_chaos.py
+++ b/tests/test_jobs_chaos.py
@@ -14,45 +14,59 @@
 CRASHING_SEEDS = range(100, 106)
 RETURNING_SEEDS = range(200, 206)
 
-CRASH, CUT, HEAL, LOST, LATE, CALM, STORE, KILL, DEPOSE, CANCEL, DRAIN, FAIL, RESTART = range(13)
-
-
-def inject_fault(emulator: Emulator, source: random.Random, kinds: int) -> None:
+(
+    CRASH,
+    PARTITION,
+    HEAL,
+    LOSE_ANSWERS,
+    DELAY_ORDERS,
+    CLEAR_FAULTS,
+    STORE_OUTAGE,
+    KILL_LEADER,
+    DEPOSE_LEADER,
+    CANCEL,
+    DRAIN,
+    FAIL_ALL_RUNS,
+    RESTART,
+) = range(13)
+
+
+def inject_fault(emulator: Emulator, rng: random.Random, kinds: int) -> None:
     """Inject or repair one random fault."""
-    kind = source.randrange(kinds)
+    kind = rng.randrange(kinds)
     lives = [life for life, model in emulator.workers.items() if model.is_up]
-    life = source.choice(lives)
+    life = rng.choice(lives)
     faults = emulator.faults
     if kind == CRASH:
         emulator.fleet.crash(life)
-        emulator.fleet.add(source.randrange(4))
-    elif kind == CUT:
+        emulator.fleet.add(rng.randrange(4))
+    elif kind == PARTITION:
         faults.cut.add(life)
     elif kind == HEAL:
         faults.cut.clear()
-    elif kind == LOST:
+    elif kind == LOSE_ANSWERS:
         faults.lost_answers = 0.3
-    elif kind == LATE:
+    elif kind == DELAY_ORDERS:
         faults.late_orders = 0.1
-    elif kind == CALM:
+    elif kind == CLEAR_FAULTS:
         clear_faults(emulator)
-    elif kind == STORE:
+    elif kind == STORE_OUTAGE:
         faults.store_down = True
-        emulator.timeline.after(source.uniform(0.5, 5), lambda: restore_store(emulator))
-    elif kind == KILL:
-        emulator.kill_leader(source.uniform(0.5, 3))
-    elif kind == DEPOSE:
+        emulator.timeline.after(rng.uniform(0.5, 5), lambda: restore_store(emulator))
+    elif kind == KILL_LEADER:
+        emulator.kill_leader(rng.uniform(0.5, 3))
+    elif kind == DEPOSE_LEADER:
         emulator.depose_leader()
     elif kind == CANCEL and emulator.statuses:
-        emulator.cancel(source.choice(list(emulator.statuses)))
+        emulator.cancel(rng.choice(list(emulator.statuses)))
     elif kind == DRAIN and len(lives) > 15:
         emulator.fleet.drain(life)
         emulator.fleet.add(0)
-    elif kind == FAIL:
+    elif kind == FAIL_ALL_RUNS:
         emulator.workers[life].fails_all = True
     elif kind == RESTART:
-        for each in source.sample(lives, len(lives) // 3):
-            emulator.fleet.restart(each, source.uniform(0.1, 6.0))
+        for each in rng.sample(lives, len(lives) // 3):
+            emulator.fleet.restart(each, rng.uniform(0.1, 6.0))
 
 
 def restore_store(emulator: Emulator) -> None:
--- a/tests/test_jobs_crashes.py
+++ b/tests/test_jobs_crashes.py
@@ -26,7 +26,7 @@
 )
 from tests.standins.entry_cluster import EntryCluster
 
-MOST_STARTS = 5
+MAX_STARTS = 5
 """Limit of a crashing task's starts: at most two more after its third crash."""
 
 ROUNDS = 12
@@ -86,7 +86,7 @@
         crashes = CrashingWorkers()
         job = crashes.bench.submit(SMALL)
         crashes.run_rounds()
-        self.assertLessEqual(crashes.starts, MOST_STARTS)
+        self.assertLessEqual(crashes.starts, MAX_STARTS)
         self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
 
     def test_counts_survive_leader_changes(self) -> None:
@@ -108,7 +108,7 @@
                 crashes.bench.add_worker(life)
 
         crashes.run_rounds(take_over)
-        self.assertLessEqual(crashes.starts, MOST_STARTS)
+        self.assertLessEqual(crashes.starts, MAX_STARTS)
         self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
 
 
--- a/tests/test_jobs_failing.py
+++ b/tests/test_jobs_failing.py
@@ -18,14 +18,14 @@
 
 
 def run_emulator(
-    seed: int, failing_share: float, spoiling: int = 0
+    seed: int, failing_share: float, faulty_workers: int = 0
 ) -> tuple[Emulator, list[DrawnJob]]:
-    """Run the emulator; the first `spoiling` workers fail every run until `SECONDS`."""
+    """Run the emulator; the first `faulty_workers` workers fail every run until `SECONDS`."""
     mixes = [dataclasses.replace(mix, hopeless_share=failing_share) for mix in default_mixes()]
     workload = WorkloadOptions(SECONDS, 0.5, tuple(mixes))
     jobs = draw_workload(seed, workload)
     emulator = Emulator(seed, EmulatorOptions(workload), jobs)
-    for life in list(emulator.workers)[:spoiling]:
+    for life in list(emulator.workers)[:faulty_workers]:
         emulator.workers[life].fails_all = True
     emulator.run_until(SECONDS)
     for model in emulator.workers.values():
@@ -47,7 +47,7 @@
         """With some workers failing every run too, no job starves and good jobs complete."""
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
-                emulator, jobs = run_emulator(seed, 0.2, spoiling=4)
+                emulator, jobs = run_emulator(seed, 0.2, faulty_workers=4)
                 self.assertEqual(emulator.checks.violations, [])
                 self.assertEqual(list(emulator.starvation.found.values()), [])
                 good = [job.job for job in jobs if not job.is_hopeless]
--- a/tests/test_jobs_leader_changes.py
+++ b/tests/test_jobs_leader_changes.py
@@ -14,7 +14,7 @@
 from snowdock.jobs.orders import EndKind
 from tests.jobs_tools import SMALL, LeaderSequence, find_unended_jobs
 
-MOST_STARTS = 5
+MAX_STARTS = 5
 """Limit of a crashing task's starts: at most two more after its third crash."""
 
 GANG = msgspec.structs.replace(SMALL, count=2, gang=True, most_per_worker=1)
@@ -29,8 +29,8 @@
 GANG_SEEDS = (1, 50, 82, 88)
 """Seeds with a gang that breaks just as one of its members crashes its worker."""
 
-FEW_CRASHING = 0.04
-MANY_CRASHING = 0.15
+LOW_CRASHING_SHARE = 0.04
+HIGH_CRASHING_SHARE = 0.15
 """Shares of jobs with a task that crashes its workers."""
 
 
@@ -38,12 +38,12 @@
     def test_crash_of_a_draining_worker_under_a_new_leader(self) -> None:
         """A lost run is charged although the new leader does not know when it began."""
         leaders = LeaderSequence(SMALL)
-        self.assertLessEqual(self.count_starts(leaders), MOST_STARTS)
+        self.assertLessEqual(self.count_starts(leaders), MAX_STARTS)
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     def test_long_running_task(self) -> None:
         """A long-running task is charged too if its worker ended before reporting the run."""
-        self.assertLessEqual(self.count_starts(LeaderSequence(LONG_RUNNING)), MOST_STARTS)
+        self.assertLessEqual(self.count_starts(LeaderSequence(LONG_RUNNING)), MAX_STARTS)
 
     @staticmethod
     def count_starts(leaders: LeaderSequence) -> int:
@@ -68,9 +68,9 @@
         task = leaders.bench.cell.find_task(start.order.task)
         self.assertEqual(task.lost_runs, {1})
 
-    def test_days_with_draining_workers(self) -> None:
+    def test_seeds_with_draining_workers(self) -> None:
         """In the emulator, no task exceeds its limit of starts."""
-        check_days(self, DRAINING_SEEDS)
+        check_seeds(self, DRAINING_SEEDS)
 
 
 class TestRecoveredRuns(unittest.TestCase):
@@ -166,7 +166,7 @@
             more += 1
             leaders.bench.report(starts[1].life, ended=[self.gang_broken_end(starts[1])])
             leaders.bench.report(starts[0].life, ended=[self.gang_broken_end(starts[0])])
-        self.assertLessEqual(more, MOST_STARTS - 3)
+        self.assertLessEqual(more, MAX_STARTS - 3)
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     @staticmethod
@@ -181,23 +181,23 @@
     def gang_broken_end(start: SendStart) -> tuple:
         return (start.order.task, start.order.run, EndKind.GANG_BROKEN)
 
-    def test_days_with_gangs(self) -> None:
+    def test_seeds_with_gangs(self) -> None:
         """In the emulator, no member of a gang exceeds its limit of starts."""
-        check_days(self, GANG_SEEDS, MANY_CRASHING)
+        check_seeds(self, GANG_SEEDS, HIGH_CRASHING_SHARE)
 
 
-def check_days(
-    test: unittest.TestCase, seeds: tuple[int, ...], crashing_share: float = FEW_CRASHING
+def check_seeds(
+    test: unittest.TestCase, seeds: tuple[int, ...], crashing_share: float = LOW_CRASHING_SHARE
 ) -> None:
     for seed in seeds:
         with test.subTest(seed=seed):
-            emulator, hanging = run_with_leader_changes(seed, crashing_share)
+            emulator, unfinished = run_with_leader_changes(seed, crashing_share)
             test.assertEqual(emulator.checks.violations, [])
-            test.assertEqual(hanging, [])
+            test.assertEqual(unfinished, [])
 
 
 def run_with_leader_changes(
-    seed: int, crashing_share: float = FEW_CRASHING
+    seed: int, crashing_share: float = LOW_CRASHING_SHARE
 ) -> tuple[Emulator, list[str]]:
     """Run the emulator with frequent leader changes; also return the jobs that did not end."""
     rng = random.Random(seed)
@@ -218,17 +218,17 @@
     return emulator, find_unended_jobs(emulator, jobs)
 
 
-def inject_change(emulator: Emulator, source: random.Random) -> None:
+def inject_change(emulator: Emulator, rng: random.Random) -> None:
     """Change the leader, or drain and replace a worker."""
-    kind = source.random()
+    kind = rng.random()
     lives = [life for life, model in emulator.workers.items() if model.takes_work]
     if kind < 0.5:
-        emulator.kill_leader(source.uniform(0.1, 2))
+        emulator.kill_leader(rng.uniform(0.1, 2))
     elif kind < 0.65:
         emulator.depose_leader()
     elif len(lives) > 15:
-        emulator.fleet.drain(source.choice(lives))
-        emulator.fleet.add(source.randrange(4))
+        emulator.fleet.drain(rng.choice(lives))
+        emulator.fleet.add(rng.randrange(4))
 
 
 if __name__ == "__main__":
