--- a/tests/test_jobs_chaos.py
+++ b/tests/test_jobs_chaos.py
@@ -12,7 +12,7 @@
 SETTLE_SECONDS = 40
 SEEDS = range(12)
 CRASHING_SEEDS = range(100, 106)
-RETURNING_SEEDS = range(200, 206)
+RESTARTING_SEEDS = range(200, 206)
 
 (
     CRASH,
@@ -31,9 +31,9 @@
 ) = range(13)
 
 
-def inject_fault(emulator: Emulator, rng: random.Random, kinds: int) -> None:
+def inject_fault(emulator: Emulator, rng: random.Random, kind_count: int) -> None:
     """Inject or repair one random fault."""
-    kind = rng.randrange(kinds)
+    kind = rng.randrange(kind_count)
     lives = [life for life, model in emulator.workers.items() if model.is_up]
     life = rng.choice(lives)
     faults = emulator.faults
@@ -79,9 +79,9 @@
 
 
 def run_with_faults(
-    seed: int, crashing_share: float = 0.0, kinds: int = RESTART
+    seed: int, crashing_share: float = 0.0, kind_count: int = RESTART
 ) -> tuple[Emulator, list[DrawnJob]]:
-    """Run the emulator with random faults of the first `kinds` kinds."""
+    """Run the emulator with random faults of the first `kind_count` kinds."""
     rng = random.Random(seed)
     mixes = [
         dataclasses.replace(mix, crashing_share=crashing_share)
@@ -95,7 +95,7 @@
     while at < SECONDS:
         at += rng.uniform(0.3, 2)
         emulator.run_until(at)
-        inject_fault(emulator, rng, kinds)
+        inject_fault(emulator, rng, kind_count)
     clear_faults(emulator)
     emulator.faults.cut.clear()
     for model in emulator.workers.values():
@@ -127,9 +127,9 @@
 
     def test_workers_that_restart_under_their_ids(self) -> None:
         """Runs, ends and leases of a worker's lives are not mixed up, beside all other faults."""
-        for seed in RETURNING_SEEDS:
+        for seed in RESTARTING_SEEDS:
             with self.subTest(seed=seed):
-                emulator, jobs = run_with_faults(seed, kinds=RESTART + 1)
+                emulator, jobs = run_with_faults(seed, kind_count=RESTART + 1)
                 self.assertEqual(emulator.checks.violations, [])
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
--- a/tests/test_jobs_crash_replay.py
+++ b/tests/test_jobs_crash_replay.py
@@ -14,7 +14,7 @@
 
 WALKS = 150
 STEPS = 60
-_LAPSE_SECONDS = 12.0
+_LEASE_EXPIRY_SECONDS = 12.0
 """Time after which runs on workers unknown to a new leader count as lost."""
 
 
@@ -35,23 +35,23 @@
 
     def apply(self, label: str) -> None:
         """Apply the transition with a given label."""
-        take = {
+        handler = {
             "is placed": self._place,
             "is on record": self._record,
             # The model keeps run numbers modulo 2, so an older record may count as this run's.
             "is sent": self._record,
-            "another leader takes over": self._take_over,
+            "another leader takes over": self._replace_leader,
             "is answered": lambda: self._answer(is_answered=True),
             "is not answered": lambda: self._answer(is_answered=False),
             "was not there": self._report_absent,
             "another life answers": self._end_life,
             "another life answers, it had drained": self._end_draining_life,
-            "its worker is not known": lambda: self.leaders.bench.tick(_LAPSE_SECONDS),
+            "its worker is not known": lambda: self.leaders.bench.tick(_LEASE_EXPIRY_SECONDS),
             "leases are over": lambda: disconnect_worker(self.leaders.bench, self.life),
             "is told as broken off": self._report_gang_broken,
         }.get(label)
-        if take is not None:
-            take()
+        if handler is not None:
+            handler()
 
     def _place(self) -> None:
         if not self.task.life:
@@ -68,7 +68,7 @@
             bench.recorded |= {record.job: record.data for record in batch.records}
             bench.feed(Persisted(batch.number))
 
-    def _take_over(self) -> None:
+    def _replace_leader(self) -> None:
         self.leaders.replace_leader()
         self.leaders.bench.is_store_paused = True
         self.life = self.task.life
@@ -83,7 +83,7 @@
             event = StartAnswered(start.life, order.task, order.run, None)
             self.leaders.bench.feed(event)
 
-    def _list(self, draining: bool = False) -> None:
+    def _list_worker(self, draining: bool = False) -> None:
         if draining or not self.is_listed:
             self.leaders.list_worker(self.life, draining)
         self.is_listed = True
@@ -91,7 +91,7 @@
     def _report_absent(self) -> None:
         """Report that the run is not on the worker, and confirm its stop."""
         # The worker drains so that the task is placed again only when the walk places it.
-        self._list(draining=True)
+        self._list_worker(draining=True)
         bench = self.leaders.bench
         run = self.task.run
         for _ in range(4):
@@ -103,15 +103,15 @@
         raise AssertionError("the run still counts as placed on the worker")
 
     def _end_life(self) -> None:
-        self._list()
+        self._list_worker()
         self.leaders.bench.end_life(self.life)
 
     def _end_draining_life(self) -> None:
-        self._list(draining=True)
+        self._list_worker(draining=True)
         self.leaders.bench.end_life(self.life)
 
     def _report_gang_broken(self) -> None:
-        self._list(draining=True)
+        self._list_worker(draining=True)
         end = (self.task.id, self.task.run, EndKind.GANG_BROKEN)
         self.leaders.bench.report(self.life, ended=[end])
 
@@ -126,14 +126,14 @@
                 given_up += self.walk(model, random.Random(seed))
         self.assertGreater(given_up, WALKS // 10)
 
-    def walk(self, model: crash_model.Model, source: random.Random) -> bool:
+    def walk(self, model: crash_model.Model, rng: random.Random) -> bool:
         """Replay one walk; return whether the task was given up."""
         state, replay, labels = State(), Replay(), []
         for _ in range(STEPS):
             steps = model.transitions(state)
             if not steps:
                 break
-            label, after = source.choice(steps)
+            label, after = rng.choice(steps)
             labels.append(label)
             replay.apply(label)
             state = after
--- a/tests/test_jobs_crashes.py
+++ b/tests/test_jobs_crashes.py
@@ -205,7 +205,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (1, 1))
 
-    def test_worker_that_was_cut_off_has_not_crashed(self) -> None:
+    def test_partitioned_worker_has_not_crashed(self) -> None:
         """A run is not charged as a crash if its worker answered after its leases expired."""
         self.bench.confirm(self.start)
         self.fall_silent(9.0)
@@ -214,7 +214,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.task.crashed_runs & {1}, set())
 
-    def test_placement_that_was_never_sent_is_not_charged(self) -> None:
+    def test_unsent_placement_is_not_charged(self) -> None:
         """A start that still waits for its record cannot have affected the worker."""
         bench = self.bench = Bench()
         bench.add_worker("w")
@@ -226,7 +226,7 @@
         (task,) = next(iter(bench.cell.jobs.values())).all_tasks()
         self.assertEqual(task.lost_runs, frozenset())
 
-    def test_age_of_a_placement_that_was_never_sent(self) -> None:
+    def test_age_of_an_unsent_placement(self) -> None:
         """The logged age is based on this placement, not on the order of an earlier run."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
@@ -254,7 +254,7 @@
         self.bench.tick(12.0)
         self.assertEqual(self.counts(), (0, 1))
 
-    def test_late_crash_is_put_on_record(self) -> None:
+    def test_late_crash_is_recorded(self) -> None:
         """A crash that is detected after the leases expired is recorded for later leaders."""
         self.bench.confirm(self.start)
         self.fall_silent(9.0)
@@ -313,7 +313,7 @@
             self.bench.tick(0.5)
         self.assertEqual(self.counts(), (1, 1))
 
-    def test_stops_charge_no_task_that_lost_nothing(self) -> None:
+    def test_stopped_runs_are_not_charged(self) -> None:
         """A task without losses is not charged for runs that are stopped just after their start."""
         for run in range(1, 8):
             self.bench.report("w", ended=[(self.task.id, run, EndKind.STOPPED)])
@@ -340,14 +340,14 @@
         (task,) = _recorded(bench, self.task.id.job).tasks
         self.assertEqual((task.crashed_runs, task.lost_runs), ([], []))
 
-    def test_records_without_charges_are_read(self) -> None:
+    def test_records_without_charges_are_decoded(self) -> None:
         """Progress records of older releases without charges are decoded with none."""
         old = msgspec.msgpack.encode([1, [[0, 0, 0, 3, "w", False, [2], ""]], ""])
         (task,) = decode_progress(old).tasks
         self.assertEqual((task.lost_runs, task.crashed_runs), ([], []))
 
 
-class TestCutOffWorkers(unittest.TestCase):
+class TestPartitionedWorkers(unittest.TestCase):
     """Partitioned workers, whose leases expire and which later answer in the same life."""
 
     def test_loss_is_revoked(self) -> None:
--- a/tests/test_jobs_failed_runs.py
+++ b/tests/test_jobs_failed_runs.py
@@ -80,7 +80,7 @@
         self.succeed("w2", good)
         self.assertIn("w0", self.quarantined)
 
-    def test_good_end_clears_what_came_before_it(self) -> None:
+    def test_success_clears_earlier_failures(self) -> None:
         """A success clears a worker only if the run began after the failures."""
         self.fail_runs("w0", self.step(), runs=2)
         self.succeed("w0", self.step(), began_at=self.now - 1)
@@ -88,7 +88,7 @@
         self.succeed("w0", self.step())
         self.assertEqual(self.quarantined, [])
 
-    def test_many_bad_steps_make_failures_usual(self) -> None:
+    def test_failures_are_tolerated_when_most_steps_fail(self) -> None:
         """If most steps fail on all workers, two more failures do not quarantine a worker."""
         for _ in range(30):
             bad = self.step()
@@ -105,13 +105,13 @@
 
 
 class TestQuarantine(FailedRuns):
-    def test_half_of_a_service_at_most(self) -> None:
+    def test_at_most_half_of_a_service(self) -> None:
         """At most half of a service's workers are quarantined, however many fail."""
         for life in ("w0", "w1", "w2", "w3"):
             self.fail_runs(life, self.step(), self.step(), runs=3)
         self.assertEqual(self.quarantined, ["w0", "w1"])
 
-    def test_workers_are_judged_in_one_order(self) -> None:
+    def test_order_is_independent_of_the_hash_seed(self) -> None:
         """Workers are quarantined in a fixed order, independent of the hash seed."""
         for number in range(4, 12):
             self.bench.add_worker(f"w{number}")
@@ -127,7 +127,7 @@
         aside = [each.subject for each in told if each.decision == "worker_set_aside"]
         self.assertEqual(aside, failing)
 
-    def test_longer_each_time(self) -> None:
+    def test_quarantine_time_doubles(self) -> None:
         """The quarantine time doubles up to its maximum, until a run succeeds."""
         worker = self.cell.workers["w0"]
         self.fail_runs("w0", self.step())
@@ -141,7 +141,7 @@
         self.fail_runs("w0", self.step(), self.step())
         self.assertEqual(round(worker.quarantined_until - self.now), 2)
 
-    def test_runs_that_fail_meanwhile_count_as_further_times(self) -> None:
+    def test_simultaneous_failures_extend_the_quarantine(self) -> None:
         """Many failures at the same moment quarantine the worker for the maximum time."""
         self.fail_runs("w0", self.step(), runs=4)
         self.assertEqual(round(self.cell.workers["w0"].quarantined_until - self.now), 8)
--- a/tests/test_jobs_failing.py
+++ b/tests/test_jobs_failing.py
@@ -124,7 +124,7 @@
         result = StartResult(Refusal.MALFORMED, self.bench.now * 1000)
         self.bench.feed(StartAnswered("w", start.order.task, start.order.run, result))
 
-    def test_worker_serves_others_at_once(self) -> None:
+    def test_worker_is_not_quarantined(self) -> None:
         """The worker is not quarantined and gets the next start."""
         self.bench.submit()
         (bad,) = self.bench.starts()
--- a/tests/test_jobs_leader_changes.py
+++ b/tests/test_jobs_leader_changes.py
@@ -151,7 +151,7 @@
 class TestGangs(unittest.TestCase):
     """Starts of gang members that end without the loss of their worker."""
 
-    def test_member_that_is_broken_off(self) -> None:
+    def test_member_of_a_broken_gang(self) -> None:
         """After three losses, each start of a member is charged even if the gang broke first."""
         leaders = LeaderSequence(GANG)
         for _ in range(3):
--- a/tests/test_jobs_lives.py
+++ b/tests/test_jobs_lives.py
@@ -63,19 +63,19 @@
 
 
 class TestDecoding(unittest.TestCase):
-    def test_names(self) -> None:
+    def test_identifiers(self) -> None:
         """A life's identifier contains the worker's id, and differs with the life's start."""
         self.assertNotEqual(FIRST, SECOND)
         self.assertEqual({worker_id_of(FIRST), worker_id_of(SECOND), worker_id_of("i-1")}, {"i-1"})
         self.assertEqual(worker_id_of("odd@name"), "odd@name")
 
-    def test_entry_names_its_life(self) -> None:
+    def test_life_of_an_entry(self) -> None:
         """An entry's life is derived from its start; without one, the id identifies the life."""
         self.assertEqual(decode_worker_entry("i-1", entry(born=100)).life, FIRST)
         self.assertEqual(decode_worker_entry("i-1", entry(born=100)).worker, "i-1")
         self.assertEqual(decode_worker_entry("i-1", entry()).life, "i-1")
 
-    def test_start_that_is_no_time(self) -> None:
+    def test_invalid_start(self) -> None:
         """An entry or report whose start is not a non-negative integer is rejected."""
         for born in BAD_BORN:
             with self.subTest(born=born):
@@ -84,7 +84,7 @@
                 with self.assertRaises(PlatformError):
                     decode_renewal(runs_reply(born=born), FIRST)
 
-    def test_list_of_runs_of_another_life(self) -> None:
+    def test_report_of_another_life(self) -> None:
         """A report of another life is detected if both starts are known."""
         self.assertIs(decode_renewal(runs_reply(born=200), FIRST), Refusal.NEXT_LIFE)
         for reply, life in (
@@ -186,12 +186,12 @@
         self.bench.feed(StopAnswered(FIRST, order.task, order.run, True))
         self.assertEqual(self.bench.cell.workers[SECOND].last_processed_end, before)
 
-    def test_time_of_day_set_back_between_two_lives(self) -> None:
+    def test_wall_clock_set_back_between_lives(self) -> None:
         """The life that was listed last counts, even if its start is earlier."""
         self.start_next_life(BEFORE_FIRST)
         self.assertEqual(list(self.bench.cell.workers), [BEFORE_FIRST])
 
-    def test_ended_life_is_listed_again(self) -> None:
+    def test_ended_life_stays_ended(self) -> None:
         """An entry of an ended life does not bring it back; the next life's entry is accepted."""
         self.bench.feed(RenewAnswered(FIRST, self.bench.await_renewal(FIRST), Refusal.NEXT_LIFE))
         self.bench.add_worker(FIRST, is_settled=False)
@@ -200,7 +200,7 @@
         self.assertEqual(list(self.bench.cell.workers), [SECOND])
         self.assertEqual(self.bench.cell.ended_lives, set())
 
-    def test_names_are_forgotten(self) -> None:
+    def test_state_of_removed_workers_is_dropped(self) -> None:
         """No state is kept of a worker that is gone."""
         self.start_next_life()
         self.bench.feed(WorkerDelisted(SECOND, False))
@@ -286,7 +286,7 @@
         self.task = after.cell.jobs[job].repetitions[0][0].tasks[0]
         return after
 
-    def test_run_of_a_life_before_waits_for_its_leases(self) -> None:
+    def test_run_of_a_previous_life(self) -> None:
         """A run of a previous life ends when the next life refuses it, and is charged once."""
         bench = self.take_over(FIRST)
         bench.add_worker(SECOND)
--- a/tests/test_jobs_suspects.py
+++ b/tests/test_jobs_suspects.py
@@ -228,7 +228,7 @@
         self.bench.tick(0.2)
         self.assertEqual([start.life for start in self.bench.new_starts()], [busy, busy])
 
-    def test_member_that_is_done_already(self) -> None:
+    def test_member_that_is_done(self) -> None:
         """A success of one member completes the gang, so a later loss is not charged."""
         self.add_workers(2, cpu=1000)
         job = self.bench.submit(msgspec.structs.replace(SMALL, gang=True, count=2))
--- a/tests/test_room_use.py
+++ b/tests/test_room_use.py
@@ -36,7 +36,7 @@
         self.assertEqual((fields["waiting"], fields["room"]), (1, 1))
         self.assertEqual(fields["ticket"] + fields["both"] + fields["turn"], 0)
 
-    def test_once_a_second(self) -> None:
+    def test_logged_once_a_second(self) -> None:
         """The event is logged once a second, independent of the tick interval."""
         bench = Bench()
         bench.add_worker()
@@ -93,7 +93,7 @@
         }
         return format_line(message)
 
-    def test_means_of_two_seconds(self) -> None:
+    def test_averages_over_two_seconds(self) -> None:
         """Lines of the same two seconds are averaged into one row."""
         lines = [self.line(10.0, 0.4, 4, 1), self.line(11.0, 0.6, 6, 3), self.line(12.5, 0.9, 0, 0)]
         title, first, second = format_room(read_room([*lines, "time=1 event=other node=n"]))
@@ -102,7 +102,7 @@
         self.assertEqual(first.split()[5:8], ["5.00", "0.00", "2.00"])
         self.assertEqual(second.split()[:3], ["pool", "2", "0.90"])
 
-    def test_logs_without_such_lines(self) -> None:
+    def test_logs_without_room_events(self) -> None:
         """Logs without room events yield an empty table."""
         self.assertEqual(format_room(read_room(["time=1 event=other node=n"])), [])
 
