--- a/src/snowdock/jobs/suspects.py
+++ b/src/snowdock/jobs/suspects.py
@@ -1,11 +1,12 @@
-"""Who may run beside a task under which workers went, so that it shows whose fault it is.
+"""Isolation of suspects: tasks with runs that were lost with their workers.
 
-The load this answers: a worker runs some ten tasks when one of them ends it, and all of them are
-charged. Placed together again, the innocent are charged again with the guilty one, and given up
-with it. So a suspect shares no worker with another one, and after a second loss a worker with
-nobody. A worker that goes then points at one task.
+When a task crashes a worker, all tasks on that worker are charged. If they were placed together
+again, healthy tasks would be charged repeatedly and given up along with the faulty one. So a
+suspect does not share a worker with another suspect, and after a second loss it gets a worker of
+its own. A further crash then identifies the faulty task.
 
-Where room is short that may have to wait; `_ALONE_SECONDS` and `_APART_SECONDS` bound for how long.
+If room is short, isolation delays the task by at most `_EXCLUSIVE_WAIT_SECONDS` or
+`_SEPARATE_WAIT_SECONDS`.
 """
 
 import dataclasses
@@ -27,24 +28,24 @@
 ]
 
 SEPARATE_FROM_LOSSES = 1
-"""Losses from which a task is kept apart from other suspects."""
+"""Losses from which a task does not share a worker with other suspects."""
 
 EXCLUSIVE_FROM_LOSSES = 2
-"""Losses from which a task is kept apart from everything."""
+"""Losses from which a task does not share a worker at all."""
 
 _EXCLUSIVE_WAIT_SECONDS = 0.8
 _SEPARATE_WAIT_SECONDS = 1.6
-"""How long a task waits for an empty worker, and for one without a suspect. A start waits for its
-ticket and record besides, and users allow three seconds beside free room."""
+"""How long a task waits for an empty worker, and for one without a suspect. Together with the waits
+for its ticket and record, a start must not exceed three seconds if room is free."""
 
 _CRASHED_ADDRESS_SECONDS = 30.0
 _CRASHED_ADDRESS_PENALTY = 10.0
-"""For so long an address where a worker crashed is the last choice for suspects: a worker that goes
-up and down by itself would be charged to whoever is there. The malus is beyond any score."""
+"""For this time an address where a worker crashed is the last choice for suspects: the crashes of a
+flapping worker would be charged to the tasks there. The penalty exceeds any score."""
 
 
 class IsolationLevel(enum.IntEnum):
-    """Whom a task may share a worker with."""
+    """Which other runs a task may not share a worker with."""
 
     NONE = 0
     FROM_SUSPECTS = 1
@@ -52,9 +53,9 @@
 
 
 def next_tasks(step: Step, now: float) -> tuple[list[Task], IsolationLevel]:
-    """Give the waiting tasks of a step to place next, and whom they may share a worker with.
+    """Return the waiting tasks of a step to place next, and their isolation level.
 
-    Those that may share it with most go first; a gang goes whole.
+    Tasks with the lowest level come first; a gang is placed as a whole.
     """
     waiting = [task for task in step.tasks if task.phase is Phase.WAITING]
     if not any(task.lost_runs for task in waiting):
@@ -78,33 +79,35 @@
 
 
 def may_share_worker(worker: Worker, isolation: IsolationLevel) -> bool:
-    """Whether a task may share a worker with all that is there."""
+    """Check whether a task's isolation level permits it to join the runs on a worker."""
     if isolation is IsolationLevel.EXCLUSIVE:
         return not worker.runs
     return isolation is IsolationLevel.NONE or not worker.suspects
 
 
 def limit_suspect_seats(
-    cell: Cell, step: Step, seats: Iterable[Candidate], isolation: IsolationLevel
+    cell: Cell, step: Step, candidates: Iterable[Candidate], isolation: IsolationLevel
 ) -> list[Candidate]:
-    """Give the seats for suspects: one a worker, and those where none crashed lately first."""
-    found = []
-    for seat in seats:
-        crashed_at = cell.crashed_at.get(seat.worker.entry.address)
+    """Limit suspects to one task per worker, and penalize addresses with a recent crash."""
+    limited = []
+    for candidate in candidates:
+        crashed_at = cell.crashed_at.get(candidate.worker.entry.address)
         if crashed_at is not None and cell.now - crashed_at < _CRASHED_ADDRESS_SECONDS:
-            seat = dataclasses.replace(seat, score=seat.score - _CRASHED_ADDRESS_PENALTY)
+            candidate = dataclasses.replace(
+                candidate, score=candidate.score - _CRASHED_ADDRESS_PENALTY
+            )
         is_isolated = isolation is not IsolationLevel.NONE and not step.spec.gang
-        found.append(dataclasses.replace(seat, count=1) if is_isolated else seat)
-    return found
+        limited.append(dataclasses.replace(candidate, count=1) if is_isolated else candidate)
+    return limited
 
 
 def record_suspect(worker: Worker, task: Task, isolation: IsolationLevel) -> None:
-    """Remember at a worker that a suspect runs there, and whether nobody may join it."""
+    """Record on a worker that a suspect runs there, and whether it needs exclusive use."""
     if task.lost_runs:
         worker.suspects[task.id, task.run] = isolation is IsolationLevel.EXCLUSIVE
 
 
 def record_crash(cell: Cell, worker: Worker, now: float) -> None:
-    """Remember where a worker crashed, and forget what was long ago."""
+    """Record the address where a worker crashed, and drop old entries."""
     recent = {at: t for at, t in cell.crashed_at.items() if now - t < _CRASHED_ADDRESS_SECONDS}
     cell.crashed_at = {**recent, worker.entry.address: now}
--- a/src/snowdock/jobs/worker_watch.py
+++ b/src/snowdock/jobs/worker_watch.py
@@ -1,4 +1,4 @@
-"""What time brings at workers: renewals that are due, leases that are over, stops to repeat."""
+"""Periodic checks of workers: due renewals, expired leases and stops to repeat."""
 
 from .cell import Cell, PendingStop
 from .durability import RENEW_WAIT_MS, send_renewal
@@ -15,19 +15,19 @@
 __all__ = ["watch_workers"]
 
 _STOP_RETRY_SECONDS = 0.5
-"""Pause before a stop without an answer is sent again."""
+"""Delay before an unanswered stop is sent again."""
 
 _ANSWERED_STOP_RETRY_SECONDS = 2.0
-"""Pause before a stop that was answered is repeated: its end comes with a report, and one may
-wait for a second."""
+"""Delay, added to the stop timeout, before an answered stop is sent again: the run's end comes with
+a report, which may take a second."""
 
 _DELISTED_CLOSE_SECONDS = 15.0
-"""How long an empty worker that is no longer listed is still called: entries that lapsed with
-the store are back in about two seconds, and a lease is over long before."""
+"""How long a worker without runs is still called after its entry was removed: entries that expired
+during a store outage are restored in about two seconds."""
 
 
 def watch_workers(cell: Cell, now: float) -> None:
-    """Renew what is due, give up what is surely over, and repeat stops."""
+    """Send due renewals, mark runs with expired leases as lost, and repeat stops."""
     decay_idle_slowness(cell)
     for worker in list(cell.workers.values()):
         _watch_worker(cell, worker, now)
@@ -37,9 +37,11 @@
 
 
 def _lose_orphans(cell: Cell, now: float) -> None:
-    """Give up runs whose worker has not become known for as long as they may still be there."""
+    """Mark orphaned runs as lost once their leases have expired and no worker was listed."""
     for worker, orphans in list(cell.orphans.items()):
-        for orphan in [each for each in orphans if _are_leases_over_since(cell, each.since, now)]:
+        for orphan in [
+            each for each in orphans if _have_leases_expired_since(cell, each.since, now)
+        ]:
             orphans.remove(orphan)
             if orphan.task.is_current_run(orphan.run, orphan.life):
                 lose_orphan(cell, orphan.task, orphan.life, now)
@@ -50,8 +52,8 @@
 
 
 def _watch_worker(cell: Cell, worker: Worker, now: float) -> None:
-    if worker.silent_since is not None and worker.runs and _are_leases_over(cell, worker, now):
-        lose_runs(cell, worker, now, "its leases are over and it does not answer")
+    if worker.silent_since is not None and worker.runs and _have_leases_expired(cell, worker, now):
+        lose_runs(cell, worker, now, "the worker does not answer and its leases have expired")
         worker.is_synced = False
     if not worker.listed and not worker.runs:
         is_unresponsive = worker.silent_since is not None or not worker.is_synced
@@ -62,23 +64,23 @@
         send_renewal(cell, worker, now, RENEW_WAIT_MS if worker.runs else 0)
 
 
-def _are_leases_over(cell: Cell, worker: Worker, now: float) -> bool:
+def _have_leases_expired(cell: Cell, worker: Worker, now: float) -> bool:
     if worker.clock_ms:
         # An earlier leader may have renewed later than this one did.
-        is_known = worker.is_synced or _are_earlier_leases_over(cell, now)
+        is_known = worker.is_synced or _have_earlier_leases_expired(cell, now)
         return worker.are_leases_expired(now) and is_known
-    return _are_earlier_leases_over(cell, now)
+    return _have_earlier_leases_expired(cell, now)
 
 
-def _are_earlier_leases_over(cell: Cell, now: float) -> bool:
-    """Whether no lease that an earlier leader gave can still hold."""
-    # Leases are counted from the claim: reading the records may take seconds on a store that loses
-    # answers, and tasks that last stand meanwhile.
-    return _are_leases_over_since(cell, cell.leadership_claimed_at, now)
+def _have_earlier_leases_expired(cell: Cell, now: float) -> bool:
+    """Check whether all leases granted by earlier leaders have expired."""
+    # Measured from the claim and not from the start, since reading the records may take seconds on
+    # a slow store and would delay the restart of long-running tasks.
+    return _have_leases_expired_since(cell, cell.leadership_claimed_at, now)
 
 
-def _are_leases_over_since(cell: Cell, since: float, now: float) -> bool:
-    """Whether no lease that was given until a moment can still hold, where workers had a say."""
+def _have_leases_expired_since(cell: Cell, since: float, now: float) -> bool:
+    """Check whether leases granted before a time have expired, and workers had time to report."""
     has_waited = now - cell.started_at >= WORKER_REPORT_WAIT_SECONDS
     return has_waited and now - since >= cell.settings.unreached_run_expiry_s
 
