--- a/tests/test_advisers.py
+++ b/tests/test_advisers.py
@@ -1,4 +1,4 @@
-"""Tests of spreading questions to the advice service over nodes, some of which do not answer."""
+"""Tests of distributing questions to the advice service over nodes that may not answer."""
 
 import queue
 import threading
@@ -16,7 +16,7 @@
 
 
 class ScriptedNodes:
-    """Stands for this node's own adviser and its peers; each waits as the test says."""
+    """Stand-in for the local client and the peers; each answers when the test releases it."""
 
     def __init__(self) -> None:
         self.asked: queue.SimpleQueue[str] = queue.SimpleQueue()
@@ -48,7 +48,7 @@
         self.addCleanup(lambda: [each.set() for each in self.nodes.held.values()])
 
     def ask(self) -> tuple[str, str]:
-        """Ask a question that the first node leaves unanswered; give both nodes asked."""
+        """Ask a question that no node answers yet; return the first and the second node asked."""
         self.advisers.ask(AskAdvice(WANTED, 1.0))
         return self.nodes.asked.get(timeout=15), self.nodes.asked.get(timeout=15)
 
@@ -57,7 +57,7 @@
             self.told.get(timeout=0.3)
 
     def test_question_without_an_answer_is_asked_elsewhere(self) -> None:
-        """Another node's answer counts, and the late one changes nothing."""
+        """The second node's answer is posted, and the later one of the first node is ignored."""
         first, second = self.ask()
         self.assertNotEqual(first, second)
         self.nodes.held[second].set()
@@ -66,13 +66,13 @@
         self.assert_quiet()
 
     def test_late_answer_counts_where_it_is_the_first(self) -> None:
-        """The node asked first may still be quicker than the second."""
+        """The first node's late answer is posted if the second node has not answered yet."""
         first, _ = self.ask()
         self.nodes.held[first].set()
         self.assertIsInstance(self.told.get(timeout=15), AdviceAnswered)
 
     def test_failure_is_told_once_when_nobody_answers(self) -> None:
-        """The question has failed once all nodes that asked it have had no answer."""
+        """A failure is posted once, after all attempts have failed."""
         first, second = self.ask()
         self.nodes.fails = True
         self.nodes.held[second].set()
@@ -82,7 +82,7 @@
         self.assert_quiet()
 
     def test_answered_question_is_asked_once(self) -> None:
-        """A node that answers in time is not doubted."""
+        """A question that is answered in time is not sent to a second node."""
         for held in self.nodes.held.values():
             held.set()
         self.advisers.ask(AskAdvice(WANTED, 1.0))
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -1,4 +1,4 @@
-"""The whole path: real entry daemons against stand-ins of the platform's services."""
+"""End-to-end tests: entry daemons against stand-ins of the platform's services."""
 
 import functools
 import signal
@@ -22,7 +22,7 @@
         cls.cluster.close()
 
     def test_job_runs_to_its_end(self) -> None:
-        """Steps run in order, each task once, and the job is shown as completed."""
+        """Steps run in order, each task once, and the job's state becomes completed."""
         path, body = self.cluster.job([SMALL, {**SMALL, "after": [0]}])
         self.assertEqual(self.node.call("POST", path, body)[0], 200)
         self.assertTrue(self.cluster.wait_state(path, "completed"))
@@ -32,14 +32,14 @@
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
     def test_caller_with_little_time_is_served(self) -> None:
-        """However short a caller waits, its job is tried to be put on record once."""
+        """One attempt to record the job is made even for a very short deadline."""
         for given_ms in ("1", "120", "0"):
             path, body = self.cluster.job([SMALL])
             status, _, _ = self.node.call("POST", path, body, {"X-Deadline-Ms": given_ms})
             self.assertEqual(status, 200)
 
     def test_gang_on_an_advised_queue(self) -> None:
-        """A gang starts as a whole, on advised workers only."""
+        """All tasks of a gang start, and only on workers that the advice service accepts."""
         self.cluster.advice.unfit = {"i-0"}
         path, body = self.cluster.job([{**SMALL, "count": 6, "gang": True}], "/jobs/advised/")
         self.assertEqual(self.node.call("POST", path, body)[0], 200)
@@ -50,7 +50,7 @@
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
     def test_same_job_again_stays_one(self) -> None:
-        """A job handed in twice runs once."""
+        """A job that is submitted twice runs once."""
         path, body = self.cluster.job([SMALL])
         for _ in range(2):
             self.assertEqual(self.node.call("POST", path, body)[0], 200)
@@ -61,7 +61,7 @@
         self.assertEqual(len(starts), 2)
 
     def test_job_that_ended_leaves_only_its_end(self) -> None:
-        """How it was taken in is dropped; handed in again it is shown as it ended."""
+        """The submission record is deleted; submitting again does not run the job again."""
         path, body = self.cluster.job([SMALL])
         job = path.rpartition("/")[2]
         self.assertEqual(self.node.call("POST", path, body)[0], 200)
@@ -75,7 +75,7 @@
         self.assertEqual(len(starts), 2)
 
     def test_cancelled_job_stops(self) -> None:
-        """A cancelled job is shown so, and its runs are stopped."""
+        """The state of a cancelled job is shown, and its runs are stopped."""
         self.cluster.workers.work_s = 30.0
         path, body = self.cluster.job([SMALL])
         self.node.call("POST", path, body)
@@ -87,7 +87,7 @@
         self.assertTrue(wait_until(lambda: all(m.used_cpu == 0 for m in models)))
 
     def test_what_does_not_exist(self) -> None:
-        """Unknown queues, jobs and methods are told apart."""
+        """Unknown queues, jobs and methods have different statuses."""
         cases = {
             ("GET", "/nothing/0123456789abcdef"): 404,
             ("POST", "/nothing/0123456789abcdef"): 404,
@@ -102,7 +102,7 @@
         self.assertEqual(self.node.call("GET", "/jobs/", headers={"Host": "other.example"})[0], 404)
 
     def test_bad_input_is_refused_whole(self) -> None:
-        """Malformed jobs get a typed 400 or 413 and are not known afterwards."""
+        """Invalid jobs are answered with 400, 413 or 431, and no job is recorded."""
         path, _ = self.cluster.job([SMALL])
         bad = [
             b"{",
@@ -124,7 +124,7 @@
         self.assertEqual(self.cluster.state(self.node, path), "410")
 
     def test_waiting_jobs_are_counted(self) -> None:
-        """The count of a queue is that of its jobs that found no room."""
+        """A queue's count includes a job that does not fit on any worker, until it is cancelled."""
         path, body = self.cluster.job([{**SMALL, "cpu": 5000}])
         self.node.call("POST", path, body)
 
@@ -136,7 +136,7 @@
         self.assertTrue(wait_until(lambda: waiting() == 0))
 
     def test_configuration_changes_come_into_force(self) -> None:
-        """A newer version adds a queue; an older one changes nothing; forgotten history too."""
+        """A newer version takes effect, also after expired history; an older one is ignored."""
         route = {**CONFIGURATION["routes"][0], "name": "new", "path_prefix": "/new/"}
         newer = {**CONFIGURATION, "version": 8, "routes": [*CONFIGURATION["routes"], route]}
         self.cluster.store.put("keyed.op", "config", newer)
@@ -153,7 +153,7 @@
         self.assertEqual(self.node.call("GET", "/new/")[0], 200)
 
     def test_settings_are_read_again(self) -> None:
-        """A hang-up signal and a changed file are both followed."""
+        """SIGHUP and a changed file both cause a reload."""
         before = len(self.node.lines("settings_reloaded"))
         self.node.signal(signal.SIGHUP)
         self.assertTrue(wait_until(lambda: len(self.node.lines("settings_reloaded")) > before))
@@ -171,7 +171,7 @@
         self.cluster.close()
 
     def test_refused_job_has_not_run(self) -> None:
-        """While the store refuses, jobs are refused with a time to come back, and never run."""
+        """A job refused because of the store gets a `Retry-After`, and never runs."""
         path, body = self.cluster.job([SMALL])
         self.cluster.store.refuse = True
         status, answer, headers = self.node.call("POST", path, body)
@@ -182,7 +182,7 @@
         self.assertEqual(self.cluster.workers.starts, [])
 
     def test_unanswered_job_is_no_refusal(self) -> None:
-        """Where an append may have been done, the caller hears 504 and the job may run."""
+        """If an append may have been applied, the caller gets 504, and the job may run."""
         path, body = self.cluster.job([SMALL])
         self.cluster.store.lose = True
         status, answer, _ = self.node.call("POST", path, body)
@@ -192,7 +192,7 @@
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
     def test_running_work_outlives_an_outage(self) -> None:
-        """What runs is renewed while the store is away, for longer than a lease."""
+        """Running tasks are renewed during an outage that is longer than a lease."""
         self.cluster.workers.work_s = 8.0
         path, body = self.cluster.job([SMALL])
         self.node.call("POST", path, body)
@@ -214,7 +214,7 @@
         self.cluster.close()
 
     def test_one_leader_and_any_node_answers(self) -> None:
-        """Exactly one node is elected, and each node takes jobs in and knows all of them."""
+        """Exactly one node is elected, and every node accepts jobs and shows all of them."""
         self.assertEqual(sum(len(n.lines("claim_won")) for n in self.cluster.nodes), 1)
         for node in self.cluster.nodes:
             path, body = self.cluster.job([SMALL])
@@ -225,7 +225,7 @@
                 )
 
     def repeat_until(self, state: str, path: str, call) -> None:
-        """Make a call, which is answered with 200 each time, until a job is in a state."""
+        """Repeat a call, which must be answered with 200, until a job has a state."""
 
         def is_there() -> bool:
             self.assertEqual(call()[0], 200)
@@ -234,10 +234,10 @@
         self.assertTrue(wait_until(is_there))
 
     def test_store_that_tells_of_no_news(self) -> None:
-        """Jobs run, and are cancelled, although the leader reads nothing new at the store.
+        """Jobs run and are cancelled although the store returns no new records to the leader.
 
-        Calls are repeated until they show: a node tells the leader of a record once for each, and
-        not while it does not hear it.
+        Calls are repeated, since a node notifies the leader only once for each call, and not
+        while it is not connected to it.
         """
         leader = self.cluster.leader
         other = next(node for node in self.cluster.nodes if node is not leader)
@@ -251,7 +251,7 @@
             self.repeat_until("cancelled", path, functools.partial(node.call, "DELETE", path))
 
     def test_node_that_the_store_turns_away(self) -> None:
-        """Its jobs are recorded by way of the leader, and it sends new callers elsewhere."""
+        """The node records jobs by way of the leader, and reports itself as not ready."""
         leader = self.cluster.leader
         node = next(node for node in self.cluster.nodes if node is not leader)
         self.assertTrue(wait_until(lambda: node.lines("leader_seen")))
@@ -264,21 +264,21 @@
         self.assertTrue(wait_until(lambda: node.probe() == 200))
 
     def test_deposed_leader_drops_its_links(self) -> None:
-        """One that the store turns away is heard by nobody as a leader, and calls nobody anew."""
+        """A leader that the store refuses is deposed, and does not reopen links to its peers."""
         old = self.cluster.leader
         self.cluster.store.turned_away.add(f"snowdock/{old.node}")
-        # The new leader's claim is not read there; workers' refusals tell of it.
+        # The old leader cannot read the new claim; it is deposed by the workers' refusals.
         self.assertTrue(wait_until(lambda: old.lines("deposed")))
         time.sleep(5.0)
         lines = old.log.read_text().splitlines()
         self.cluster.store.turned_away.clear()
-        # Until it is deposed it may find its links silent: the others have turned to the new one.
+        # Before that, links may be reopened, since the peers already follow the new leader.
         deposed = next(n for n, line in enumerate(lines) if "event=deposed " in line)
         renewed = [line for line in lines[deposed:] if "event=peer_link_renewed " in line]
         self.assertEqual(renewed, [])
 
     def test_killed_leader_is_replaced(self) -> None:
-        """Running work is adopted by the next leader, and nothing runs twice."""
+        """The next leader adopts running tasks, and no task runs twice."""
         self.cluster.workers.work_s = 4.0
         path, body = self.cluster.job([SMALL])
         leader = self.cluster.leader
@@ -290,7 +290,7 @@
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
     def test_paused_leader_is_shut_out(self) -> None:
-        """A leader that slept through its replacement does no harm and follows again."""
+        """A leader that was paused while it was replaced is deposed and follows the new one."""
         path, body = self.cluster.job([SMALL])
         leader = self.cluster.leader
         others = [node for node in self.cluster.nodes if node is not leader]
@@ -304,7 +304,7 @@
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
     def test_all_killed_at_once(self) -> None:
-        """After all nodes start again every accepted job is known and goes on."""
+        """After all nodes have restarted, every accepted job is known and completes."""
         paths = []
         for number in range(6):
             path, body = self.cluster.job([SMALL])
@@ -316,7 +316,7 @@
             node.start()
         for path in paths:
             self.assertTrue(self.cluster.wait_state(path, "completed"))
-        # Advice needs all nodes to be connected to the new leader.
+        # Advice is asked for through all nodes, so they must be connected to the new leader.
         path, body = self.cluster.job([SMALL], "/jobs/advised/")
         self.assertTrue(
             wait_until(lambda: self.cluster.nodes[0].call("POST", path, body)[0] == 200)
@@ -327,7 +327,7 @@
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
     def test_planned_stop_cuts_nothing_off(self) -> None:
-        """A stopping leader says that it is not ready, resigns, answers, and ends cleanly."""
+        """A stopping leader reports itself as not ready, still answers, and exits with 0."""
         leader = self.cluster.leader
         path, body = self.cluster.job([SMALL])
         leader.signal(signal.SIGTERM)
@@ -337,7 +337,7 @@
         self.assertTrue(self.cluster.wait_state(path, "completed"))
 
     def test_crashed_worker_is_replaced(self) -> None:
-        """Runs of a worker that died silently start again elsewhere once its leases are over."""
+        """Runs of a crashed worker start again on another one after its leases have expired."""
         self.cluster.workers.work_s = 2.0
         path, body = self.cluster.job([SMALL])
         self.cluster.nodes[0].call("POST", path, body)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Tests of records that another writer has put on the store: they name nothing, the others hold."""
+"""Tests that malformed records in the store are ignored and do not affect valid ones."""
 
 import json
 import random
@@ -47,7 +47,7 @@
 
 DEEP = b"[" * 100_000
 WRONG = (None, True, -1, 1.5, "", "x", "\x00\r\n", [], [1], {}, {"a": 1}, 10**30, "9" * 400, 1e300)
-"""Values of other types, out of range, and texts that are none."""
+"""Values of wrong types, values out of range, and invalid text."""
 
 ADDRESSES = (
     "", ":", "10.1.2.3", "10.1.2.3:", "10.1.2.3:0", "10.1.2.3:65536", "10.1.2.3:-1", "10.1.2:80",
@@ -60,7 +60,7 @@
 
 
 def bad_entries(source: random.Random, count: int) -> list[bytes]:
-    """Draw entries each of which is wrong in one place at least."""
+    """Return random entries, each with at least one defect."""
     return [_bad_entry(source) for _ in range(count)]
 
 
@@ -94,17 +94,17 @@
 
 
 class TestDecoders(unittest.TestCase):
-    """Only the typed failure ever comes out."""
+    """Decoders either accept data or raise the documented error."""
 
     def test_worker_entries(self) -> None:
-        """Every entry that is wrong in one place is refused, and the good one is not."""
+        """Every malformed entry is rejected, and the valid one is accepted."""
         self.assertEqual(decode_worker_entry("i-1", entry()).address, GOOD["address"])
         for data in bad_entries(random.Random(SEED), FUZZED):
             with self.assertRaises(PlatformError, msg=data[:200]):
                 decode_worker_entry("i-1", data)
 
     def test_any_value_in_any_field(self) -> None:
-        """Whatever stands in a field, it is taken as it is or refused, never guessed."""
+        """Any value in any field is either accepted unchanged or rejected."""
         for name in GOOD:
             for value in WRONG:
                 data = entry(**{name: value})
@@ -116,7 +116,7 @@
                 self.assertEqual((found.service, found.hall), (found.service + "", found.hall + ""))
 
     def test_all_other_decoders(self) -> None:
-        """Cut, changed and nested records of every table bring the typed failure or are taken."""
+        """Truncated, changed and nested records raise the documented error or are accepted."""
         source = random.Random(SEED)
         leader = msgspec.msgpack.encode(Identity("n", "i", "1.2.3.4:5").lead(3))
         job = encode(accepted())
@@ -139,7 +139,7 @@
                     continue
 
     def test_frames(self) -> None:
-        """Empty records, and such as are shorter than their key, are read as records."""
+        """Empty records, and records shorter than their key length, are decoded."""
         frames = b"\x00\x00\x00\x00" + b"\x00\x00\x00\x02\x09a" + b"\x00\x00\x00\x03\x01kv"
         keys = [record.key for record in _unframe(frames, 7)]
         self.assertEqual(keys, ["", "a", "k"])
@@ -162,14 +162,14 @@
         self.handle = LeaderHandle(context, actor, StatusBook())
 
     def test_worker_is_let_go(self) -> None:
-        """A worker whose entry is written over by one that names none is used no more."""
+        """A worker whose entry is replaced by a malformed one is delisted."""
         self.handle._take_worker(KeyedRecord("i-1", entry()))
         self.handle._take_worker(KeyedRecord("i-1", entry(state="gone")))
         self.assertIsInstance(self.told[0], WorkerListed)
         self.assertEqual(self.told[1:], [WorkerDelisted("i-1", False)])
 
     def test_others_hold(self) -> None:
-        """In a whole list, entries beside bad ones are taken, and those gone are told as gone."""
+        """In a full list, valid entries are listed, and missing or malformed ones are delisted."""
         good = [KeyedRecord(f"i-{number}", entry()) for number in range(3)]
         self.handle._take_all_workers(good)
         self.told.clear()
@@ -197,7 +197,7 @@
         self.bench.feed(ConfigurationChanged(after))
 
     def test_it_is_not_called(self) -> None:
-        """A worker of a service that nothing names is not called, until one names it."""
+        """A worker is opened only once the configuration has its service."""
         self.bench.feed(WorkerListed(self.entry))
         self.bench.tick(3.0)
         self.assertEqual(of_type(self.bench.seen, OpenWorker), [])
@@ -205,7 +205,7 @@
         self.assertEqual([each.life for each in of_type(self.bench.seen, OpenWorker)], ["w"])
 
     def test_it_may_go_before(self) -> None:
-        """One that is gone before its service is named is never called."""
+        """A worker that is delisted before the configuration has its service is never opened."""
         self.bench.feed(WorkerListed(self.entry))
         self.bench.feed(WorkerDelisted("w", False))
         self.name_it()
@@ -214,7 +214,7 @@
 
 class TestLeadersRecord(unittest.TestCase):
     def test_record_that_names_nobody(self) -> None:
-        """A leader's record that cannot be read names nobody; one may claim after it."""
+        """An unreadable leader record is skipped, and another node can claim the leadership."""
         store = StoreStandin()
         self.addCleanup(store.close)
         log = LeaderLog(StoreClient(store.address, 2))
@@ -231,14 +231,14 @@
     JOB = "0123456789abcdef"
 
     def test_taken_in_by_an_unreadable_record(self) -> None:
-        """The others are taken over, and this one is told apart from no job at all."""
+        """Other jobs are accepted, and the unreadable one is marked as unstartable."""
         other = "f" * 16
         records = [KeyedRecord(self.JOB, b"\xc1"), KeyedRecord(other, encode(accepted()))]
         recorded = sort_records(records, {})
         self.assertEqual((set(recorded.accepted), recorded.unstartable), ({other}, {self.JOB}))
 
     def test_with_unreadable_progress(self) -> None:
-        """It is not run again, also when it is handed in again: it may have run already."""
+        """A job with unreadable progress is not started, since it may already have run."""
         records = [KeyedRecord(self.JOB, encode(accepted()))]
         recorded = sort_records(records, {}, frozenset({self.JOB}))
         bench = Bench()
@@ -248,7 +248,7 @@
         self.assertEqual(bench.starts(bench.seen), [])
 
     def test_is_never_told_as_gone(self) -> None:
-        """Callers of it hear that it cannot be told now, not that there is no such job."""
+        """The status of an unreadable job is uncertain, unlike that of an unknown one."""
         statuses = StatusBook()
         statuses.note_unreadable([self.JOB])
         handle = types.SimpleNamespace(statuses=statuses, jobs_read_at=float("inf"))
@@ -260,7 +260,7 @@
 
 class TestWholePath(unittest.TestCase):
     def test_good_workers_serve_beside_bad_entries(self) -> None:
-        """Beside thousands of bad entries, and through a change of leader, jobs are served."""
+        """Jobs run beside thousands of malformed entries, also after a change of leader."""
         cluster = EntryCluster(2)
         self.addCleanup(cluster.close)
         source = random.Random(SEED)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Tests of the listeners: many descriptors, and more callers than a node may serve."""
+"""Tests of the listeners with many open descriptors and with too many callers."""
 
 import os
 import resource
@@ -18,7 +18,7 @@
 
 DESCRIPTORS = 1500
 BEYOND = 10
-"""Connections more than are served."""
+"""Connections above the limit."""
 
 
 def serve_nothing(environ, start_response):
@@ -53,14 +53,14 @@
         return pool.request("GET", path)
 
     def test_front_with_many_descriptors(self) -> None:
-        """Connections whose descriptor is above 1,023 are served."""
+        """Connections with a descriptor above 1,023 are served."""
         self.occupy_descriptors()
         address = self.start_front(4100)
         for _ in range(3):
             self.assertEqual(self.ask(address).status, 200)
 
     def test_probes_with_many_descriptors(self) -> None:
-        """The balancer's probe is answered."""
+        """Probes on a connection with a descriptor above 1,023 are answered."""
         self.occupy_descriptors()
         address = f"127.0.0.1:{free_port('127.0.0.1')}"
         self.enterContext(unittest.mock.patch.dict(os.environ, SNOWDOCK_METRICS_PORT="0"))
@@ -69,7 +69,7 @@
             self.assertEqual(self.ask(address, "/v1/readiness").status, 200)
 
     def test_callers_beyond_the_limit(self) -> None:
-        """They are told to come back; those within it are served on."""
+        """Requests above the limit get 503 with a `Retry-After`, and their connection is closed."""
         address = self.start_front(200)
         host, _, port = address.rpartition(":")
         first = self.ask(address)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of callers' keys: who is let in, what a node does that cannot know, whose job it is."""
+"""Tests of callers' keys: authentication, outdated configurations and ownership of jobs."""
 
 import io
 import math
@@ -45,7 +45,7 @@
 
 
 class Door:
-    """An intake whose surroundings the test sets."""
+    """The callers' API with dependencies that the test controls."""
 
     def __init__(self, age_s: float = LATELY, trust_s: float = math.inf) -> None:
         self.age_s = age_s
@@ -98,11 +98,11 @@
 
 
 class TestCases(unittest.TestCase):
-    """The table of what a node does, by what it knows of a key and of the configuration."""
+    """Tests of the answers by key, age of the configuration, and trust period."""
 
     def test_table(self) -> None:
         cases = [
-            # key, seconds since the configuration was surely the newest, trust, answer
+            # key, age of the configuration in seconds, trust period in seconds, status
             ("key-a", LATELY, math.inf, 200),
             ("other-a", LATELY, math.inf, 200),
             ("key-a", LONG_AGO, math.inf, 200),
@@ -128,17 +128,17 @@
                     self.assertEqual(door.body_left, BODY)
 
     def test_every_call_needs_a_key(self) -> None:
-        """Jobs shown, cancelled and counted as well as handed in."""
+        """Queries, cancellations, counts and unsupported methods require a key."""
         for method, path in (("GET", JOB), ("DELETE", JOB), ("GET", ""), ("PUT", JOB)):
             with self.subTest(method=method, path=path):
                 self.assertEqual(Door().call(method, f"/q/{path}")[0], 401)
 
     def test_what_is_not_there_comes_first(self) -> None:
-        """No queue is no queue, with or without a key."""
+        """An unknown queue is reported as 404 even without a key."""
         self.assertEqual(Door().call("GET", "/nothing/")[0], 404)
 
     def test_public_queue(self) -> None:
-        """It needs no key, and what comes by it belongs to no team."""
+        """A public queue needs no key, and its jobs belong to no team."""
         door = Door()
         self.assertEqual(door.call("POST", f"/p/{JOB}")[0], 200)
         self.assertEqual(door.call("POST", f"/p/{JOB}", "key-a")[0], 200)
@@ -155,7 +155,7 @@
 
     @given(st.text(st.characters(max_codepoint=255), max_size=200))
     def test_no_text_is_a_key_by_chance(self, key: str) -> None:
-        """Whatever stands in the header, it is refused, and shown nowhere."""
+        """Arbitrary header values are rejected, and are not repeated in the answer."""
         door = Door()
         status, body = door.call("POST", f"/q/{JOB}", key)
         self.assertIn(status, (401,) if key not in ("key-a", "other-a", "key-b") else (200,))
@@ -165,10 +165,10 @@
 
 class TestOwners(unittest.TestCase):
     def test_old_records_have_no_team(self) -> None:
-        """Records of jobs from before there were teams are read as nobody's."""
+        """Old records without a team field are decoded as jobs without a team."""
         new = accepted()
         old = encode(new)
-        # An array of one less, without the team at its end.
+        # Shorten the array by its last item, the team.
         self.assertEqual(old[0] & 0xF0, 0x90)
         shorter = bytes([old[0] - 1]) + old[1:-1]
         found = decode_accepted(shorter)
@@ -180,7 +180,7 @@
         self.assertEqual(job_of_record(record_name(JOB, "a")), JOB)
 
     def test_another_team_neither_replaces_nor_cancels(self) -> None:
-        """The same identifier from another team changes nothing, and leaves no record."""
+        """A submission or cancellation by another team with the same identifier is ignored."""
         bench = Bench()
         bench.add_worker()
         mine = self.owned("a")
@@ -196,7 +196,7 @@
         self.assertIs(bench.cell.jobs[JOB].status, JobStatus.CANCELLED)
 
     def test_owner_after_a_takeover(self) -> None:
-        """The team that its progress names, or else that which was first, keeps a job."""
+        """A job belongs to the team in its progress, otherwise to the first that submitted it."""
         first, second = self.owned("a", 1000), self.owned("b", 2000)
         records = [
             KeyedRecord(record_name(JOB, each.team), encode(each)) for each in (second, first)
@@ -210,7 +210,7 @@
         self.assertFalse(bench.cell.jobs[JOB].status.is_final)
 
     def test_cancelled_before_it_was_known(self) -> None:
-        """Only by its own team."""
+        """An early cancellation applies only if it comes from the job's own team."""
         for canceller, status in (("b", JobStatus.PENDING), ("a", JobStatus.CANCELLED)):
             bench = Bench()
             bench.restore(RecordedJobs({}, {record_name(JOB, canceller)}, {}))
@@ -233,7 +233,7 @@
 
 
 class TestPassingOn(unittest.TestCase):
-    """Nodes that do not reach the store learn of a configuration from their peers."""
+    """Tests of receiving configurations from peers when the store is unreachable."""
 
     def setUp(self) -> None:
         self.told: list[tuple[str, ConfigurationTold]] = []
@@ -244,7 +244,7 @@
         return msgspec.json.encode(version(number, *keys))
 
     def test_older_peer_is_told(self) -> None:
-        """After a moment, in which most read it themselves; once a second at most."""
+        """The configuration is sent after a short delay, and at most once a second."""
         self.mine.take_told(self.encoded(5, "k"))
         self.mine.hear(beat(4))
         self.assertEqual(self.told, [])
@@ -263,7 +263,7 @@
         return len(self.told)
 
     def test_never_falls_back(self) -> None:
-        """An older version from a peer changes nothing, nor does what is unreadable."""
+        """Older and unreadable versions from a peer are ignored."""
         self.mine.take_told(self.encoded(5, "new"))
         self.mine.take_told(self.encoded(4, "old"))
         self.mine.take_told(b"\xff")
@@ -271,7 +271,7 @@
         self.assertIsNone(self.mine.current.teams.of_key(b"old"))
 
     def test_peer_with_the_same_version_confirms_it(self) -> None:
-        """If that peer reaches the store; else it knows no more than this node."""
+        """A peer confirms the version only if it reaches the store."""
         self.mine.take_told(self.encoded(5, "k"))
         self.mine.hear(beat(5, reaches_store=False))
         self.mine.hear(beat(4))
@@ -282,7 +282,7 @@
 
 class TestConfigurationOfTeams(unittest.TestCase):
     def test_keys_are_kept_as_digests_only(self) -> None:
-        """A configuration's text form shows no key."""
+        """The `repr` of a configuration contains no key."""
         found = decode_configuration(TestPassingOn.encoded(5, "very-secret-key"))
         self.assertIsNotNone(found.teams.of_key(b"very-secret-key"))
         self.assertNotIn("very-secret-key", repr(found) + repr(vars(found.teams)))
@@ -295,7 +295,7 @@
 
 
 class TestRealNodes(unittest.TestCase):
-    """Keys that come and go while callers are connected, on nodes that the store turns away."""
+    """Tests of added and revoked keys on nodes that cannot reach the store."""
 
     def setUp(self) -> None:
         self.cluster = EntryCluster(3, proxies=Proxy)
@@ -313,7 +313,7 @@
         return node.call("GET", "/jobs/", headers={"X-Api-Key": key})[0]
 
     def test_keys_change_on_a_node_without_the_store(self) -> None:
-        """It hears of a lost and of a new key from its peers, and of nothing twice."""
+        """The node receives added and revoked keys from its peers."""
         leader = self.cluster.leader
         follower = next(node for node in self.cluster.nodes if node is not leader)
         for number, node in ((21, follower), (22, leader)):
@@ -323,7 +323,7 @@
                 proxy = self.cluster.store_proxies[node.number - 1]
                 proxy.set(Mode.RESET)
                 self.put(number, new)
-                # It may first be unsure of a key, and refuse nobody for good meanwhile.
+                # While the node cannot verify a key, it answers with 503.
                 self.assertTrue(wait_until(lambda n=node, k=new: self.ask(n, k) in (200, 503)))
                 self.assertTrue(wait_until(lambda n=node, k=old: self.ask(n, k) in (401, 503)))
                 told = node.lines("configuration_in_force")[-1]
@@ -333,7 +333,7 @@
                 self.assertTrue(wait_until(lambda n=node, k=new: self.ask(n, k) == 200))
 
     def test_jobs_of_another_team_are_unknown(self) -> None:
-        """Neither shown nor cancelled; keys stand in no log."""
+        """Another team's job is neither shown nor cancelled, and logs contain no keys."""
         one = version(30, "key-one-of-t")
         two = {**one["tenants"][0], "name": "u", "api_keys": ["key-one-of-u"]}
         one["tenants"] = [*one["tenants"], two]
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The operators' page names the metrics and events that the code has, and no others."""
+"""Tests that the operators' page lists all metrics, and only events that the code logs."""
 
 import pathlib
 import re
@@ -12,7 +12,7 @@
 
 class TestOperationsPage(unittest.TestCase):
     def test_every_metric_is_documented(self) -> None:
-        """Each metric of the entry daemon stands on the page."""
+        """Every metric of the entry daemon is on the page, and no others."""
         names = set(METRIC.findall(SOURCES))
         self.assertGreater(len(names), 8)
         table = PAGE.partition("## Figures")[2].partition("## Running")[0]
@@ -21,7 +21,7 @@
         self.assertEqual(told - names, {"process_cpu_seconds", "snowdock_"} & told)
 
     def test_every_event_is_one_that_is_logged(self) -> None:
-        """Each event on the page is logged somewhere."""
+        """Every event on the page is logged in the code."""
         jobs = "".join(p.read_text() for p in sorted((ROOT / "src/snowdock/jobs").glob("*.py")))
         folders = ("src/snowdock/node", "src/snowdock")
         node = "".join(p.read_text() for f in folders for p in sorted((ROOT / f).glob("*.py")))
--- a/tests/test_progress_writer.py
+++ b/tests/test_progress_writer.py
@@ -1,4 +1,4 @@
-"""Tests of putting the leader's batches on record."""
+"""Tests of appending the leader's progress batches to the store."""
 
 import queue
 import threading
@@ -16,7 +16,7 @@
 
 
 class ScriptedStore:
-    """Each append takes the next step: an error to raise, None to succeed, or an event to await."""
+    """A store whose appends raise the next error, succeed on None, or wait for the next event."""
 
     def __init__(self, *steps) -> None:
         self.steps = list(steps)
@@ -37,7 +37,7 @@
 
 class TestProgressWriter(unittest.TestCase):
     def start(self, store: ScriptedStore) -> queue.SimpleQueue:
-        """Start a writer; give what it tells of."""
+        """Start a writer with one batch; return the queue of its callbacks' arguments."""
         told: queue.SimpleQueue = queue.SimpleQueue()
         writer = ProgressWriter(store, 5, told.put, told.put, Metrics())
         writer.start()
@@ -46,14 +46,14 @@
         return told
 
     def test_batch_is_repeated_until_it_is_on_record(self) -> None:
-        """Each try carries the same number."""
+        """Every attempt has the same sequence number."""
         store = ScriptedStore(TIMED_OUT, TIMED_OUT, TIMED_OUT)
         told = self.start(store)
         self.assertEqual(told.get(timeout=15), Persisted(1))
         self.assertEqual(store.sequences, [1, 1, 1, 1])
 
     def test_hanging_try_keeps_nothing_waiting(self) -> None:
-        """While one try hangs, the next is made; how the first ends changes nothing."""
+        """The next attempt runs in parallel with a hanging one, whose late result is ignored."""
         hanging = threading.Event()
         store = ScriptedStore(TIMED_OUT, hanging)
         told = self.start(store)
@@ -63,7 +63,7 @@
             told.get(timeout=0.3)
 
     def test_shut_out_writer_tells_so_and_writes_no_more(self) -> None:
-        """A later leader has fenced it, at the first try or a later one."""
+        """The fence may be found by the first attempt or by a later one."""
         for steps in ((ProducerFenced("later"),), (TIMED_OUT, ProducerFenced("later"))):
             store = ScriptedStore(*steps)
             told = self.start(store)
@@ -73,7 +73,7 @@
 
 
 class TestFence(unittest.TestCase):
-    """Earlier leaders are shut out before the records are read."""
+    """Tests of fencing earlier leaders."""
 
     def setUp(self) -> None:
         self.standin = StoreStandin()
@@ -81,7 +81,7 @@
         self.store = StoreClient(self.standin.address, 2)
 
     def test_repeated_fence(self) -> None:
-        """One whose answer was lost, or that was followed by a failed read, may be repeated."""
+        """Repeating a fence succeeds, and an older epoch stays fenced."""
         for _ in range(3):
             fence_progress(self.store, 29, 5.0)
         first = Producer("leader", 29, 1)
@@ -90,7 +90,7 @@
             fence_progress(self.store, 28, 5.0)
 
     def test_later_leader(self) -> None:
-        """Who was shut out by a later one is told so."""
+        """A fence fails if a later leader has already set its own."""
         fence_progress(self.store, 30, 5.0)
         with self.assertRaises(ProducerFenced):
             fence_progress(self.store, 29, 5.0)
--- a/tests/test_record_cleaner.py
+++ b/tests/test_record_cleaner.py
@@ -1,4 +1,4 @@
-"""Tests of dropping records of jobs that nobody needs any more."""
+"""Tests of deleting obsolete job records."""
 
 import unittest
 from unittest import mock
@@ -36,14 +36,14 @@
         return {record.key for page in pages for record in page.records}
 
     def test_ended_and_old_jobs(self) -> None:
-        """Of the one its progress stays, of the other nothing; an open job is left alone."""
+        """An ended job keeps its progress, a dropped one keeps nothing, an open one keeps all."""
         self.cleaner.clean(ForgetAccepted((ENDED,)))
         self.cleaner.clean(DropJobs((OLD,)))
         self.assertTrue(wait_until(lambda: self.keys(JOBS_TOPIC) == {OPEN, cancel_key(OPEN)}))
         self.assertTrue(wait_until(lambda: self.keys(PROGRESS_TOPIC) == {ENDED, OPEN}))
 
     def test_store_that_refuses(self) -> None:
-        """What could not be dropped stays, and later records are dropped all the same."""
+        """Records whose deletion failed stay, and later records are deleted."""
         self.standin.refuse = True
         calls = len(self.standin.calls)
         self.cleaner.clean(ForgetAccepted((ENDED,)))
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""Tests of putting records of jobs on the store: together, once, and truly told."""
+"""Tests of batched appends of job records and of their reported outcomes."""
 
 import threading
 import unittest
@@ -18,7 +18,7 @@
 
 
 class HeldStore:
-    """A store whose appends wait for the test, raise what it says, or succeed."""
+    """A store whose appends wait for a gate, and then raise an error or succeed."""
 
     def __init__(self) -> None:
         self.error: BaseException | None = None
@@ -45,7 +45,7 @@
             self.addCleanup(patched.stop)
 
     def test_answered_call_tells_that_the_store_is_back(self) -> None:
-        """A store that counts as down is tried at once when it has answered any other call."""
+        """After the store has answered any call, a record is appended without waiting."""
         self.store.error = StoreRefused("down")
         with mock.patch.object(recorder, "_DOWN_SECONDS", 60.0):
             for _ in range(3):
@@ -58,7 +58,7 @@
             self.assertIs(self.recorder.record(JOB, RECORD, 1.0), Recording.DONE)
 
     def record_many(self, count: int) -> list[Recording]:
-        """Record on many threads while the first append is held; give all outcomes."""
+        """Record on many threads while the first append is blocked; return all outcomes."""
         outcomes: list[Recording] = []
         self.store.gate.clear()
 
@@ -69,7 +69,7 @@
         threads = [threading.Thread(target=record, args=(number,)) for number in range(count)]
         for thread in threads:
             thread.start()
-            # The order of arrival is that of the numbers.
+            # Start the threads one after the other, so that they queue in order.
             waiting = self.recorder._partitions[0].waiting
             wait_until(lambda: len(waiting) + 1 >= threads.index(thread) + 1)  # noqa: B023
         self.store.gate.set()
@@ -78,29 +78,29 @@
         return outcomes
 
     def test_records_that_come_together_go_together(self) -> None:
-        """While one append is on its way, all that comes goes with the next one."""
+        """Records that arrive during an append are sent together in the next one."""
         outcomes = self.record_many(20)
         self.assertEqual(outcomes, [Recording.DONE] * 20)
         self.assertEqual([len(keys) for keys in self.store.appends], [1, 19])
 
     def test_an_append_is_bounded(self) -> None:
-        """More than a call may hold goes with several appends."""
+        """Records above the limit of one append are sent in several."""
         outcomes = self.record_many(100)
         self.assertEqual(outcomes, [Recording.DONE] * 100)
         self.assertEqual([len(keys) for keys in self.store.appends], [1, 64, 35])
 
     def test_unanswered_append_is_unknown_to_all(self) -> None:
-        """Each record of an append without an answer may be on record."""
+        """Every record of an append without an answer is reported as unknown."""
         self.store.error = CallUnanswered("lost", False)
         self.assertEqual(set(self.record_many(5)), {Recording.UNKNOWN})
 
     def test_refused_append_was_not_done(self) -> None:
-        """A refusal tells surely that nothing was recorded."""
+        """A refused append is reported as not done."""
         self.store.error = StoreRefused("away")
         self.assertEqual(self.recorder.record(JOB, RECORD, 5.0), Recording.NOT_DONE)
 
     def test_unforeseen_error_does_not_keep_others_out(self) -> None:
-        """A record that tries a failing store and ends by an error lets the next one try."""
+        """A probe that ends with an unexpected error lets the next record be the probe."""
         self.store.error = StoreRefused("away")
         for _ in range(4):
             self.recorder.record(JOB, RECORD, 5.0)
@@ -115,10 +115,10 @@
             if self.recorder.record(JOB, RECORD, 5.0) is Recording.DONE:
                 return
             recorder.time.sleep(0.001)
-        self.fail("no record was tried any more")
+        self.fail("no further record was appended")
 
     def test_record_that_waits_too_long_is_taken_back(self) -> None:
-        """A record that never went out is surely not there; the one that went out may be."""
+        """A record that is still queued at its timeout is reported as not done, and never sent."""
         self.store.gate.clear()
         outcomes: dict[str, Recording] = {}
 
@@ -138,7 +138,7 @@
         self.assertIs(outcomes["third"], Recording.DONE)
 
     def test_slow_store_is_told_and_forgotten(self) -> None:
-        """A store that has become slow is told so, for as long as that was seen lately."""
+        """A slow store is reported until its last append is too old or appends are fast again."""
         health = self.recorder._health
         for _ in range(20):
             health.note_success(0.3)
@@ -150,7 +150,7 @@
         self.assertFalse(self.recorder.is_slow)
 
     def test_store_that_was_slow_is_tried_with_one_record(self) -> None:
-        """All others that come until its answer is there go another way."""
+        """After a while one record is let through, and the others still prefer the relay."""
         health = self.recorder._health
         for _ in range(20):
             health.note_success(0.3)
@@ -161,7 +161,7 @@
         self.assertEqual(told, [False, True, True, True, True])
 
     def test_append_that_hangs_tells_of_a_slow_store(self) -> None:
-        """Before its answer is there, and whatever was usual."""
+        """A hanging append marks the store as slow before its answer arrives."""
         self.store.gate.clear()
         thread = threading.Thread(target=self.recorder.record, args=(JOB, RECORD, 5.0))
         thread.start()
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -1,4 +1,4 @@
-"""A replay of taking jobs in while the store answers some 60 times as slowly as usual."""
+"""Test of submitting jobs on several nodes while the store is about 60 times slower than usual."""
 
 import concurrent.futures
 import math
@@ -26,7 +26,7 @@
 
 
 class SlowStore:
-    """Carries appends out partition by partition, each in turn, also those nobody waits for."""
+    """A store that applies appends to a partition one at a time, including those timed out."""
 
     def __init__(self) -> None:
         self.appends = 0
@@ -41,7 +41,7 @@
             self.appends += 1
             begins = max(now, self._free_at[part])
             if begins - now > LONGEST_WAIT_S:
-                raise StoreRefused("too many wait")
+                raise StoreRefused("queue is full")
             self._free_at[part] = begins + TURN_S
             self.on_record |= {record.key for record in records}
         answer_s = begins - now + TURN_S + ANSWER_S
@@ -54,7 +54,7 @@
 
 class TestSlowStore(unittest.TestCase):
     def test_all_callers_are_served(self) -> None:
-        """Late rather than not at all: none is refused, and none is left in doubt."""
+        """Every submission succeeds, with fewer appends than jobs."""
         store = SlowStore()
         leader = Recorder(store, PARTS, Metrics())
         nodes = [self.make_node(store, leader) for _ in range(NODES)]
@@ -71,7 +71,7 @@
 
     @staticmethod
     def make_node(store: SlowStore, leader: Recorder) -> Door:
-        """Give a node whose leader puts records on the store for it when it is asked."""
+        """Return the API of a node whose leader relays its records."""
 
         def relay(job: str, record: KeyedRecord, seconds: float) -> Recording:
             return leader.record(job, record, seconds)
--- a/tests/test_tails.py
+++ b/tests/test_tails.py
@@ -10,7 +10,7 @@
 
 
 class ScriptedStore:
-    """Answers reads as told, and notes how long each would have waited."""
+    """A store with scripted answers that records the wait time of each read."""
 
     def __init__(self, *answers) -> None:
         self.answers = list(answers)
@@ -53,11 +53,11 @@
         return taken, whole
 
     def test_news_are_taken_in_order(self) -> None:
-        """The newest records first, then what follows them."""
+        """The newest records of all keys are read first, then new records in order."""
         self.assertEqual(self.follow(ScriptedStore("a", "b")), (["a", "b"], ["all"]))
 
     def test_failing_store_is_read_without_waiting(self) -> None:
-        """After a failure no read waits, until one was answered."""
+        """After a failure, reads do not wait until one has succeeded."""
         lost = CallUnanswered("lost", False)
         store = ScriptedStore("a", lost, lost, "b", "c")
         taken, _ = self.follow(store)
@@ -65,13 +65,13 @@
         self.assertEqual(taken, ["a", "b", "c"])
 
     def test_forgotten_history_is_read_anew(self) -> None:
-        """Where records are gone, the newest of each key are taken."""
+        """When the offset has expired, the newest records of all keys are read again."""
         store = ScriptedStore("a", LogExpired("gone", 5), "b")
         taken, whole = self.follow(store)
         self.assertEqual((taken, whole), (["a", "b"], ["all", "all"]))
 
     def test_a_record_that_cannot_be_taken_ends_nothing(self) -> None:
-        """An unforeseen failure in taking one record leaves the others."""
+        """An unexpected error in handling one record does not affect the next ones."""
         store = ScriptedStore("bad", "good")
         taken: list[str] = []
 
--- a/tests/test_topics.py
+++ b/tests/test_topics.py
@@ -1,4 +1,4 @@
-"""Tests of how jobs are spread over partitions."""
+"""Tests of the assignment of jobs to partitions."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 class TestJobPart(unittest.TestCase):
     def test_jobs_are_spread_evenly(self) -> None:
-        """Every partition gets its share, and a job always the same one."""
+        """Jobs are spread evenly, and a job always has the same partition."""
         jobs = [f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}" for number in range(1200)]
         counts = [0] * 12
         for job in jobs:
--- a/tests/test_worker_link.py
+++ b/tests/test_worker_link.py
@@ -1,4 +1,4 @@
-"""Tests of the calls to one worker, against a server that misbehaves."""
+"""Tests of the calls to one worker, against a server with scripted answers."""
 
 import json
 import queue
@@ -64,7 +64,7 @@
         return self.posted.get(timeout=10)
 
     def test_start_carries_everything(self) -> None:
-        """Token, lease, checkpoint, ticket and the life that is meant are sent."""
+        """A start has the token, lease, checkpoint, ticket and the expected life."""
         self.answers = [as_json({"clock_ms": 12})]
         self.order(START)
         event = self.next()
@@ -79,7 +79,7 @@
         self.assertEqual(call["life"], "i-1")
 
     def test_refusals(self) -> None:
-        """Each refusal has its type."""
+        """Each refusal of a start is decoded to its `Refusal`."""
         cases = [
             (as_json({"reason": "fence"}, 409), Refusal.FENCED),
             (as_json({"reason": "old"}, 409), Refusal.SUPERSEDED),
@@ -97,33 +97,33 @@
             self.assertEqual(self.next().result.refusal, refusal)
 
     def test_unanswered_start_is_sent_again(self) -> None:
-        """A start without a usable answer is repeated as it was, and then counts as started."""
+        """A start without a usable answer is repeated unchanged, and may then succeed."""
         self.answers = [(500, b""), as_json({"clock_ms": 1})]
         self.order(START)
         self.assertIsNone(self.next().result.refusal)
         self.assertEqual(self.calls[0], self.calls[1])
 
     def test_refusal_of_a_repeated_start_is_no_evidence(self) -> None:
-        """The first try may have been carried out, so the run's fate stays open."""
+        """The first attempt may have started the run, so the result is unknown."""
         self.answers = [(500, b""), as_json({"reason": "old"}, 409)]
         self.order(START)
         self.assertIsNone(self.next().result)
 
     def test_start_that_never_gets_an_answer(self) -> None:
-        """After some tries the start is told as unanswered."""
+        """After three attempts the start is reported as unanswered."""
         self.answers = [(500, b"")] * 3
         self.order(START)
         self.assertIsNone(self.next().result)
         self.assertEqual(len(self.calls), 3)
 
     def test_unreached_worker(self) -> None:
-        """Without a connection nothing was sent."""
+        """A start without a connection is reported as not sent."""
         self.link = self.make_link("i-2", "127.0.0.1:1")
         self.order(START)
         self.assertEqual(self.next().result.refusal, Refusal.UNREACHED)
 
     def test_unreached_worker_with_many_orders(self) -> None:
-        """Each of them is told, however many wait."""
+        """Each of many queued orders is reported, without deep recursion."""
         self.link = self.make_link("i-2", "127.0.0.1:1")
         for _ in range(1000):
             self.link.order(START)
@@ -132,7 +132,7 @@
         self.assertEqual(set(results), {Refusal.UNREACHED})
 
     def test_start_reaches_the_next_life(self) -> None:
-        """Nothing meant for a life is sent to the next one under its id, nor is anything after."""
+        """Neither the start nor any later call reaches the next life under the same id."""
         self.link = self.make_link("i-1@100", self.server.address)
         self.greeted = as_json(HELD | {"born": 200})
         self.order(START)
@@ -144,7 +144,7 @@
         self.assertEqual(self.calls, [])
 
     def test_worker_restarts_between_two_starts(self) -> None:
-        """A connection that breaks is greeted anew, before the next start goes over another one."""
+        """A new connection is greeted before the next start is sent."""
         self.link = self.make_link("i-1@100", self.server.address)
         self.greeted = as_json(HELD | {"born": 100})
         self.answers = [as_json({"clock_ms": 1})]
@@ -157,7 +157,7 @@
         self.assertEqual(len(self.calls), 1)
 
     def test_repeated_start_meets_the_next_life(self) -> None:
-        """That it was sent before leaves no doubt: the life that may have it is over."""
+        """A repeated start is reported as refused, since the life that received it has ended."""
         self.link = self.make_link("i-1@100", self.server.address)
         self.greeted = as_json(HELD | {"born": 100})
 
@@ -171,7 +171,7 @@
         self.assertEqual(self.next().result.refusal, Refusal.NEXT_LIFE)
 
     def test_greeting(self) -> None:
-        """It goes once over each connection, names the worker, and lets it forget nothing."""
+        """A greeting is sent once per connection; it has no lease and acknowledges no ends."""
         self.link = self.make_link("i-1@100", self.server.address)
         self.greeted = as_json(HELD | {"born": 100})
         self.answers = [as_json({"clock_ms": 1})] * 2
@@ -183,7 +183,7 @@
         self.assertNotIn("deadline_ms", greeting)
 
     def test_greeting_without_a_usable_answer(self) -> None:
-        """The start was surely not sent."""
+        """If the greeting fails, the start is reported as not sent."""
         for answer in ((200, b"{}"), (200, b"no"), (500, b"")):
             self.greeted = answer
             self.order(START)
@@ -194,7 +194,7 @@
         self.assertEqual(self.calls, [])
 
     def test_greeting_is_repeated(self) -> None:
-        """A greeting without an answer is sent again over another connection, before the start."""
+        """A greeting without an answer is repeated over another connection before the start."""
         waits = [1.0, 1.0]
         self.hang = lambda: time.sleep(waits.pop() if waits else 0.0)
         self.answers = [as_json({"clock_ms": 1})]
@@ -203,7 +203,7 @@
         self.assertEqual((len(self.greetings), len(self.calls)), (3, 1))
 
     def test_greeting_that_hangs(self) -> None:
-        """A start that waits for its greeting is surely not sent, however the greeting ends."""
+        """A start whose greeting has no answer in time is reported as not sent."""
         released = threading.Event()
         self.addCleanup(released.set)
         self.hang = lambda: released.wait(10)
@@ -212,7 +212,7 @@
         self.assertEqual(self.calls, [])
 
     def test_orders_keep_their_order(self) -> None:
-        """A stop goes out after the start before it was answered, and renewals beside both."""
+        """A stop is sent after the start before it has been answered."""
         self.answers = [as_json({"clock_ms": 1})] * 6
         for _ in range(3):
             self.link.order(START)
@@ -223,7 +223,7 @@
         self.assertEqual([call["path"][-5:] for call in self.calls], ["start", "-stop"] * 3)
 
     def test_stopped_loop(self) -> None:
-        """What is asked of it after its end harms nobody."""
+        """Calls to a stopped loop have no effect."""
         self.loop.stop()
         self.loop._thread.join(10)
         self.assertFalse(self.loop._thread.is_alive())
@@ -233,7 +233,7 @@
         self.assertTrue(self.posted.empty())
 
     def test_closed_link(self) -> None:
-        """What waits is not sent any more, and its answers concern nobody."""
+        """Queued calls of a closed link are not sent."""
         self.answers = [as_json({"clock_ms": 1})] * 2
         self.link.order(START)
         self.link.close()
@@ -243,7 +243,7 @@
         self.assertTrue(self.posted.empty())
 
     def test_stop(self) -> None:
-        """A stop tells whether it was answered."""
+        """The event of a stop shows whether it was answered."""
         self.answers = [as_json({"clock_ms": 1}), (500, b"")]
         for answered in (True, False):
             self.order(STOP)
@@ -252,7 +252,7 @@
             self.assertEqual(event.answered, answered)
 
     def test_renewal(self) -> None:
-        """Runs and ends are decoded; rows that do not fit count as no answer."""
+        """Runs and ends are decoded; a malformed report counts as no answer."""
         name = f"{TASK.job}.0.0.0"
         good = {"clock_ms": 9, "running": [[name, 1, "", 40, 3]], "ended": []}
         good["ended"] = [[4, name, 1, "done", ""], [5, name, 2, "something new", "s"]]
