--- a/src/snowdock/entry/statuses.py
+++ b/src/snowdock/entry/job_status_table.py
@@ -7,29 +7,29 @@
 from ..jobs.events import PublishStatus
 from ..jobs.model import JobId, JobStatus
 
-__all__ = ["StatusBook"]
+__all__ = ["JobStatusTable"]
 
 
-class StatusBook:
+class JobStatusTable:
     """Statuses by job, and numbers of waiting jobs by queue."""
 
     def __init__(self) -> None:
-        self._taken_until = steady_seconds()
+        self._processed_until = steady_seconds()
         self._jobs: dict[JobId, PublishStatus] = {}
         self._unreadable: set[JobId] = set()
-        self._waiting: dict[str, int] = {}
+        self._waiting_counts: dict[str, int] = {}
         self._lock = threading.Lock()
 
     @property
-    def taken_until(self) -> float:
+    def processed_until(self) -> float:
         """The steady time up to which the leader has processed all events, in seconds."""
-        return self._taken_until
+        return self._processed_until
 
-    def take_until(self, sent_at: float) -> None:
+    def mark_processed_until(self, processed_until: float) -> None:
         """Record that all events sent before a steady time have been processed."""
-        self._taken_until = sent_at
+        self._processed_until = processed_until
 
-    def note_unreadable(self, jobs: Iterable[JobId]) -> None:
+    def add_unreadable(self, jobs: Iterable[JobId]) -> None:
         """Add jobs whose stored record cannot be decoded."""
         with self._lock:
             self._unreadable.update(jobs)
@@ -41,14 +41,16 @@
     def publish(self, status: PublishStatus) -> None:
         """Set a job's status and update the count of its queue."""
         with self._lock:
-            before = self._jobs.get(status.job)
+            previous = self._jobs.get(status.job)
             self._jobs[status.job] = status
             self._unreadable.discard(status.job)
             change = (status.status is JobStatus.PENDING) - (
-                before is not None and before.status is JobStatus.PENDING
+                previous is not None and previous.status is JobStatus.PENDING
             )
             if change:
-                self._waiting[status.queue] = self._waiting.get(status.queue, 0) + change
+                self._waiting_counts[status.queue] = (
+                    self._waiting_counts.get(status.queue, 0) + change
+                )
 
     def forget(self, jobs: tuple[JobId, ...]) -> None:
         """Remove the statuses of some jobs."""
@@ -56,13 +58,13 @@
             for job in jobs:
                 self._jobs.pop(job, None)
 
-    def status(self, job: JobId, team: str = "") -> JobStatus | None:
+    def find_status(self, job: JobId, team: str = "") -> JobStatus | None:
         """Return a job's status, or None if the job is unknown or belongs to another team."""
-        found = self._jobs.get(job)
-        if found is None or found.team not in ("", team):
+        published = self._jobs.get(job)
+        if published is None or published.team not in ("", team):
             return None
-        return found.status
+        return published.status
 
-    def waiting(self, queue: str) -> int:
+    def count_waiting(self, queue: str) -> int:
         """Return the number of a queue's jobs of which no task has started."""
-        return self._waiting.get(queue, 0)
+        return self._waiting_counts.get(queue, 0)
--- a/src/snowdock/entry/topics.py
+++ b/src/snowdock/entry/topics.py
@@ -2,7 +2,14 @@
 
 from ..jobs.model import JobId
 
-__all__ = ["JOBS_TOPIC", "LEADERS_TOPIC", "LEADER_KEY", "PART", "PROGRESS_TOPIC", "job_part"]
+__all__ = [
+    "DEFAULT_PARTITION",
+    "JOBS_TOPIC",
+    "LEADERS_TOPIC",
+    "LEADER_KEY",
+    "PROGRESS_TOPIC",
+    "job_partition",
+]
 
 JOBS_TOPIC = "keyed.jobs"
 """Submitted jobs and cancellations; any node appends."""
@@ -15,14 +22,14 @@
 
 LEADER_KEY = "leader"
 
-PART = 0
+DEFAULT_PARTITION = 0
 """The partition of topics that are not spread over several."""
 
 
-def job_part(job: JobId, parts: int) -> int:
+def job_partition(job: JobId, partition_count: int) -> int:
     """Return the partition of a job's submission, by its identifier or its `record_name`.
 
     The store handles the appends to a partition one at a time, so spreading jobs over partitions
     keeps the throughput when the store is slow.
     """
-    return int(job[:8], 16) % parts
+    return int(job[:8], 16) % partition_count
