--- a/tests/test_advice_dispatcher.py
+++ b/tests/test_advice_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of spreading questions to the advice service over nodes, some of which do not answer."""
+"""Tests of distributing requests to the advice service over nodes that may not answer."""
 
 import queue
 import threading
@@ -11,22 +11,22 @@
 from snowdock.jobs.orders import AdviceRequest, AdviceResult
 from snowdock.node.metrics import Metrics
 
-WANTED = AdviceRequest("0123456789abcdef", 0, 0, ("w1", "w2"))
+REQUEST = AdviceRequest("0123456789abcdef", 0, 0, ("w1", "w2"))
 TICKETS = {"w1": "t"}
 
 
 class ScriptedNodes:
-    """Stands for this node's own adviser and its peers; each waits as the test says."""
+    """Stand-in for the local client and the peers; each answers when the test releases it."""
 
     def __init__(self) -> None:
         self.asked: queue.SimpleQueue[str] = queue.SimpleQueue()
         self.release_events = {"own": threading.Event(), "peer": threading.Event()}
         self.fails = False
 
-    def ask_own(self, wanted: AdviceRequest, seconds: float) -> AdviceResult:
-        return AdviceResult(wanted, self._answer("own"))
+    def ask_own(self, request: AdviceRequest, seconds: float) -> AdviceResult:
+        return AdviceResult(request, self._answer("own"))
 
-    def ask_peer(self, node: str, make, seconds: float) -> AdviceReply:
+    def ask_peer(self, node: str, build_request, seconds: float) -> AdviceReply:
         return AdviceReply(1, self._answer(node))
 
     def _answer(self, node: str) -> dict[str, str]:
@@ -50,44 +50,46 @@
         self.addCleanup(lambda: [each.set() for each in self.nodes.release_events.values()])
 
     def ask_unanswered(self) -> tuple[str, str]:
-        """Ask a question that the first node leaves unanswered; give both nodes asked."""
-        self.dispatcher.ask(AskAdvice(WANTED, 1.0))
+        """Send a request that no node answers yet; return the first and the second node asked."""
+        self.dispatcher.ask(AskAdvice(REQUEST, 1.0))
         return self.nodes.asked.get(timeout=15), self.nodes.asked.get(timeout=15)
 
     def assert_no_event(self) -> None:
         with self.assertRaises(queue.Empty):
             self.events.get(timeout=0.3)
 
-    def test_late_question_is_asked_by_another_node(self) -> None:
-        """Another node's answer counts, and the late one changes nothing."""
+    def test_late_request_is_sent_by_another_node(self) -> None:
+        """The second node's answer is posted, and the later one of the first node is ignored."""
         first, second = self.ask_unanswered()
         self.assertNotEqual(first, second)
         self.nodes.release_events[second].set()
-        self.assertEqual(self.events.get(timeout=15), AdviceAnswered(AdviceResult(WANTED, TICKETS)))
+        self.assertEqual(
+            self.events.get(timeout=15), AdviceAnswered(AdviceResult(REQUEST, TICKETS))
+        )
         self.nodes.release_events[first].set()
         self.assert_no_event()
 
     def test_first_node_may_still_answer_first(self) -> None:
-        """The node asked first may still be quicker than the second."""
+        """The first node's late answer is posted if the second node has not answered yet."""
         first, _ = self.ask_unanswered()
         self.nodes.release_events[first].set()
         self.assertIsInstance(self.events.get(timeout=15), AdviceAnswered)
 
     def test_failure_is_reported_once_when_no_node_answers(self) -> None:
-        """The question has failed once all nodes that asked it have had no answer."""
+        """A failure is posted once, after all attempts have failed."""
         first, second = self.ask_unanswered()
         self.nodes.fails = True
         self.nodes.release_events[second].set()
         self.assert_no_event()
         self.nodes.release_events[first].set()
-        self.assertEqual(self.events.get(timeout=15), AdviceFailed(WANTED))
+        self.assertEqual(self.events.get(timeout=15), AdviceFailed(REQUEST))
         self.assert_no_event()
 
-    def test_answered_question_is_asked_once(self) -> None:
-        """A node that answers in time is not doubted."""
-        for held in self.nodes.release_events.values():
-            held.set()
-        self.dispatcher.ask(AskAdvice(WANTED, 1.0))
+    def test_answered_request_is_sent_once(self) -> None:
+        """A request that is answered in time is not sent to a second node."""
+        for release_event in self.nodes.release_events.values():
+            release_event.set()
+        self.dispatcher.ask(AskAdvice(REQUEST, 1.0))
         self.assertIsInstance(self.events.get(timeout=15), AdviceAnswered)
         self.nodes.asked.get(timeout=15)
         with self.assertRaises(queue.Empty):
--- a/tests/test_malformed_records.py
+++ b/tests/test_malformed_records.py
@@ -1,4 +1,4 @@
-"""Tests of records that another writer has put on the store: they name nothing, the others hold."""
+"""Tests that malformed records in the store are ignored and do not affect valid ones."""
 
 import json
 import random
@@ -62,7 +62,7 @@
     "9" * 400,
     1e300,
 )
-"""Values of other types, out of range, and texts that are none."""
+"""Values of wrong types, values out of range, and invalid text."""
 
 ADDRESSES = (
     "", ":", "10.1.2.3", "10.1.2.3:", "10.1.2.3:0", "10.1.2.3:65536", "10.1.2.3:-1", "10.1.2:80",
@@ -75,7 +75,7 @@
 
 
 def malformed_entries(source: random.Random, count: int) -> list[bytes]:
-    """Draw entries each of which is wrong in one place at least."""
+    """Return random entries, each with at least one defect."""
     return [_malformed_entry(source) for _ in range(count)]
 
 
@@ -109,17 +109,17 @@
 
 
 class TestDecoders(unittest.TestCase):
-    """Only the typed failure ever comes out."""
+    """Decoders either accept data or raise the documented error."""
 
     def test_worker_entries(self) -> None:
-        """Every entry that is wrong in one place is refused, and the good one is not."""
+        """Every malformed entry is rejected, and the valid one is accepted."""
         self.assertEqual(decode_worker_entry("i-1", encode_entry()).address, VALID_ENTRY["address"])
         for data in malformed_entries(random.Random(SEED), FUZZ_CASES):
             with self.assertRaises(PlatformError, msg=data[:200]):
                 decode_worker_entry("i-1", data)
 
     def test_any_value_in_any_field(self) -> None:
-        """Whatever stands in a field, it is taken as it is or refused, never guessed."""
+        """Any value in any field is either accepted unchanged or rejected."""
         for name in VALID_ENTRY:
             for value in INVALID_VALUES:
                 data = encode_entry(**{name: value})
@@ -131,7 +131,7 @@
                 self.assertEqual((found.service, found.hall), (found.service + "", found.hall + ""))
 
     def test_all_other_decoders(self) -> None:
-        """Cut, changed and nested records of every table bring the typed failure or are taken."""
+        """Truncated, changed and nested records raise the documented error or are accepted."""
         source = random.Random(SEED)
         leader = msgspec.msgpack.encode(NodeIdentity("n", "i", "1.2.3.4:5").make_record(3))
         job = encode(make_accepted_job())
@@ -154,7 +154,7 @@
                     continue
 
     def test_frames(self) -> None:
-        """Empty records, and such as are shorter than their key, are read as records."""
+        """Empty records, and records shorter than their key length, are decoded."""
         frames = b"\x00\x00\x00\x00" + b"\x00\x00\x00\x02\x09a" + b"\x00\x00\x00\x03\x01kv"
         keys = [record.key for record in _unframe(frames, 7)]
         self.assertEqual(keys, ["", "a", "k"])
@@ -177,26 +177,28 @@
         self.handle = LeaderHandle(context, actor, JobStatusTable())
 
     def test_worker_with_a_malformed_entry_is_delisted(self) -> None:
-        """A worker whose entry is written over by one that names none is used no more."""
+        """A worker whose entry is replaced by a malformed one is delisted."""
         self.handle._apply_worker_record(KeyedRecord("i-1", encode_entry()))
         self.handle._apply_worker_record(KeyedRecord("i-1", encode_entry(state="gone")))
         self.assertIsInstance(self.events[0], WorkerListed)
         self.assertEqual(self.events[1:], [WorkerDelisted("i-1", False)])
 
     def test_valid_entries_beside_malformed_ones_are_listed(self) -> None:
-        """In a whole list, entries beside bad ones are taken, and those gone are told as gone."""
-        good = [KeyedRecord(f"i-{number}", encode_entry()) for number in range(3)]
-        self.handle._replace_workers(good)
+        """In a full list, valid entries are listed, and missing or malformed ones are delisted."""
+        valid = [KeyedRecord(f"i-{number}", encode_entry()) for number in range(3)]
+        self.handle._replace_workers(valid)
         self.events.clear()
-        bad = [
+        malformed = [
             KeyedRecord(f"x-{number}", data)
             for number, data in enumerate(malformed_entries(random.Random(SEED), 50))
         ]
-        self.handle._replace_workers([*bad, good[0], KeyedRecord("i-1", b"\xff"), *bad])
+        self.handle._replace_workers(
+            [*malformed, valid[0], KeyedRecord("i-1", b"\xff"), *malformed]
+        )
         listed = [event.entry.life for event in self.events if isinstance(event, WorkerListed)]
-        gone = {event.life for event in self.events if isinstance(event, WorkerDelisted)}
+        delisted = {event.life for event in self.events if isinstance(event, WorkerDelisted)}
         self.assertEqual(listed, ["i-0"])
-        self.assertLessEqual({"i-1", "i-2"}, gone)
+        self.assertLessEqual({"i-1", "i-2"}, delisted)
 
 
 class TestUnconfiguredService(unittest.TestCase):
@@ -212,7 +214,7 @@
         self.bench.feed(ConfigurationChanged(after))
 
     def test_worker_is_not_called_until_its_service_is_configured(self) -> None:
-        """A worker of a service that nothing names is not called, until one names it."""
+        """A worker is opened only once the configuration has its service."""
         self.bench.feed(WorkerListed(self.entry))
         self.bench.tick(3.0)
         self.assertEqual(filter_by_type(self.bench.all_effects, OpenWorker), [])
@@ -222,7 +224,7 @@
         )
 
     def test_worker_delisted_before_its_service_is_configured(self) -> None:
-        """One that is gone before its service is named is never called."""
+        """A worker that is delisted before the configuration has its service is never opened."""
         self.bench.feed(WorkerListed(self.entry))
         self.bench.feed(WorkerDelisted("w", False))
         self.configure_service()
@@ -231,7 +233,7 @@
 
 class TestLeaderRecord(unittest.TestCase):
     def test_unreadable_leader_record_is_ignored(self) -> None:
-        """A leader's record that cannot be read names nobody; one may claim after it."""
+        """An unreadable leader record is skipped, and another node can claim the leadership."""
         store = StoreStandin()
         self.addCleanup(store.close)
         log = LeaderLog(StoreClient(store.address, 2))
@@ -248,14 +250,14 @@
     JOB = "0123456789abcdef"
 
     def test_unreadable_submission_record(self) -> None:
-        """The others are taken over, and this one is told apart from no job at all."""
+        """Other jobs are accepted, and the unreadable one is marked as unstartable."""
         other = "f" * 16
         records = [KeyedRecord(self.JOB, b"\xc1"), KeyedRecord(other, encode(make_accepted_job()))]
         recorded = classify_records(records, {})
         self.assertEqual((set(recorded.accepted), recorded.unstartable), ({other}, {self.JOB}))
 
     def test_unreadable_progress_record(self) -> None:
-        """It is not run again, also when it is handed in again: it may have run already."""
+        """A job with unreadable progress is not started, since it may already have run."""
         records = [KeyedRecord(self.JOB, encode(make_accepted_job()))]
         recorded = classify_records(records, {}, frozenset({self.JOB}))
         bench = Bench()
@@ -265,7 +267,7 @@
         self.assertEqual(bench.starts(bench.all_effects), [])
 
     def test_unreadable_job_is_not_reported_as_gone(self) -> None:
-        """Callers of it hear that it cannot be told now, not that there is no such job."""
+        """The status of an unreadable job is uncertain, unlike that of an unknown one."""
         statuses = JobStatusTable()
         statuses.add_unreadable([self.JOB])
         handle = types.SimpleNamespace(statuses=statuses, jobs_read_at=float("inf"))
@@ -277,7 +279,7 @@
 
 class TestWholePath(unittest.TestCase):
     def test_valid_workers_serve_beside_malformed_entries(self) -> None:
-        """Beside thousands of bad entries, and through a change of leader, jobs are served."""
+        """Jobs run beside thousands of malformed entries, also after a change of leader."""
         cluster = EntryCluster(2)
         self.addCleanup(cluster.close)
         source = random.Random(SEED)
