--- a/src/snowdock/jobs/__init__.py
+++ b/src/snowdock/jobs/__init__.py
@@ -1,5 +1,6 @@
-"""Jobs on a shared pool of workers: taking in, placing, running and reporting them.
+"""Jobs on shared pools of workers: acceptance, placement, execution and status.
 
-One node at a time leads: it alone decides and orders. All nodes take jobs in and answer for
-them. What must last lies in the platform's store; ``docs/design/platform.md`` has the rules.
+One elected node, the leader, makes all scheduling decisions and calls the workers. Every node
+accepts jobs and serves their status. Durable state is kept in the platform's store, see
+``docs/design/platform.md``.
 """
--- a/src/snowdock/jobs/cell.py
+++ b/src/snowdock/jobs/cell.py
@@ -1,4 +1,4 @@
-"""The leader's state: all jobs and workers, and what is not yet on record."""
+"""The leader's in-memory state: jobs, workers, and changes that are not recorded yet."""
 
 import collections
 import dataclasses
@@ -27,29 +27,30 @@
 
 
 _SILENCES_KEPT = 64
-"""More workers than this are not looked at for having gone at the same moment."""
+"""Bound on the times kept for detecting workers that fell silent at the same moment."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CellSettings:
-    """Times that the leader goes by, in seconds.
+    """Durations and limits that the leader applies; durations are in seconds.
 
     Attributes
     ----------
     lease_s
-        The lease that each renewal asks for.
-    takeover_lapse_s
-        After the claim: when runs on a worker that was never reached are surely over.
+        Length of the lease that each renewal requests.
+    unreached_run_expiry_s
+        Time after the leadership was claimed when runs on workers that were never reached are
+        certainly over.
     gang_wait_s
-        How long a member of a gang waits for the others.
+        Time that a member of a gang waits for the other members.
     early_s
-        How far ahead of its time a repetition may start.
+        Time by which a repetition may start before it is due.
     stop_s
-        The longest that a worker takes to stop a run.
+        Upper bound on the time that a worker needs to stop a run.
     retention_s
-        How long a job stays known after its end.
+        Time for which an ended job is kept.
     quota_overage
-        By what part of its quota a team may be over it in passing; what has to start whole uses it.
+        Fraction by which a team may temporarily exceed its quota to start a gang as a whole.
     """
 
     lease_s: float
@@ -63,18 +64,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """The decisions that operators program.
+    """Scheduling decisions that operators can program.
 
     Attributes
     ----------
     rank
-        (step, now) -> a number; the highest is placed first.
+        (step, now) -> rank of the step; steps with higher ranks are placed first.
     score
-        (step, worker, tasks of the step there) -> a number, the highest wins; None for unfit.
+        (step, worker, tasks of the step there) -> score of the worker, higher is better; None if
+        the worker is unsuitable.
     backoff_seconds
-        (step, failures) -> seconds until the next try.
+        (step, failures) -> seconds until the next attempt.
     yields
-        (step, other step, now) -> whether runs of the other step are stopped to make room.
+        (step, other step, now) -> whether runs of the other step are preempted for the step.
     """
 
     rank: Callable[[Step, float], float]
@@ -85,16 +87,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """Room that is kept for a step at some workers.
+    """Resources that are held for a step on some workers.
 
     Attributes
     ----------
-    until
-        How long it is kept, in steady seconds.
+    expires_at
+        End of the claim, in steady-clock seconds.
     lives
-        The workers.
-    is_forced
-        Whether runs are stopped to make it; else it comes free by itself.
+        Lives of the workers.
+    is_preemptive
+        Whether runs are stopped to free the resources; otherwise they become free as runs end.
     """
 
     until: float
@@ -104,7 +106,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Stop:
-    """A run that is to end; ``answered_at`` is None until the worker has answered."""
+    """A stop order for a run; ``answered_at`` is None until the worker has answered it."""
 
     sent_at: float
     answered_at: float | None = None
@@ -112,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldStart:
-    """A start that waits for its placement to be on record."""
+    """A start order that is sent once its placement is recorded."""
 
     task: Task
     run: int
@@ -120,19 +122,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldRenewal:
-    """Ends of a worker that wait to be on record before the worker may forget them."""
+    """Run ends that are acknowledged to their worker once they are recorded."""
 
     life: str
     seen_ends: int
 
 
 Held = HeldStart | HeldRenewal | Effect
-"""What waits for a batch of records."""
+"""An action that is deferred until a batch of progress records is stored."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaKept:
-    """What of a team's quota is kept for a gang; who ranks higher may use it."""
+    """Part of a team's quota that is reserved for a gang; higher-ranked steps may still use it."""
 
     step: StepKey
     rank: float
@@ -141,16 +143,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Orphan:
-    """A run that may be at a worker no life of which is known here now.
+    """A run that may exist on a worker of which no life is currently known.
 
     Attributes
     ----------
     task, run
-        The run, which an earlier leader placed, or whose start an earlier life did not answer.
+        The run; an earlier leader placed it, or an earlier life did not answer its start.
     life
-        Where it was placed.
+        Life of the worker that it was placed on.
     since
-        When that could last have changed, in steady seconds.
+        Time from which the expiry of its leases is counted, in steady-clock seconds.
     """
 
     task: Task
@@ -160,84 +162,86 @@
 
 
 class Cell:
-    """All that a leader knows; changed by the reducer only.
+    """State of the scheduling leader; only the reducer changes it.
+
+    All times are in seconds on the steady clock.
 
     Parameters
     ----------
     settings
-        The times it goes by.
+        Durations and limits to apply.
     token
-        This leader's fencing token.
+        Fencing token of this leader.
     policy
-        The decisions that operators program.
+        Scheduling decisions that operators can program.
     now
-        The steady clock, in seconds.
+        Current time.
 
     Attributes
     ----------
-    claimed_at, started_at, now
-        The steady clock when the leadership was claimed, at the start, and at the newest event, in
-        seconds.
+    leadership_claimed_at, started_at, now
+        Times of the leadership claim, of the start, and of the newest event.
     jobs
-        All jobs that are known, those that ended included until they are forgotten.
-    final_jobs
-        When jobs ended, in steady seconds, in that order.
-    cancelled_ahead
-        Jobs that were cancelled before they were known, by their `record_name`.
-    unreadable
-        Jobs whose progress on record cannot be read: it is not known what of them has run.
+        Known jobs by id, including ended ones until their retention time is over.
+    job_ended_at
+        End times of ended jobs, in ascending order.
+    early_cancellations
+        The `record_name` of each job whose cancellation arrived before the job itself.
+    unreadable_jobs
+        Jobs whose recorded progress cannot be decoded, so that their past runs are unknown.
     workers
-        All workers that are listed or may still run something, by life.
-    unnamed
-        Entries of workers whose service nothing names, by life: they are not called.
+        Workers that are listed or may still run something, by life.
+    unknown_service_workers
+        Entries of workers whose service no configuration or job refers to, by life. They are not
+        called.
     newest_lives
-        The life that was listed last, by worker's id, as long as anything is kept of it.
+        The life that was listed last, by worker id, while any state of the worker is kept.
     ended_lives
-        Lives that are over while the store still lists them.
+        Lives that are over but still listed in the store.
     orphans
-        Runs that wait for a life of their worker, by worker's id.
-    team_use
-        What each team has running.
-    quota_kept
-        What of teams' quotas is kept for a gang that waits, by team.
-    waiting
-        Steps with tasks to place, in the order in which they were ranked.
-    scheduled
-        Jobs with repetitions still to come.
+        Runs that may exist on a worker of which no life is known, by worker id.
+    team_usage
+        Resources that each team uses.
+    quota_reservations
+        Parts of quotas that are reserved for waiting gangs, by team.
+    waiting_steps
+        Steps with unplaced tasks, in the order in which they were last ranked.
+    scheduled_jobs
+        Jobs with repetitions that are not due yet.
     crashed_at
-        When a worker last crashed at an address, in steady seconds.
-    bad_share
-        By service: the share of steps that fail wherever they run, lately.
-    silences
-        When workers last fell silent, in steady seconds.
+        Time of the last worker crash, by address.
+    failing_step_share
+        Recent share of steps that fail on every worker, by service.
+    silence_times
+        Times at which workers stopped answering.
     claims
-        Room that is kept for steps: runs are stopped to make it, or it will come free.
+        Resources that are held for steps, by preemption or by reservation.
     starting_gangs
-        Gangs some of whose members' starts are on their way.
-    stops
-        Runs that are to end, by worker's life, task and run.
-    dirty
-        Jobs whose progress goes on record with the next batch.
-    held
-        What waits for the next batch, in order.
-    batch, batch_held
-        The number of the newest batch, and what waits for it; None where none is on its way.
+        Gangs with start orders that are not answered yet.
+    pending_stops
+        Stop orders that are not completed, by worker life, task and run.
+    dirty_jobs
+        Jobs whose progress is recorded with the next batch.
+    deferred
+        Actions that are deferred until the next batch is stored, in order.
+    batch_number, batch_deferred
+        Number of the newest batch, and the actions deferred until it is stored; None if no batch
+        is being stored.
     effects
-        What the event being taken wants done.
-    askers
-        Nodes that can ask the advice service.
-    questions
-        Questions to it that are on their way, and whether each may be a long one.
-    placing_wanted
-        Whether something has changed that may let a waiting step find room.
-    placed_at, place_again_at, ranked_at
-        When steps were last placed, when they may be placed again, and when some were last ranked,
-        in steady seconds.
-    room_told_at, teams_told_at, starving_told_at, overdue_told_at
-        When the use of room, that by teams, jobs that starve, and runs that take too long were last
-        told, in steady seconds.
+        Effects of the event that is being handled.
+    advice_node_count
+        Number of nodes that can call the advice service.
+    advice_requests
+        Pending advice requests, and whether each may be a long one.
+    needs_placement
+        Whether a change since the last placement pass may allow a waiting step to be placed.
+    last_placement_at, next_placement_at, last_ranking_at
+        Time of the last placement pass, earliest time of the next one, and time of the last
+        ranking.
+    room_logged_at, teams_logged_at, starving_logged_at, overdue_logged_at
+        Times of the last log lines on resource use, team usage, starving jobs and overdue runs.
     capacity
-        All room of the workers, as of the last tick.
+        Total resources of all workers as of the last tick.
     """
 
     def __init__(self, settings: CellSettings, token: int, policy: Policy, now: float) -> None:
@@ -287,7 +291,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The operators' configuration in force."""
+        """The operators' configuration that is in force."""
         return self._configuration
 
     @configuration.setter
@@ -296,19 +300,19 @@
         self._queues = {queue.name: queue for queue in configuration.queues}
 
     def emit(self, effect: Effect) -> None:
-        """Want something done now."""
+        """Add an effect that is carried out immediately."""
         self.effects.append(effect)
 
     def tell(self, decision: str, subject: str, **fields: object) -> None:
-        """Log a decision."""
+        """Log a decision about a subject with structured fields."""
         self.effects.append(Decided(decision, subject, tuple(fields.items())))
 
     def publish(self, job: Job) -> None:
-        """Show a job's status to callers now."""
+        """Publish a job's status to callers immediately."""
         self.effects.append(PublishStatus(job.id, job.queue, job.status, job.team))
 
     def find_task(self, task: TaskId) -> Task | None:
-        """Give a task, or None where its job or number is unknown."""
+        """Return a task, or None if its job, repetition, step or index is unknown."""
         job = self.jobs.get(task.job)
         if job is None or task.repetition >= len(job.repetitions):
             return None
@@ -318,7 +322,7 @@
         return steps[task.step].tasks[task.index]
 
     def queue_of(self, job: Job) -> Queue:
-        """Give a job's queue; where it was removed, the terms at the time of taking in."""
+        """Return a job's queue, or one with the terms at its acceptance if it was removed."""
         found = self._queues.get(job.queue)
         if found is not None:
             return found
@@ -333,7 +337,7 @@
         )
 
     def names_service(self, service: str) -> bool:
-        """Whether the configuration, or a job that is known, names a service."""
+        """Check whether the configuration or a known job refers to a service."""
         found = self._configuration
         return (
             any(each.name == service for each in found.services)
@@ -342,6 +346,6 @@
         )
 
     def objective_seconds(self, job: Job) -> float:
-        """Give the time within which a job is to be done, as far as its estimates tell."""
+        """Return the target duration of a job, in seconds, based on its run time estimates."""
         queue = self.queue_of(job)
         return (queue.stretch * max(job.chains_ms) + queue.target_latency_ms) / 1000
--- a/src/snowdock/jobs/events.py
+++ b/src/snowdock/jobs/events.py
@@ -1,4 +1,4 @@
-"""What happens to a leader, and what it wants done: events and effects as data."""
+"""Events that the leader's reducer handles, and effects that it requests."""
 
 import dataclasses
 
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobAccepted:
-    """A job was taken in by some node and is on record."""
+    """A job was accepted by a node and is stored."""
 
     job: JobId
     accepted: AcceptedJob
@@ -60,30 +60,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCancelled:
-    """A job's cancelling is on record; ``name`` is the `record_name` of what is cancelled."""
+    """The cancellation of a job is stored; ``name`` is the `record_name` of the job."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationChanged:
-    """A newer configuration is in force."""
+    """A newer configuration took effect."""
 
     configuration: Configuration
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerListed:
-    """A worker's entry appeared in the store or changed."""
+    """A worker's entry was added to the store or changed."""
 
     entry: WorkerEntry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerDelisted:
-    """A worker's entry is gone from the store.
+    """A worker's entry was removed from the store.
 
-    Where the store had been away just before, the entry may have lapsed with it and return.
+    ``may_return`` is set if the store was unavailable just before, so that the entry may have
+    expired because of the outage and may return.
     """
 
     life: str
@@ -92,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartAnswered:
-    """A worker answered a start; no result where there was no answer."""
+    """A start order was answered; ``result`` is None if there was no answer."""
 
     life: str
     task: TaskId
@@ -102,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopAnswered:
-    """A worker answered a stop, or did not."""
+    """A stop order was answered, or got no answer."""
 
     life: str
     task: TaskId
@@ -113,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RenewAnswered:
-    """A worker answered a renewal; no outcome where there was no answer."""
+    """A lease renewal was answered; ``outcome`` is None if there was no answer."""
 
     life: str
     order: RenewOrder
@@ -122,35 +123,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceAnswered:
-    """The advice service answered."""
+    """The advice service answered a request."""
 
     given: AdviceGiven
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceFailed:
-    """The advice service did not answer, or no node could ask it."""
+    """The advice service did not answer a request, or no node could send it."""
 
     wanted: AdviceWanted
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Persisted:
-    """A batch of progress records is on record."""
+    """A batch of progress records is stored."""
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed.
+    """A periodic timer event.
 
     Attributes
     ----------
-    askers
-        Nodes that can ask the advice service at the same time.
+    advice_node_count
+        Number of nodes that can call the advice service at the same time.
     sent_at
-        When this was sent, in steady seconds: all events sent before have been taken before it.
+        Time at which the event was sent, in steady-clock seconds. All events that were sent
+        earlier have been handled before it.
     """
 
     askers: int = 1
@@ -178,7 +180,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgressRecord:
-    """The newest progress of one job, encoded."""
+    """The encoded current progress of one job."""
 
     job: JobId
     data: bytes
@@ -186,7 +188,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Persist:
-    """Put records on record, all at once; one batch is on its way at a time."""
+    """Store a batch of progress records; only one batch is in flight at a time."""
 
     number: int
     records: tuple[ProgressRecord, ...]
@@ -194,7 +196,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendStart:
-    """Tell a worker to start a run."""
+    """Send a worker the order to start a run."""
 
     life: str
     order: StartOrder
@@ -202,7 +204,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendStop:
-    """Tell a worker to stop a run."""
+    """Send a worker the order to stop a run."""
 
     life: str
     order: StopOrder
@@ -210,7 +212,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendRenew:
-    """Renew a worker's lease and look at it."""
+    """Renew a worker's lease and request its report."""
 
     life: str
     order: RenewOrder
@@ -218,7 +220,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskAdvice:
-    """Ask the advice service; ``expected_ms`` is how long its answer takes."""
+    """Send a request to the advice service; ``expected_ms`` is its expected duration."""
 
     wanted: AdviceWanted
     expected_ms: float
@@ -226,7 +228,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenWorker:
-    """Be ready to call a worker."""
+    """Prepare calls to a worker."""
 
     life: str
     address: str
@@ -234,14 +236,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CloseWorker:
-    """A worker's life is over; it is not called any more."""
+    """End the calls to a worker whose life is over."""
 
     life: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishStatus:
-    """Show a job's status to callers."""
+    """Publish a job's status to callers."""
 
     job: JobId
     queue: str
@@ -251,16 +253,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DropJobs:
-    """Forget jobs that have been final for long."""
+    """Delete the records of jobs whose retention time is over."""
 
     jobs: tuple[JobId, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForgetAccepted:
-    """Forget how jobs were taken in whose end is on record, and of which nothing runs.
+    """Delete the acceptance records of jobs whose end is stored and that have no runs left.
 
-    ``names`` are their `record_name`.
+    ``names`` holds the `record_name` of each job.
     """
 
     names: tuple[str, ...]
@@ -268,14 +270,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepDown:
-    """Another node leads."""
+    """Resign the leadership, because another node leads."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decided:
-    """A line for the log: what was decided about a job, task or worker, and from what."""
+    """Log a decision about a job, task or worker, with the data that it is based on."""
 
     decision: str
     subject: str
--- a/src/snowdock/jobs/model.py
+++ b/src/snowdock/jobs/model.py
@@ -1,4 +1,4 @@
-"""What callers and operators ask for: jobs, steps, queues and limits."""
+"""Specifications that callers and operators submit: jobs, steps, queues and limits."""
 
 import enum
 
@@ -26,7 +26,7 @@
 
 
 class JobStatus(enum.IntEnum):
-    """Where a job stands."""
+    """Status of a job."""
 
     PENDING = 0
     RUNNING = 1
@@ -36,21 +36,21 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing of the job will run any more."""
+        """Whether the job has ended, so that no further run of it starts."""
         return self >= JobStatus.COMPLETED
 
 
 class TaskId(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One task of a job.
+    """Identifier of one task of a job.
 
     Attributes
     ----------
     job
-        The job.
+        Identifier of the job.
     repetition
-        Which of the times of a repeated job, from 0.
+        Number of the repetition, from 0.
     step, index
-        The step, and the task's number within it, both from 0.
+        Number of the step, and of the task within the step, both from 0.
     """
 
     job: JobId
@@ -60,46 +60,46 @@
 
 
 StepKey = tuple[JobId, int, int]
-"""Names a step: its job, the repetition, and its number."""
+"""Identifier of a step: job, repetition, and number of the step."""
 
 
 class StepSpec(msgspec.Struct, frozen=True, array_like=True):
-    """Equal tasks of a job.
+    """A group of identical tasks of a job.
 
     Attributes
     ----------
     count
-        How many tasks.
+        Number of tasks.
     size
-        What each one needs of a worker.
+        Resources that each task needs.
     estimate_ms
-        A rough guess of how long each runs.
+        Rough estimate of the run time of each task.
     after
-        Earlier steps that must be done first.
+        Numbers of earlier steps that must be done first.
     checkpointing
-        Whether the tasks save their progress.
+        Whether the tasks save checkpoints.
     gang
-        Whether the tasks work only while all of them run.
+        Whether the tasks make progress only while all of them run.
     same_rack
-        Whether they are slower when spread over racks.
+        Whether the tasks are slower when spread over several racks.
     label
-        A label that the worker must have; empty where any will do.
+        Label that the worker must have; empty for no requirement.
     data_rack
-        The rack that holds the data; empty where it does not matter.
+        Rack that holds the input data; empty for no preference.
     most_per_worker
-        The most tasks of the step on one worker; 0 for no bound.
+        Maximum number of tasks of the step on one worker; 0 for no limit.
     speculative
-        Whether copies may run at the same time.
+        Whether copies of a task may run at the same time.
     long_running
         Whether the tasks run until the job is cancelled.
     image
-        What the tasks run; tasks of one image behave alike.
+        Image that the tasks run; tasks of the same image have similar run times.
     target_ms
-        The tail latency to keep, for tasks that serve users; 0 for none.
+        Tail latency objective of tasks that serve requests; 0 for none.
     fills
-        Whether the tasks use only what others leave.
+        Whether the tasks use only processors that other tasks leave idle.
     may_miss
-        How many tasks that last may be away at once through the scheduler's doing.
+        Maximum number of long-running tasks that the scheduler may keep down at the same time.
     """
 
     count: int
@@ -121,30 +121,30 @@
 
     @property
     def may_yield(self) -> bool:
-        """Whether a run may be stopped and go on elsewhere without losing much."""
+        """Whether a run can be stopped and resumed from a checkpoint on another worker."""
         return self.checkpointing and not (self.gang or self.long_running)
 
     @property
     def room(self) -> Size:
-        """What one task takes of a worker's room."""
+        """Resources that one task reserves on its worker."""
         return Size(0, self.size.memory, self.size.accelerators) if self.fills else self.size
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """What a caller submitted.
+    """A job as submitted by a caller.
 
     Attributes
     ----------
     queue
-        The name of the queue that took it in.
+        Name of the queue that accepted the job.
     payload
-        The text handed to each task's start.
+        Text that is passed to each task at its start.
     steps
         The steps, in order.
     repetitions
-        How many times the steps run; 0 for once, at once.
+        Number of scheduled repetitions; 0 to run the steps once, immediately.
     first_due_ms, interval_ms
-        When repetition K is due: first + K x interval, in ms since 1970.
+        Repetition K is due at first_due_ms + K x interval_ms, in ms since 1970.
     """
 
     queue: str
@@ -156,7 +156,17 @@
 
 
 class AdviceTerms(msgspec.Struct, frozen=True):
-    """How a queue's external advice service answers: call cost and validity in ms."""
+    """Terms of a queue's external advice service, in ms.
+
+    Attributes
+    ----------
+    decide_ms
+        Fixed duration of a request.
+    each_ms
+        Additional duration for each worker in the request.
+    valid_ms
+        Time for which the tickets in an answer are valid.
+    """
 
     decide_ms: float
     each_ms: float
@@ -164,26 +174,26 @@
 
 
 class Queue(msgspec.Struct, frozen=True):
-    """A queue that callers submit to.
+    """A queue that callers submit jobs to.
 
     Attributes
     ----------
     name, host, path_prefix
-        How it is named, and which requests it takes.
+        Name of the queue, and host and path prefix of the requests that it accepts.
     service
-        The pool of workers that runs its tasks.
+        Pool of workers that runs the tasks.
     priority
-        0 goes first.
+        Priority; 0 is the highest.
     max_attempts
-        Failed runs of a task after which its job has failed.
+        Number of failed runs of a task after which its job fails.
     stretch, target_latency_ms
-        The objective: stretch x the longest chain of work + the latency.
+        Objective for the duration of a job: stretch x critical path + target latency.
     timeout_ms
-        The longest that a caller waits for an answer.
+        Maximum time that a caller waits for an answer.
     advice
-        The terms of the external advice that its placements need, if any.
+        Terms of the external advice that placements require; None if they require none.
     is_public
-        Whether its callers need no key; their jobs belong to no team.
+        Whether callers need no key. Their jobs belong to no team.
     """
 
     name: str
@@ -205,13 +215,13 @@
     Attributes
     ----------
     name
-        Its name.
+        Name of the pool.
     rejects_overload
-        Whether its workers refuse what does not fit.
+        Whether the workers refuse runs that exceed their free resources.
     headroom
-        Whether its VMs are off until moved to another pool.
+        Whether the VMs are powered off until they are moved to another pool.
     health_path
-        Where its workers tell whether they are well.
+        Path of the workers' health check.
     """
 
     name: str
@@ -221,7 +231,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """Bounds on callers' requests; bytes and ms, 0 for the node's own default."""
+    """Limits on callers' requests, in bytes and ms; 0 selects the default of the node."""
 
     max_header_bytes: int = 0
     max_body_bytes: int = 0
@@ -230,7 +240,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """The operators' configuration; a higher version replaces a lower one whole."""
+    """The operators' configuration; a higher version replaces a lower one completely."""
 
     version: int
     queues: tuple[Queue, ...] = ()
@@ -239,7 +249,7 @@
     teams: TeamBook = msgspec.field(default_factory=TeamBook)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Give the queue of a request: the longest prefix among those of its host."""
+        """Return the queue with the longest matching path prefix for a request, or None."""
         best = None
         for queue in self.queues:
             if queue.host and queue.host != host:
@@ -251,5 +261,5 @@
         return best
 
     def queue_named(self, name: str) -> Queue | None:
-        """Give a queue by its name."""
+        """Return the queue with a name, or None."""
         return next((queue for queue in self.queues if queue.name == name), None)
--- a/src/snowdock/jobs/parts.py
+++ b/src/snowdock/jobs/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a job as the leader knows them: its steps, their tasks, and what is advised."""
+"""Leader-side state of jobs, their steps and tasks, and the advice about their placement."""
 
 import dataclasses
 import enum
@@ -11,15 +11,15 @@
 
 
 class Phase(enum.Enum):
-    """Where a task stands."""
+    """Phase of a task."""
 
     WAITING = "waiting"
     RECORDED = "recorded"
-    """Placed, but the placement is not on record yet, so nothing was ordered."""
+    """Placed; the start order waits until the placement is recorded."""
     ORDERED = "ordered"
-    """The start is on its way."""
+    """The start order was sent and is not answered yet."""
     UNSURE = "unsure"
-    """The start was not answered: the run may be there, or come later."""
+    """The start order got no answer: the run may exist, or may still start."""
     RUNNING = "running"
     STOPPING = "stopping"
     DONE = "done"
@@ -27,22 +27,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Advice:
-    """What the advice service has told about a step.
+    """Answers of the advice service about a step.
 
     Attributes
     ----------
     terms
-        How the service answers.
+        Cost and validity of the service's answers.
     tickets
-        Ticket and the steady time of its expiry, by worker, for those that may run it.
+        Ticket and its expiry time, in steady-clock seconds, by life of a fit worker.
     unfit
-        Workers that may not.
-    asking
-        How many questions are on their way.
+        Lives of workers that may not run the step.
+    pending_requests
+        Number of requests that are not answered yet.
     retry_at
-        When to ask again after a failure.
-    no_room_until
-        When to look again for workers worth a question, unless room is seen at one that is fit.
+        Earliest time of the next request after a failed one, in steady-clock seconds.
+    next_search_at
+        Earliest time of the next search for workers to ask about, in steady-clock seconds. It does
+        not apply once a fit worker has enough free resources.
     """
 
     terms: AdviceTerms
@@ -53,46 +54,47 @@
     no_room_until: float = 0.0
 
     def knows(self, life: str) -> bool:
-        """Whether it is known if a worker may run the step."""
+        """Check whether the service has answered for a worker."""
         return life in self.tickets or life in self.unfit
 
     def valid_ticket(self, life: str, now: float) -> str | None:
-        """Give a worker's ticket if it still holds."""
+        """Return a worker's ticket, or None if there is none that is valid at a time."""
         found = self.tickets.get(life)
         return found[0] if found is not None and found[1] > now else None
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Task:
-    """One task and its current run.
+    """A task and its current run; times are in seconds on the steady clock.
 
     Attributes
     ----------
     run
-        The number of its newest run; 0 before the first.
+        Number of the newest run; 0 before the first.
     life
-        The worker's life where that run is or may be; empty where none is.
-    is_told
-        Whether the worker has told this leader that the newest run is there.
+        Life of the worker on which that run exists or may exist; empty for none.
+    is_confirmed
+        Whether the worker has reported the newest run to this leader.
     failed_runs
-        Runs that count as attempts.
+        Numbers of the failed runs, which count as attempts.
     lost_runs, crashed_runs
-        Runs that were lost with their worker, and those of them whose worker surely crashed.
+        Numbers of the runs that were lost with their worker, and of those whose worker certainly
+        crashed.
     checkpoint
-        From where the next run goes on; empty for the beginning.
-    since
-        When it came to its phase, in steady seconds.
+        Checkpoint from which the next run resumes; empty to start from the beginning.
+    phase_since
+        Time at which the task entered its phase.
     ordered_at
-        When its newest run was placed, then ordered, or taken over from an earlier leader, in
-        steady seconds.
+        Time at which the newest run was placed, ordered, or taken over from an earlier leader,
+        whichever was last.
     percent
-        How far its run was when last reported.
-    seen_percent, seen_at
-        How far its run was, and when in steady seconds, when its speed was last looked at.
-    moves, yields
-        How often a run of it was taken away from a slow worker, and how often to make room.
-    avoid
-        Lives of workers where runs of it have failed; None for none.
+        Progress of the run in the last report.
+    measured_percent, measured_at
+        Progress and time at the last measurement of the run's speed.
+    moves, preemptions
+        Number of times that a run was moved away from a slow worker, and was preempted.
+    avoided_lives
+        Lives of workers on which runs of the task failed; None for none.
     """
 
     id: TaskId
@@ -116,59 +118,60 @@
 
     @property
     def failures(self) -> int:
-        """How many of its runs have failed; of a gang's member, how many of the gang's."""
+        """Number of failed runs; for a member of a gang, of the whole gang."""
         return len(self.failed_runs)
 
     @property
     def is_placed(self) -> bool:
-        """Whether a run of it is, or may be, at a worker."""
+        """Whether a run of the task exists, or may exist, on a worker."""
         return bool(self.life)
 
     def is_current_run(self, run: int, life: str) -> bool:
-        """Whether a run on a worker's life is its newest one, and is or may be there."""
+        """Check whether a run on a life of a worker is the task's current run."""
         return self.run == run and self.life == life
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Step:
-    """One step of one repetition of a job.
+    """A step of one repetition of a job; times are in seconds on the steady clock.
 
     Attributes
     ----------
-    done
-        How many of its tasks have ended well.
+    done_count
+        Number of tasks that are done.
     advice
-        What the advice service has told; None where nobody has to be asked.
+        Answers of the advice service; None if the queue needs no advice.
     rank, ranked_at
-        How urgent it is; the highest is placed first. When that was told, in steady seconds.
+        Rank of the step, and time of its computation; steps with higher ranks are placed first.
     queued_at
-        When it came to wait, in steady seconds.
+        Time at which the step was enqueued.
     not_before
-        When its next try may be placed, in steady seconds.
-    look_again_at, looked_at
-        When it is worth looking for room for it again, and when that was done last, in steady
-        seconds.
-    claim_again_at
-        When other runs may be stopped again to make room for it, in steady seconds.
-    usual_log
-        The logarithm of the seconds that a run takes on a usual worker; None before any look.
-    kept_since
-        Since when nothing but reservations of others keeps it from running anything, in steady
-        seconds; None where that is not so.
+        Earliest time of the next attempt after a failure.
+    next_search_at, last_search_at
+        Earliest time of the next search for workers, and time of the last one.
+    next_claim_at
+        Earliest time at which runs may again be preempted for the step.
+    log_run_seconds
+        Logarithm of the seconds that a run takes on a typical worker; None before the first
+        measurement.
+    blocked_since
+        Time since which only reservations for other steps prevent the step from running anything;
+        None if they do not.
     failed_on, done_on
-        Lives of workers where runs of it have failed, and where some have ended well.
-    is_bad
-        Whether it was counted as failing wherever it runs.
+        Lives of workers on which runs failed, and on which runs succeeded.
+    fails_everywhere
+        Whether the step was classified as failing on every worker.
     is_bulky
-        Whether the pieces of room between other work hardly ever hold its tasks.
-    has_quota_since
-        Since when its team's quota lets all of a gang begin, in steady seconds; None where not.
+        Whether the resources left free between other runs rarely hold the tasks.
+    quota_available_since
+        Time since which the team's quota admits the whole gang; None if it does not.
     is_at_quota
-        Whether its team's quota lets none of its waiting tasks begin.
-    has_news
-        Whether advice has come that has not been looked at yet.
-    shown
-        How policy programs see it when they score workers; None before the first score.
+        Whether the team's quota admits none of the waiting tasks.
+    has_new_advice
+        Whether advice arrived since the last search.
+    policy_view
+        Description of the step that is passed to policy programs to score workers; None before
+        the first score.
     """
 
     job: "Job"
@@ -198,18 +201,18 @@
 
     @property
     def key(self) -> StepKey:
-        """Names the step."""
+        """Identifier of the step."""
         return (self.job.id, self.repetition, self.number)
 
     @property
     def waiting_since(self) -> float:
-        """Since when all its waiting tasks have waited, in steady seconds."""
+        """Time since which all waiting tasks have been waiting, in steady-clock seconds."""
         waiting = (task.since for task in self.tasks if task.phase is Phase.WAITING)
         return max(self.queued_at, max(waiting, default=0.0))
 
     @property
     def is_done(self) -> bool:
-        """Whether all its tasks have ended well."""
+        """Whether all tasks are done."""
         return self.done == len(self.tasks)
 
 
@@ -223,14 +226,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """A job that is on record.
+    """A job that is stored durably.
 
     Attributes
     ----------
     submitted_at
-        When it was taken in, on this node's steady clock.
-    chains_ms
-        For each step: the estimated longest chain of work from it on.
+        Time of the job's acceptance, in seconds on this node's steady clock.
+    critical_paths_ms
+        Estimated length of the critical path that starts at each step.
     """
 
     id: JobId
@@ -245,21 +248,21 @@
 
     @property
     def queue(self) -> str:
-        """The name of its queue."""
+        """Name of the job's queue."""
         return self.accepted.spec.queue
 
     @property
     def team(self) -> str:
-        """The team that it belongs to; empty for none."""
+        """Team that owns the job; empty for none."""
         return self.accepted.team
 
     @property
     def record_name(self) -> str:
-        """Where it was taken in."""
+        """Name of the record of the job's acceptance."""
         return record_name(self.id, self.team)
 
     def all_tasks(self):
-        """Give all tasks of all repetitions so far."""
+        """Yield all tasks of all repetitions created so far."""
         for steps in self.repetitions:
             for step in steps:
                 yield from step.tasks
--- a/src/snowdock/jobs/runs.py
+++ b/src/snowdock/jobs/runs.py
@@ -1,4 +1,4 @@
-"""How runs end and what follows for their tasks, steps and jobs."""
+"""State transitions of runs, tasks, steps and jobs, mainly at the end of a run."""
 
 import math
 
@@ -30,11 +30,11 @@
 
 
 _MALFORMED_PAUSE_SECONDS = 1.0
-"""Pause after a start that was called malformed."""
+"""Delay of the next attempt after a worker rejected a start order as malformed."""
 
 
 def open_repetition(job: Job, repetition: int) -> list[Step]:
-    """Make the steps and tasks of one repetition."""
+    """Create the steps and tasks of one repetition."""
     steps = []
     for number, spec in enumerate(job.accepted.spec.steps):
         step = Step(job, repetition, number, spec)
@@ -47,7 +47,7 @@
 
 
 def open_steps(cell: Cell, steps: list[Step]) -> None:
-    """Queue the steps of a repetition whose earlier steps are done."""
+    """Enqueue the steps of a repetition whose predecessors are done."""
     for step in steps:
         if step.is_done or not all(steps[earlier].is_done for earlier in step.spec.after):
             continue
@@ -70,9 +70,9 @@
 
 
 def note_begun(cell: Cell, job: Job) -> None:
-    """Show that a task of a job has begun, as a worker has told.
+    """Set a pending job to running, after a worker confirmed a run of it.
 
-    A start that is refused, or lost, leaves its job waiting.
+    Jobs whose starts are refused or lost stay pending.
     """
     if job.status is JobStatus.PENDING:
         job.status = JobStatus.RUNNING
@@ -83,7 +83,7 @@
 
 
 def take_end(cell: Cell, worker: Worker, end: EndedRun, now: float) -> None:
-    """Take over an end that a worker lists."""
+    """Apply the end of a run that a worker reports."""
     vacate(cell, worker.life, end.task, end.run)
     cell.stops.pop((worker.life, end.task, end.run), None)
     cell.placing_wanted = True
@@ -123,12 +123,12 @@
 
 
 def _take_stale_end(cell: Cell, task: Task, end: EndedRun, life: str, now: float) -> None:
-    """Take over the end of a run that had been given up as lost: a failure still counts."""
+    """Apply the end of a run that was considered lost; a failure still counts as an attempt."""
     cell.tell("stale_end", task.id.job, task=task.id, run=end.run, how=end.kind.value, worker=life)
     if end.kind is not EndKind.FAILED or task.step.spec.long_running:
         return
     if end.run in task.failed_runs:
-        # On record already: the worker had not heard that it may forget it.
+        # Already counted; the acknowledgement has not reached the worker.
         return
     if task.phase is not Phase.DONE and not task.step.job.status.is_final:
         mark(cell, task.step.job)
@@ -147,7 +147,7 @@
 
 def _finish(cell: Cell, task: Task, now: float) -> None:
     step = task.step
-    # One member's good end is that of its whole gang.
+    # The success of one member completes the whole gang.
     finished = step.tasks if step.spec.gang else [task]
     for each in finished:
         if each.phase is not Phase.DONE:
@@ -173,12 +173,12 @@
 
 
 def _note_failure(cell: Cell, task: Task, run: int, life: str, now: float) -> None:
-    """Count a failed run; the job fails where its queue allows no more."""
+    """Count a failed run, and fail the job if its queue permits no further attempt."""
     step = task.step
     if task.avoid is None:
         task.avoid = set()
     task.avoid.add(life)
-    # A gang's run fails once, however many of its members do; all carry its count.
+    # All members share the failure count: a gang's run fails once, however many members fail.
     for each in step.tasks if step.spec.gang else [task]:
         each.failed_runs.add(run)
     step.not_before = now + cell.policy.backoff_seconds(step, task.failures)
@@ -188,7 +188,7 @@
 
 
 def refuse_run(cell: Cell, task: Task, run: int, life: str, now: float) -> None:
-    """Count a run that its worker called malformed as a failed one, on record as these are."""
+    """Record a run that its worker rejected as malformed as a failed run."""
     job = task.step.job
     if job.status.is_final:
         return
@@ -210,7 +210,7 @@
 
 
 def abort_gang(cell: Cell, step: Step, now: float) -> None:
-    """Stop all members of a gang's run; it waits again once all of them have ended."""
+    """Stop all members of a gang's run; the gang is requeued once all of them have ended."""
     for task in step.tasks:
         if task.phase in (Phase.ORDERED, Phase.UNSURE, Phase.RUNNING, Phase.RECORDED):
             stop_run(cell, task, now)
@@ -218,7 +218,7 @@
 
 
 def stop_run(cell: Cell, task: Task, now: float) -> None:
-    """Stop a task's current run, or drop it where nothing was ordered yet."""
+    """Stop a task's current run, or discard it if its start was not ordered yet."""
     if not task.is_placed:
         return
     if task.phase is Phase.RECORDED:
@@ -231,7 +231,7 @@
 
 
 def send_stop(cell: Cell, life: str, task: TaskId, run: int, now: float) -> None:
-    """Order a worker to stop a run for the first time; the order is repeated until it ends."""
+    """Send the first stop order for a run; the order is repeated until the run ends."""
     cell.stops[life, task, run] = Stop(now)
     cell.emit(SendStop(life, StopOrder(task, run, cell.token)))
 
@@ -247,7 +247,7 @@
 
 
 def void_run(cell: Cell, task: Task, now: float) -> None:
-    """Close a run that never started or is surely over; it counts as no attempt."""
+    """Discard a run that never started or is certainly over, without counting an attempt."""
     _drop_run(cell, task)
     if task.phase is not Phase.DONE and not task.step.job.status.is_final:
         _wait_again(cell, task, now)
@@ -263,7 +263,7 @@
 
 
 def fail_job(cell: Cell, job: Job, now: float) -> None:
-    """Give a job up that has not ended; callers are told as soon as that is on record."""
+    """Fail a job that has not ended; the status is published once it is recorded."""
     if not job.status.is_final:
         _conclude(cell, job, JobStatus.FAILED, now)
 
@@ -290,5 +290,5 @@
 
 
 def acknowledge_ends(cell: Cell, worker: Worker) -> None:
-    """Let a worker forget the ends taken over from it, once they are on record."""
+    """Acknowledge a worker's reported ends once they are recorded, so that it can drop them."""
     cell.held.append(HeldRenewal(worker.life, worker.known_ends))
