--- a/src/snowdock/jobs/advising.py
+++ b/src/snowdock/jobs/advising.py
@@ -1,4 +1,4 @@
-"""Advice from outside: which workers may run a step, and when it is worth asking."""
+"""Requests to the external advice service, which decides which workers may run a step."""
 
 import math
 from collections.abc import Iterable
@@ -16,49 +16,53 @@
 __all__ = ["may_ask", "needs_advice", "take_advice", "take_advice_failure", "want_advice"]
 
 _MOST_ASKED = 100
-"""The most workers of one question; the service takes no more."""
+"""Maximum number of workers in one request, a limit of the service."""
 
 _SEATS_FOR_ONE_FIT = 5
-"""Seats that are asked about for each one wanted, of workers not known yet: as few as three in
-ten are fit, and some rooms are taken meanwhile."""
+"""Slots on workers not asked about yet that are requested for each task. As few as 30 % of the
+workers are fit, and some of the slots are taken before the answer."""
 
 _SPARE_SEATS = 2
-"""Seats that are asked about for each one wanted, of workers known to be fit."""
+"""Slots on workers known to be fit that are requested for each task."""
 
 _CHEAP_SHARE = 0.5
-"""As many workers are asked about at least as add so much to the time of a question."""
+"""Workers are added to a request as long as they extend it by at most this fraction of its fixed
+duration."""
 
 _LATE_FACTOR = 1.5
-"""An answer may take so many times as long as told: some wait for one before them."""
+"""Assumed maximum ratio of an answer's actual to its expected duration: a request may be queued
+behind another one."""
 
 _TICKET_MARGIN_SECONDS = 0.15
-"""Tickets are taken to expire this much early: a start is recorded, sent and may wait for the
-calls before it to the same worker."""
+"""Tickets are considered expired this much early, to cover the time to record and send a start,
+including earlier calls to the same worker."""
 
 _ANSWER_SLACK_SECONDS = 0.1
-"""How much longer than an answer takes room is kept for it: the way there and back, and a pass."""
+"""Time for which resources are held beyond an answer's duration: the network round trip and a
+placement pass."""
 
 _QUESTIONS_A_NODE = 2
-"""Short questions on their way for each node that can ask: one that is being answered and one
-that waits. More would be answered in the order asked, whatever became more urgent meanwhile."""
+"""Maximum number of pending short requests for each node that can call the service: one in
+progress and one queued. Further ones would be answered in the order of sending, even if others
+became more urgent meanwhile."""
 
 _LONG_QUESTIONS_A_NODE = 0.75
-"""Long questions on their way for each node that can ask: a few more than may be answered at the
-same time, counted apart so that they never keep short ones from being asked."""
+"""Maximum number of pending long requests for each node that can call the service, slightly more
+than can be in progress. They are counted separately so that they never delay short requests."""
 
 _QUESTIONS_AT_ONCE = 4
-"""Questions about a bulky step that go out together, to as many nodes: asked one after the other,
-the first tickets expire before the last workers are known."""
+"""Maximum number of parallel requests for a bulky step. If they were sent one after the other, the
+first tickets would expire before the last answer."""
 
 _RETRY_SECONDS = 0.2
-"""Pause after a question without an answer."""
+"""Delay before the next request after a failed one."""
 
 _NO_ROOM_SECONDS = 0.1
-"""Pause after a look at all workers that found none worth a question."""
+"""Delay before the next search after one that found no worker to ask about."""
 
 
 def needs_advice(cell: Cell, step: Step) -> bool:
-    """Whether a step's queue has its placements advised from outside."""
+    """Check whether a step's queue requires external advice for its placements."""
     terms = cell.queue_of(step.job).advice
     if terms is None:
         step.advice = None
@@ -69,18 +73,18 @@
 
 
 def may_ask(cell: Cell, step: Step, fit: Iterable[Worker], now: float) -> bool:
-    """Whether a question about a step could go out now.
+    """Check whether a request about a step may be sent now.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
         The step.
     fit
-        Workers that may run it, as far as is known.
+        Workers that are known to be fit for the step.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
     """
     advice = step.advice
     if now < advice.retry_at:
@@ -101,27 +105,27 @@
     wanted: int,
     now: float,
 ) -> int:
-    """Ask about workers, where the answer could lead to a placement now.
+    """Request advice about workers if the answer could lead to a placement.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
-        The step that found no room with the tickets at hand.
-    roomiest
-        The workers of its service that may take something, those with most room first.
+        The step, which could not be placed with its valid tickets.
+    by_free_cpu
+        Open workers of the step's service, by descending free processors.
     fit
-        Those of them that may run it, as far as is known.
+        Those of them that are known to be fit for the step.
     wanted
-        Tasks that are to be placed.
+        Number of tasks to place.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
 
     Returns
     -------
     int
-        How many workers were looked at.
+        Number of workers examined.
     """
     advice = step.advice
     chosen, looks = _choose_asked(cell, step, roomiest, fit, wanted, now)
@@ -132,8 +136,8 @@
     advice.asking += len(parts)
     expected_s = _question_seconds(advice, len(parts[0]))
     if not step.is_bulky:
-        # Else whoever has a ticket goes first, not who ranks first: large steps have theirs renewed
-        # in time, and a small one that ranked higher was passed by four of them in 20 s.
+        # Hold the resources until the answer. Otherwise lower-ranked steps that already have
+        # tickets are placed first, such as bulky steps, whose tickets are renewed in advance.
         known = [worker for worker in chosen if worker.life in advice.tickets]
         kept_s = _LATE_FACTOR * expected_s + _ANSWER_SLACK_SECONDS
         keep_room(cell, step, known, wanted, now, kept_s)
@@ -145,7 +149,7 @@
 
 
 def _divide(step: Step, chosen: list[Worker]) -> list[list[Worker]]:
-    """Give the workers of each of the questions that go out at the same time."""
+    """Split workers into the requests that are sent in parallel."""
     most = min(_MOST_ASKED, max(1, _cheap_count(step)))
     count = min(_questions_at_once(step), math.ceil(len(chosen) / most))
     size = min(_MOST_ASKED, math.ceil(len(chosen) / count))
@@ -164,10 +168,11 @@
     wanted: int,
     now: float,
 ) -> tuple[list[Worker], int]:
-    """Choose the workers to ask about; none where no answer could help yet.
+    """Return the workers to ask about, or none if no answer could help yet.
 
-    Gives also how many workers were looked at: a question takes the first that have room, since
-    looking at all 270 for each of 150 steps took longer than tickets hold.
+    Also return the number of workers examined. The search ends with the first workers that have
+    enough free resources: examining all workers for every step can take longer than tickets are
+    valid.
     """
     advice = step.advice
     room = step.spec.room
@@ -187,7 +192,7 @@
     if not chosen:
         chosen = _reserved_soon(cell, step, now)
         looks += len(chosen)
-    # Which workers are fit never changes: those without room now are cheap to learn of as well.
+    # Fitness never changes, so also ask about workers without free resources while that is cheap.
     asked = {worker.life for worker in chosen}
     most = _cheap_count(step) * _questions_at_once(step) - len(chosen)
     for worker in roomiest:
@@ -201,9 +206,10 @@
 
 
 def _roomy_strangers(step: Step, roomiest: list[Worker], seats: int) -> tuple[list[Worker], int]:
-    """Give workers with room of which it is not known whether they may run a step.
+    """Return workers with free resources whose fitness for a step is unknown.
 
-    As many as have so many seats, or as are cheap to ask; gives also how many were looked at.
+    They offer at least ``slots`` slots, if possible, and are at least as many as are cheap to ask
+    about. Also return the number of workers examined.
     """
     room = step.spec.room
     cheap = _cheap_count(step)
@@ -213,7 +219,7 @@
         if seats <= 0 and len(found) >= cheap:
             break
         if not step.is_bulky and worker.free.cpu < room.cpu:
-            # The others have even less.
+            # The remaining workers have even fewer free processors.
             break
         looks += 1
         if step.advice.knows(worker.life) or not _reachable(step, worker).holds(room):
@@ -224,7 +230,7 @@
 
 
 def _reserved_soon(cell: Cell, step: Step, now: float) -> list[Worker]:
-    """Give the workers reserved for a step whose tickets are to be renewed in time for it."""
+    """Return the workers reserved for a step whose tickets expire before it can use them."""
     claim = find_reservation(cell, step, now)
     if claim is None:
         return []
@@ -245,20 +251,20 @@
 
 
 def _may_be_long(advice: Advice) -> bool:
-    """Whether a question about as many workers as one may name would be a long one."""
+    """Check whether a request about the maximum number of workers would be a long one."""
     return advice.terms.decide_ms + advice.terms.each_ms * _MOST_ASKED > LONG_QUESTION_MS
 
 
 def _seats(step: Step, worker: Worker, wanted: int) -> int:
-    """Count the tasks of a step that a worker's free room holds, up to so many."""
+    """Return the number of tasks of a step that fit on a worker, at most ``wanted``."""
     return min(wanted, fitting(_reachable(step, worker), step.spec.room))
 
 
 def _reachable(step: Step, worker: Worker) -> Size:
-    """Give the room that a step may find there.
+    """Return the resources of a worker that a step may be able to use.
 
-    What only reservations keep out may be let in to reserved room, and needs tickets then. For a
-    bulky one, runs that yield are stopped, too.
+    They include those that are only reserved for other steps if the step is small or blocked, and
+    those of preemptible runs if the step is bulky.
     """
     if not step.is_bulky:
         return worker.unclaimed(step.key)
@@ -277,9 +283,10 @@
 
 
 def _roomiest(step: Step, workers: list[Worker], seats: int) -> list[Worker]:
-    """Give the workers with most room, as many as have so many seats, or as are cheap to ask.
+    """Return the workers that can take most tasks, until they offer ``slots`` slots.
 
-    Each one asked about takes the service time, and its tickets hold for a short time only.
+    At least as many as are cheap to ask about are returned. The number is limited because each
+    worker prolongs the request and tickets are valid for a short time only.
     """
     cheap = _cheap_count(step)
     chosen: list[Worker] = []
@@ -292,7 +299,7 @@
 
 
 def _cheap_count(step: Step) -> int:
-    """Give how many workers add little to the time of a question that is asked anyway."""
+    """Return the number of workers that extend a request's duration only a little."""
     terms = step.advice.terms
     if not terms.each_ms:
         return _MOST_ASKED
@@ -300,7 +307,7 @@
 
 
 def take_advice(cell: Cell, event: AdviceAnswered, now: float) -> None:
-    """Take over the service's answer."""
+    """Apply an answer of the advice service to its step."""
     wanted = event.given.wanted
     cell.questions.pop(wanted, None)
     step = _find_step(cell, wanted)
@@ -329,7 +336,7 @@
 
 
 def take_advice_failure(cell: Cell, event: AdviceFailed, now: float) -> None:
-    """Ask again a little later."""
+    """Handle a failed advice request; it is repeated after a delay."""
     cell.questions.pop(event.wanted, None)
     cell.placing_wanted = True
     step = _find_step(cell, event.wanted)
@@ -341,7 +348,7 @@
 
 
 def _note_answered(advice: Advice) -> None:
-    """Count a question as answered; one asked before the queue's terms changed counts no more."""
+    """Decrement the pending requests; those sent before the queue's terms changed don't count."""
     advice.asking = max(0, advice.asking - 1)
 
 
--- a/src/snowdock/jobs/batches.py
+++ b/src/snowdock/jobs/batches.py
@@ -1,4 +1,7 @@
-"""Batches of progress records, one on its way at a time, and what rests on each."""
+"""Batches of progress records, and the actions deferred until each batch is stored.
+
+At most one batch is in flight.
+"""
 
 from .cell import Cell, Held, HeldRenewal, HeldStart
 from .durability import RENEW_WAIT_MS, renew
@@ -12,11 +15,11 @@
 __all__ = ["flush", "take_persisted"]
 
 _BATCH_BYTES = 1_000_000
-"""The most bytes of one batch: half of what the store takes in one call."""
+"""Size at which a batch is full, in bytes: half of the store's limit for one call."""
 
 
 def flush(cell: Cell) -> None:
-    """Send the next batch, unless one is on its way or there is nothing to send."""
+    """Send the next batch, unless one is in flight or there is nothing to send."""
     if cell.batch_held is not None or not (cell.dirty or cell.held):
         return
     records = []
@@ -26,13 +29,13 @@
         job = cell.dirty.pop(job_id)
         progress = _progress(job)
         if progress.status.is_final and not progress.tasks:
-            # A takeover reads what is open: its time grows with that, not with a day's jobs.
+            # A takeover reads all acceptance records, so keep only those of open jobs.
             cell.held.append(ForgetAccepted((job.record_name,)))
         data = encode(progress)
         size += len(data)
         records.append(ProgressRecord(job_id, data))
     if cell.dirty:
-        # What is held rests on all of them; it goes with the last batch.
+        # The deferred actions depend on all of these records, so they wait for the last batch.
         held = []
     else:
         held, cell.held = cell.held, []
@@ -45,7 +48,7 @@
 
 
 def take_persisted(cell: Cell, number: int, now: float) -> None:
-    """Let go what waited for a batch that is on record now."""
+    """Release the actions that were deferred until a batch was stored."""
     if number != cell.batch or cell.batch_held is None:
         return
     held, cell.batch_held = cell.batch_held, None
@@ -70,7 +73,7 @@
     step = task.step
     job = step.job
     if not _has_tickets(task, now):
-        # The worker would refuse it, and the call would hold up others.
+        # The worker would refuse the start, and the call would delay others.
         cell.tell("ticket_expired", job.id, task=task.id, run=task.run, worker=task.life)
         void_run(cell, task, now)
         return
@@ -102,7 +105,7 @@
 
 
 def _has_tickets(task: Task, now: float) -> bool:
-    """Whether a start would carry a good ticket; before a gang's first, whether all would."""
+    """Check whether a task's ticket is valid; for the first member of a gang, check all members."""
     step = task.step
     advice = step.advice
     if advice is None:
--- a/src/snowdock/jobs/placing.py
+++ b/src/snowdock/jobs/placing.py
@@ -1,4 +1,4 @@
-"""Placement of waiting steps on workers: the most urgent first, within a bounded effort."""
+"""Placement of waiting steps on workers, by rank, in passes of bounded duration."""
 
 import dataclasses
 
@@ -21,35 +21,37 @@
 __all__ = ["place_waiting"]
 
 _PLACING_INTERVAL_SECONDS = 0.005
-"""Pause between two passes: news that come together are looked at together."""
+"""Minimum time between two passes, so that one pass covers several changes."""
 
 _LOOK_SECONDS = 10e-6
-"""What looking at one worker for one step takes, roughly."""
+"""Approximate time to examine one worker for one step."""
 
 _LOOKS_A_PASS = 1_500
-"""The most looks of one pass, some 15 ms: renewals and answers may not wait for longer. Half go
-to the steps with the highest rank, half to those that have had no look for longest."""
+"""Maximum number of workers examined in one pass, which takes about 15 ms, so that renewals and
+answers are not delayed for longer. Half of them are examined for the steps with the highest rank,
+half for the steps whose last search is the oldest."""
 
 _PLACING_SHARE = 0.3
-"""The most of the time that passes may take: a leader whose passes took all of it answered to
-nothing else, its tickets expired on their way, and each refused start wanted another pass."""
+"""Maximum fraction of the time spent in passes. The rest is left for other events: if these are
+delayed, tickets expire before their starts are sent, and each refused start needs another pass."""
 
 _LONGEST_KEPT_SECONDS = 1.5
-"""A step that runs nothing, and that only reservations keep out for so long, has one task let in:
-callers of small work may wait for room, but not for seconds beside room that is free. Tickets take
-up to half a second more, and three seconds are the most that the users allow."""
+"""Time after which a step that runs nothing, and that only reservations block, may place one task
+on reserved resources. Together with up to 0.5 s for tickets this stays below the 3 s that users
+accept for a small job beside free resources."""
 
 _CROWD = 50
 _LOOK_AGAIN_SECONDS = 0.05
-"""While more steps than this wait, one that found no room leaves others their turn so long."""
+"""While more steps than this are waiting, a step that could not be placed is not searched again
+for this time, so that other steps are."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Pool:
-    """The workers of one service that may take something, and the largest room among them.
+    """Open workers of one service, and the maximum free resources among them.
 
-    Bulky steps are looked for room where no worker has any: they may have runs stopped that
-    yield, or room reserved.
+    Bulky steps are searched even if no worker has enough free resources, because runs may be
+    preempted or resources reserved for them.
     """
 
     workers: dict[str, Worker] = dataclasses.field(default_factory=dict)
@@ -60,10 +62,10 @@
     capacity: Size = ZERO
 
     def add(self, worker: Worker) -> None:
-        """Count a worker in."""
+        """Add a worker to the pool."""
         free = worker.free
         self.workers[worker.entry.life] = worker
-        # Plain comparisons: each pass counts each worker in.
+        # Plain comparisons instead of Size methods: every pass calls this for every worker.
         if free.cpu > self.most_cpu:
             self.most_cpu = free.cpu
         if free.memory > self.most_memory:
@@ -75,13 +77,13 @@
 
     @property
     def roomiest(self) -> list[Worker]:
-        """The workers, those with most processors free first; as when it was first asked for."""
+        """Workers by descending free processors, as of the first access."""
         if self._roomiest is None:
             self._roomiest = sorted(self.workers.values(), key=lambda each: -each.free.cpu)
         return self._roomiest
 
     def may_hold(self, step: Step) -> bool:
-        """Whether some worker might hold a task of a step."""
+        """Check whether a worker might have enough free resources for a task of a step."""
         most = Size(self.most_cpu, self.most_memory, self.most_accelerators)
         return step.is_bulky or most.holds(step.spec.room)
 
@@ -90,7 +92,7 @@
 
 
 class _Pools:
-    """The workers that may take something in a pass, by service."""
+    """Open workers of one pass, by service."""
 
     def __init__(self, cell: Cell, now: float) -> None:
         self._cell = cell
@@ -99,7 +101,7 @@
         self._last_resort: dict[str, _Pool] | None = None
 
     def pool_for(self, step: Step) -> _Pool:
-        """Give the workers that may take something of a step."""
+        """Return the open workers for a step; quarantined ones only as a last resort."""
         service = self._cell.queue_of(step.job).service
         if care_of(self._cell, step) is not Care.NONE:
             return self._usual.get(service, _NO_POOL)
@@ -116,7 +118,7 @@
 
 
 def place_waiting(cell: Cell, now: float) -> None:
-    """Place what finds room, the highest rank first."""
+    """Run a placement pass over the waiting steps, in descending order of rank."""
     if not cell.waiting or now < cell.place_again_at:
         return
     cell.placing_wanted = False
@@ -138,7 +140,10 @@
 
 
 def _look(cell: Cell, steps: list[Step], pools: _Pools, now: float, most: int) -> int:
-    """Look for room for steps in order, with so many looks at most; give how many it took."""
+    """Search workers for steps, in order, and return the number of workers examined.
+
+    No further step is searched once ``max_examined`` workers have been examined.
+    """
     looks = 0
     for step in steps:
         if looks >= most:
@@ -151,7 +156,7 @@
 
 
 def _place_step(cell: Cell, step: Step, pools: _Pools, now: float) -> int:
-    """Place what finds room of one step; give how many workers were looked at."""
+    """Place as many tasks of a step as possible, and return the number of workers examined."""
     tasks, company = next_tasks(step, now)
     if not tasks:
         del cell.waiting[step.key]
@@ -176,7 +181,7 @@
 
 
 def _within_quota(cell: Cell, step: Step, wanted: int) -> int:
-    """Tell how many tasks of a step its team's quota lets begin, and note where it is none."""
+    """Return the number of tasks that the team's quota admits, and log when it becomes zero."""
     count = tasks_within_quota(cell, step, wanted)
     if step.is_at_quota is not (count == 0):
         step.is_at_quota = count == 0
@@ -190,7 +195,7 @@
 def _place_advised(
     cell: Cell, step: Step, tasks: list[Task], company: Company, pool: _Pool, now: float
 ) -> int:
-    """Place on workers with tickets, or ask for more; give how many workers were looked at."""
+    """Place tasks on workers with tickets, or request advice; return the workers examined."""
     workers = _open_to(company, _with_ticket(step, pool, now))
     fit = _open_to(company, _known_fit(step, pool))
     seats = _find_seats(cell, step, workers, fit, company, now)
@@ -209,7 +214,7 @@
 
 
 def _open_to(company: Company, workers: list[Worker]) -> list[Worker]:
-    """Give the workers where tasks may run that keep such company."""
+    """Return the workers that satisfy an isolation level."""
     if company is Company.ANYBODY:
         return workers
     return [worker for worker in workers if may_join(worker, company)]
@@ -223,9 +228,9 @@
     company: Company,
     now: float,
 ) -> list[Seats]:
-    """Give the seats of a step, one of them in reserved room where it has been kept for long.
+    """Return the candidates for a step, or one with reserved resources if it is blocked for long.
 
-    ``workers`` are those where it could start now, ``fit`` those where it may ever run.
+    ``workers`` are those on which the step could start now, ``fit`` those that may run it at all.
     """
     seats = list(find_seats(cell, step, workers))
     if company is not Company.ANYBODY:
@@ -241,21 +246,21 @@
         return []
     kept = list(find_seats(cell, step, workers, over_reservations=True))
     if not kept:
-        # Its tickets are being renewed for this.
+        # The tickets for these workers are being renewed.
         return []
     best = max(kept, key=lambda seat: seat.score)
     return [dataclasses.replace(best, count=1)]
 
 
 def _is_kept_out(cell: Cell, step: Step, fit: list[Worker]) -> bool:
-    """Whether there is room for a step that others have only reserved."""
+    """Check whether only reservations for other steps prevent a placement."""
     return any(True for _ in find_seats(cell, step, fit, over_reservations=True))
 
 
 def _place_tasks(
     cell: Cell, step: Step, tasks: list[Task], company: Company, seats: list[Seats], now: float
 ) -> list[Task]:
-    """Place tasks as far as the seats go, a gang whole or not at all; give those left over."""
+    """Place tasks on candidates, a gang as a whole or not at all; return the remaining tasks."""
     chosen = choose_workers(step, tasks, seats)
     if not chosen or (step.spec.gang and len(chosen) < len(tasks)):
         return tasks
@@ -271,9 +276,10 @@
     wanted: int,
     now: float,
 ) -> bool:
-    """Have room made for a bulky step, or reserve what will come free; tell whether it is made.
+    """Preempt runs for a bulky step, or else reserve resources; return whether it has a claim.
 
-    ``ready`` are the workers where it could start now, ``fit`` those where it may ever run.
+    ``ready`` are the workers on which the step could start now, ``fit`` those that may run it at
+    all.
     """
     if has_claim(cell, step, now) or make_room(cell, step, ready, wanted, now):
         return True
@@ -287,7 +293,7 @@
 
 
 def _with_ticket(step: Step, pool: _Pool, now: float) -> list[Worker]:
-    """Give the workers that a start of the step would have a good ticket for."""
+    """Return the workers for which the step has a valid ticket."""
     found = []
     for life, (_, expires) in step.advice.tickets.items():
         worker = pool.workers.get(life)
@@ -297,7 +303,7 @@
 
 
 def _known_fit(step: Step, pool: _Pool) -> list[Worker]:
-    """Give the workers that may run the step as far as is known, whether or not with a ticket."""
+    """Return the workers known to be fit for the step, even if their tickets have expired."""
     return [pool.workers[life] for life in step.advice.tickets if life in pool.workers]
 
 
@@ -309,7 +315,7 @@
     chosen: list[Worker],
     now: float,
 ) -> None:
-    """Place tasks; their starts go out once the placement is on record."""
+    """Assign tasks to workers; the starts are sent once the placement is recorded."""
     gang_run = max(task.run for task in step.tasks) + 1
     checkpoint = _gang_checkpoint(step) if step.spec.gang else ""
     for task, worker in zip(tasks, chosen, strict=False):
@@ -341,11 +347,11 @@
         del cell.waiting[step.key]
         drop_claims(cell, now)
     elif any(task.lost_runs for task in left):
-        # They keep other company, and were not looked at yet.
+        # These tasks have another isolation level and were not considered in this search.
         cell.placing_wanted = True
 
 
 def _gang_checkpoint(step: Step) -> str:
-    """Any member's checkpoint serves the whole gang, but all must bring the same."""
+    """Return the newest checkpoint of any member; all members must resume from the same one."""
     latest = max(step.tasks, key=lambda task: (bool(task.checkpoint), task.run, task.checkpoint))
     return latest.checkpoint
--- a/src/snowdock/jobs/policy.py
+++ b/src/snowdock/jobs/policy.py
@@ -1,4 +1,4 @@
-"""The decisions that policy programs make about jobs."""
+"""Scheduling decisions about jobs that are made by policy programs."""
 
 import math
 from collections.abc import Callable
@@ -16,25 +16,25 @@
 _PROGRAM = "deadline_first.star"
 _HIGHEST_PRIORITY = 100
 _PRIORITY_STEP = 10
-"""A queue's priority 0 is shown to programs as 100, 1 as 90 and so on: there the highest
-number goes first."""
+"""Queue priority 0 is passed to programs as 100, 1 as 90 and so on: in programs, higher numbers
+have a higher priority."""
 
 _FRACTION_STEPS = 20
-"""Free fractions are rounded to this many steps, so that scores can be remembered."""
+"""Free fractions are rounded to multiples of 1/20, so that scores can be cached."""
 
 _SLOWNESS_STEPS = 5
-"""Slowness is rounded to a fifth, for the same reason."""
+"""Slowness is rounded to multiples of 1/5, so that scores can be cached."""
 
 
 def make_policy(alarm: Callable[[Alarm], None], cell_of: Callable[[], Cell]) -> Policy:
-    """Make the decisions of a leader from the shipped programs.
+    """Create the scheduling policy of a leader from the shipped programs.
 
     Parameters
     ----------
     alarm
-        Told of each failure of a program.
-    cell_of
-        Gives the leader's state, for the terms of queues.
+        Called for each failure of a program.
+    current_cell
+        Returns the state of the leader.
     """
     choice = PolicyChoice(_PROGRAM)
     book = PolicyBook(alarm)
@@ -90,9 +90,9 @@
 
 
 def _describe_coarsely(cell: Cell, step: Step) -> dict[str, object]:
-    """Describe a step for scores: alike steps look equal, so that their scores are shared.
+    """Describe a step for scoring, such that similar steps share their cached scores.
 
-    Sizes and times are rounded up to powers of two, and the name tells them all.
+    Sizes and times are rounded up to powers of two and are part of the name.
     """
     work = _describe(cell, step, step.job.submitted_at)
     for field in ("tasks", "cpu", "memory_gb", "run_seconds"):
@@ -109,7 +109,7 @@
 
 
 def _show_worker(worker: Worker, there: int) -> dict[str, object]:
-    """Show a worker to a program, coarsely, so that equal ones look equal."""
+    """Describe a worker for scoring, such that similar workers share their cached scores."""
     capacity = worker.entry.capacity.cpu or 1
     fraction = worker.free.cpu / capacity
     return {
--- a/src/snowdock/jobs/preempting.py
+++ b/src/snowdock/jobs/preempting.py
@@ -1,8 +1,8 @@
-"""Making room for bulky steps: runs that save their progress yield, and their room is kept for it.
+"""Preemption of checkpointing runs for bulky steps.
 
-The pieces of room that are left between other work never hold a large gang all at once, and
-seldom a task that takes much of a worker. A run
-that saves its progress loses little by going on elsewhere a moment later.
+The resources left free between other runs rarely hold a task that needs much of a worker, and
+never a whole large gang. A preempted run loses little, as it resumes from its checkpoint on another
+worker. The resources that it frees are claimed for the bulky step.
 """
 
 import dataclasses
@@ -21,25 +21,25 @@
 __all__ = ["drop_claims", "has_claim", "make_room"]
 
 _CLAIM_SECONDS = 1.0
-"""How long room is kept: a stop takes up to 0.4 s, its report and the record of the
-placement some 0.1 s, and tickets hold for 1.5 s or more."""
+"""Time for which freed resources are held for a step. A stop takes up to 0.4 s, its report and
+the recording of the placement about 0.1 s, and tickets are valid for 1.5 s or more."""
 
 _LEAST_VALID_SECONDS = 0.7
-"""Tickets must hold for at least so long, or they expire before the room is there."""
+"""Minimum remaining validity of a ticket, so that it does not expire before the runs end."""
 
 _AGAIN_SECONDS = 2.0
-"""Pause after a claim that came to nothing before runs are stopped for the same step again."""
+"""Minimum time between two claims for the same step."""
 
 _MOST_YIELDS = 2
-"""A task makes room so many times at most, or it might never end."""
+"""Maximum number of preemptions of a task; more could keep it from ever ending."""
 
 _NEARLY_DONE_PERCENT = 80.0
-"""A run that is further than this gives its room back soon anyway."""
+"""Runs with more progress than this are not preempted, since they end soon."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class _Offer:
-    """A worker, the seats it has free, and what would have to yield for each further seat."""
+    """A worker's free slots for a step, and the runs to preempt for each further slot."""
 
     worker: Worker
     free: int
@@ -47,28 +47,28 @@
 
 
 def has_claim(cell: Cell, step: Step, now: float) -> bool:
-    """Whether room is being made for a step."""
+    """Check whether runs are being preempted for a step."""
     claim = cell.claims.get(step.key)
     return claim is not None and claim.is_forced and claim.until > now
 
 
 def make_room(cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float) -> bool:
-    """Stop runs that yield to a bulky step, if that makes room; tell whether it did.
+    """Preempt runs for a bulky step if that lets it be placed; return whether runs are stopped.
 
-    For a gang, room is made for all of it or not at all.
+    For a gang, runs are preempted only if all its members can be placed.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
-        A bulky step that found no room.
+        A bulky step that could not be placed.
     workers
-        Workers that may run it.
+        Workers that may run the step.
     wanted
-        Its tasks.
+        Number of tasks to place.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
     """
     if now < step.claim_again_at:
         return False
@@ -104,7 +104,7 @@
 
 
 def _offer(step: Step, worker: Worker, yielding: list[Task]) -> _Offer:
-    """Count a worker's free seats for a step, and those that stopping runs there would add."""
+    """Compute a worker's free slots for a step, and the runs to preempt for each further one."""
     room = step.spec.room
     most = most_seats(step, worker)
     free = worker.free_for(step.key, step.rank)
@@ -123,9 +123,10 @@
 
 
 def _further_seats(offers: list[_Offer], wanted: int) -> list[_Offer]:
-    """Give the offer of each of so many seats that are not free, the fewest victims first.
+    """Choose up to ``wanted`` slots to free by preemption, those with the fewest victims first.
 
-    A worker's seats come in order: what yields for one has to have yielded for those before it.
+    The slots of a worker are chosen in order, as each one also needs the resources freed for the
+    previous ones. Returns the option of each chosen slot.
     """
     heap = [
         (len(offer.victims[0]), number, 0) for number, offer in enumerate(offers) if offer.victims
@@ -142,7 +143,7 @@
 
 
 def _yielding_tasks(cell: Cell, worker: Worker, yields: Callable[[Step], bool]) -> list[Task]:
-    """Give the tasks whose runs there may make room, the largest first."""
+    """Return the tasks on a worker whose runs may be preempted, the largest first."""
     found = []
     for task_id, run in worker.yielding:
         task = cell.find_task(task_id)
@@ -157,9 +158,9 @@
 
 
 def _claim(cell: Cell, step: Step, offers: list[_Offer], further: list[_Offer], now: float) -> None:
-    """Keep the seats for the step, and stop what has to yield.
+    """Claim the slots for a step, and stop the victims.
 
-    ``further`` holds an offer once for each of its seats that is not free yet.
+    ``preempted`` contains an option once for each of its slots to free.
     """
     release_claim(cell, step.key)
     stopped = 0
@@ -187,7 +188,7 @@
 
 
 def drop_claims(cell: Cell, now: float) -> None:
-    """Give the room of claims back that are over."""
+    """Release the claims that have expired or whose step no longer waits."""
     for key, claim in list(cell.claims.items()):
         if claim.until > now and key in cell.waiting:
             continue
--- a/src/snowdock/jobs/quotas.py
+++ b/src/snowdock/jobs/quotas.py
@@ -1,9 +1,7 @@
-"""How many tasks of a step its team's quota lets begin, and whether a start may still go out.
+"""Enforcement of team quotas at placement and before a start order is sent.
 
-The load this answers: a team that sends many times its usual beside full workers, steps that are
-wider than their team may run, and quotas that are lowered while they are full. What is counted is
-told by `team_use`. A bound that is reached holds a step back, and never ends it: quotas rise
-again, and a job that could be done may not be shown as failed.
+A step that reaches its team's quota waits and never fails, since quotas may be raised again. Quotas
+may also be lowered while they are fully used. `team_usage` defines which runs count.
 """
 
 from ..declarations import ZERO, Size
@@ -15,29 +13,30 @@
 __all__ = ["keep_quotas", "may_start", "tasks_within_quota"]
 
 _KEEPS_QUOTA = True
-"""Whether quota is kept for a waiting gang: else it waits behind all that starts piece by piece."""
+"""Whether quota is reserved for waiting gangs. Without it, a gang waits behind all smaller steps
+of its team."""
 
 _KEPT_WHOLE_SECONDS = 1.5
-"""How long quota that a gang has whole is kept for it: one that no set of workers ever holds would
-keep its team's other gangs waiting for as long as it stands there."""
+"""Time for which quota that suffices for a gang is reserved for it. A gang that cannot be placed
+for another reason would block the other gangs of its team otherwise."""
 
 
 def tasks_within_quota(cell: Cell, step: Step, wanted: int) -> int:
-    """Tell how many tasks of a step its team's quota lets begin now.
+    """Return the number of tasks of a step that its team's quota admits now.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
         The step.
     wanted
-        How many of its tasks wait; those of a gang begin together or not at all.
+        Number of waiting tasks; a gang is admitted as a whole or not at all.
 
     Returns
     -------
     int
-        From 0 to ``wanted``: a wide step goes in waves.
+        Number of admitted tasks, from 0 to ``wanted``.
     """
     team = _team_of(cell, step)
     if team is None:
@@ -48,18 +47,18 @@
     if count == wanted:
         return wanted
     if not step.spec.gang:
-        # A task larger than the quota runs alone; else it never would.
+        # A task that is larger than the quota may run alone.
         return max(1, count) if used == ZERO else count
-    # So does a gang that the overage lets in: all but one of its tasks have to fit.
+    # So may a gang, if all but one of its tasks fit within the quota and its overage.
     over = team.quota.scaled(1 + cell.settings.quota_overage)
     return wanted if used == ZERO and fitting(over, size) >= wanted - 1 else 0
 
 
 def keep_quotas(cell: Cell) -> None:
-    """Keep of each team's quota what its waiting gang that ranks highest needs.
+    """Reserve of each team's quota what the team's highest-ranked waiting gang needs.
 
-    Where smaller tasks of the team take each piece of its quota as it comes free, a gang never
-    finds all of what it needs. What ranks higher goes on using it: it is small and ends soon.
+    Otherwise smaller tasks of the team would use all quota that becomes free, and the gang would
+    never be admitted. Steps with a higher rank may still use the reserved quota.
     """
     cell.quota_kept.clear()
     if not _KEEPS_QUOTA:
@@ -75,7 +74,7 @@
 
 
 def _is_kept_in_vain(cell: Cell, step: Step, team: Team) -> bool:
-    """Whether a gang has had all of its quota for a while and lacks something else."""
+    """Check whether a gang has had enough quota for a while but waits for something else."""
     free = team.quota.minus(cell.team_use.used(team.name))
     if not free.holds(step.spec.size.times(step.spec.count)):
         step.has_quota_since = None
@@ -86,7 +85,7 @@
 
 
 def _kept_from(cell: Cell, step: Step) -> Size:
-    """Give what is kept of its team's quota for a gang that ranks higher than a step."""
+    """Return the quota that is reserved for a gang of the team that ranks higher than a step."""
     kept = cell.quota_kept.get(step.job.team)
     if kept is None or kept.step == step.key or kept.rank < step.rank:
         return ZERO
@@ -94,7 +93,7 @@
 
 
 def may_start(cell: Cell, task: Task) -> bool:
-    """Tell whether a task that was placed may still start: the quota may be lower since then."""
+    """Check whether a placed task may still start, as its team's quota may have been lowered."""
     team = _team_of(cell, task.step)
     if team is None:
         return True
@@ -103,5 +102,5 @@
 
 
 def _team_of(cell: Cell, step: Step) -> Team | None:
-    """Give the team whose quota a step counts for; None where it has none or is gone."""
+    """Return the team whose quota a step uses; None if it has no team or the team is unknown."""
     return cell.configuration.teams.named(step.job.team)
--- a/src/snowdock/jobs/ranking.py
+++ b/src/snowdock/jobs/ranking.py
@@ -1,22 +1,22 @@
-"""How urgent waiting steps are: ranked as they come, and a few at a time anew as they wait."""
+"""Periodic refresh of the ranks of waiting steps, a few at a time."""
 
 from .cell import Cell
 
 __all__ = ["rank_again"]
 
 _RANKING_SECONDS = 0.5
-"""How old a rank may become: the slack of a step shrinks as it waits."""
+"""Age at which a rank is refreshed, as the slack of a step shrinks while it waits."""
 
 _ROUND_SECONDS = 0.05
 _RANKED_A_ROUND = 20
-"""Pause between two rounds, and the most steps of one. A policy program takes some 0.15 ms for a
-step, so ranking takes 6 % of a core at most, however many steps wait."""
+"""Minimum time between two refreshes, and the maximum number of steps of one. A policy program
+takes about 0.15 ms for each step, so ranking takes at most 6 % of a core."""
 
 
 def rank_again(cell: Cell, now: float) -> None:
-    """Rank the waiting steps anew whose rank is the oldest.
+    """Refresh the oldest ranks of the waiting steps.
 
-    ``cell.waiting`` is kept in the order in which its steps were ranked.
+    ``cell.waiting_steps`` is kept in the order in which its steps were ranked.
     """
     if now - cell.ranked_at < _ROUND_SECONDS:
         return
--- a/src/snowdock/jobs/reducer.py
+++ b/src/snowdock/jobs/reducer.py
@@ -1,4 +1,4 @@
-"""One reducer over all events of a leader; what it wants done are effects."""
+"""Reducer of the leader: applies each event to the state and returns the resulting effects."""
 
 from .advising import take_advice, take_advice_failure
 from .batches import flush, take_persisted
@@ -38,32 +38,32 @@
 __all__ = ["accept_job", "reduce"]
 
 _PLACING_WAIT_SECONDS = 0.02
-"""How long placing is put off while further events wait: a few per cent of what the shortest
-jobs have to spare."""
+"""Maximum time by which placement is delayed while further events are queued. It is a small part
+of the slack of the shortest jobs."""
 
 _GANG_PATIENCE = 0.6
-"""Share of a gang's waiting time after which its run is given up: what is left is for the
-stops to arrive before a member ends by waiting too long."""
+"""Fraction of a gang's waiting time after which its start is aborted. The remaining time lets the
+stop orders arrive before a member's own wait times out."""
 
 
 def reduce(
     cell: Cell, event: Event, now: float, wall_ms: float, is_last: bool = True
 ) -> list[Effect]:
-    """Take one event over into the state, and give what is to be done.
+    """Apply an event to the state and return the effects to carry out.
 
     Parameters
     ----------
     cell
-        The state, changed in place.
+        State of the leader, changed in place.
     event
-        What happened.
+        The event.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
     wall_ms
-        The time of day, in ms since 1970.
+        Current wall-clock time, in ms since 1970.
     is_last
-        Whether no further event waits; while others do, steps are placed only now and then,
-        from all that the events told.
+        Whether no further event is queued. While events are queued, placement passes are delayed
+        so that one pass covers several events.
     """
     cell.now = now
     _apply(cell, event, now, wall_ms)
@@ -109,14 +109,14 @@
 
 
 def accept_job(cell: Cell, event: JobAccepted, now: float, wall_ms: float) -> None:
-    """Take a job over; one that is known already stays as it is."""
+    """Add an accepted job; a job that is already known is left unchanged."""
     if event.job in cell.unreadable:
-        # Handed in again: it may have run already.
+        # A resubmission; earlier runs of the job are unknown.
         cell.tell("job_record_unreadable", event.job)
         return
     if event.job in cell.final_jobs:
-        # Handed in again. Its end may wait for its record: until then, only how it was taken in
-        # tells a successor of it.
+        # A resubmission. The acceptance record is deleted only once the job's end is stored: a
+        # successor leader knows the job from this record alone until then.
         cell.held.append(ForgetAccepted((record_name(event.job, event.accepted.team),)))
         return
     known = cell.jobs.get(event.job)
@@ -145,7 +145,7 @@
 
 
 def _take_again(cell: Cell, job: Job, again: AcceptedJob) -> None:
-    """Keep a job as it is that was handed in again; what another team hands in is dropped."""
+    """Ignore the resubmission of a known job, and delete the record of one by another team."""
     if again.team != job.team:
         cell.tell("job_of_another_team", job.id, team=job.team, by=again.team)
         cell.emit(ForgetAccepted((record_name(job.id, again.team),)))
--- a/src/snowdock/jobs/reserving.py
+++ b/src/snowdock/jobs/reserving.py
@@ -1,8 +1,9 @@
-"""Room to come that is kept for bulky steps: what would end later goes elsewhere.
+"""Reservations of resources that will become free, for bulky steps (backfill scheduling).
 
-A bulky task needs much of a worker at the same time, a gang room at several workers. Where smaller
-work takes each piece as it comes free, that moment never comes. So the workers where it comes
-first are reserved; what ends before then may still use them.
+A bulky task needs a large part of a worker at once, and a gang needs several workers at once. If
+smaller tasks take all resources as they become free, a bulky step is never placed. Therefore the
+workers that are expected to have enough resources first are reserved for it. Runs that end before
+the reserved start may still use them.
 """
 
 import math
@@ -18,15 +19,15 @@
 __all__ = ["find_reservation", "keep_room", "release_claim", "reserve"]
 
 _KEPT_SECONDS = 0.6
-"""How long a reservation holds: it is made anew as long as its step waits."""
+"""Duration of a reservation; it is renewed while its step waits."""
 
 _RENEW_SECONDS = 0.3
-"""A reservation is made anew when this much or less is left: runs end earlier or later than was
-expected, and other workers may have become the first."""
+"""A reservation is renewed when this much or less of it is left, possibly on other workers, because
+runs end earlier or later than expected."""
 
 
 def find_reservation(cell: Cell, step: Step, now: float) -> Claim | None:
-    """Give the room to come that is reserved for a step; None where there is none."""
+    """Return the reservation for a step, or None if there is none."""
     claim = cell.claims.get(step.key)
     if claim is None or claim.is_forced or claim.until <= now:
         return None
@@ -34,20 +35,20 @@
 
 
 def reserve(cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float) -> None:
-    """Reserve the workers where a bulky step will find room first.
+    """Reserve the workers on which a bulky step can be placed first.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
-        A bulky step that finds no room now.
+        A bulky step that cannot be placed now.
     workers
-        Workers that may run it.
+        Workers that may run the step.
     wanted
-        Tasks that wait for room.
+        Number of tasks to place.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
     """
     claim = cell.claims.get(step.key)
     if claim is not None and claim.until > now + (0.0 if claim.is_forced else _RENEW_SECONDS):
@@ -59,7 +60,7 @@
     lives = frozenset(worker.life for _, worker in seats)
     for life in lives:
         times = [at for at, worker in seats if worker.life == life]
-        # A gang begins once all of it has room, other tasks as soon as each has.
+        # A gang starts with its last slot, other tasks with the first slot of their worker.
         due = seats[-1][0] if step.spec.gang else times[0]
         room = step.spec.room.times(len(times))
         cell.workers[life].claims[step.key] = Hold(room, due, step.rank)
@@ -79,9 +80,9 @@
 def _first_seats(
     cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float
 ) -> list[tuple[float, Worker]]:
-    """Give when and where tasks will find room first, the earliest first.
+    """Return the times and workers of the earliest slots for tasks, in ascending order of time.
 
-    A gang that will not find room for all of its tasks is given none.
+    Returns none for a gang if there are not enough slots for all of its tasks.
     """
     care = care_of(cell, step)
     seats: list[tuple[float, Worker]] = []
@@ -95,7 +96,7 @@
 
 
 def _seat_times(cell: Cell, step: Step, worker: Worker, wanted: int, now: float) -> list[float]:
-    """Give when each further task of a step is expected to find room at a worker."""
+    """Return the expected times at which a worker has resources for each further task."""
     most = min(wanted, most_seats(step, worker))
     free = worker.free_for(step.key, step.rank)
     times = [now] * min(most, fitting(free, step.spec.room))
@@ -110,22 +111,22 @@
 def keep_room(
     cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float, seconds: float
 ) -> None:
-    """Keep the room that a step sees, but may not take yet, from steps that rank lower.
+    """Hold free resources against lower-ranked steps while a step waits for tickets.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
-        A step that asks for tickets.
+        A step with a pending advice request.
     workers
-        Workers that may run it.
+        Workers that may run the step.
     wanted
-        Tasks that wait for room.
+        Number of tasks to place.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
     seconds
-        How long the room is kept.
+        Time for which the resources are held.
     """
     release_claim(cell, step.key)
     lives = set()
@@ -141,7 +142,7 @@
 
 
 def release_claim(cell: Cell, key: StepKey) -> None:
-    """Give back what is kept for a step."""
+    """Release the claim of a step on all workers."""
     claim = cell.claims.pop(key, None)
     if claim is None:
         return
--- a/src/snowdock/jobs/seats.py
+++ b/src/snowdock/jobs/seats.py
@@ -1,4 +1,4 @@
-"""Where tasks of a step find room: workers, how many tasks each takes, and how good it is."""
+"""Candidate workers for the tasks of a step: how many tasks each can take, and its score."""
 
 import dataclasses
 import enum
@@ -24,25 +24,25 @@
 ]
 
 _UNBOUNDED = 1_000
-"""How many tasks fit that take no room at all."""
+"""Number of fitting tasks if a task needs no resources."""
 
 
 _BULKY_PARTS = 3
-"""A task that takes more than a third of a worker is bulky: where a worker's room is shared by
-more than two, a piece as large seldom comes free by chance."""
+"""A task is bulky if fewer than this many fit on an empty large worker. On a worker that is shared
+by several runs, that much rarely becomes free at once by chance."""
 
 
 _CAREFUL_SECONDS = 1.0
-"""How long a last attempt waits for a worker without doubts."""
+"""Time for which the last attempt of a task waits for a worker without recent failures."""
 
 _LONGEST_CHOOSY_SECONDS = 2.0
-"""A step that runs nothing waits so long at most for workers that are not set aside for failures:
-users allow three seconds beside free room, and a ticket and a record take up to one of them. A last
-attempt waits half a second longer."""
+"""Maximum time for which a step that runs nothing avoids workers quarantined for failures. Users
+accept 3 s beside free resources, of which a ticket and the recording take up to one. A last
+attempt waits 0.5 s longer."""
 
 
 class Care(enum.IntEnum):
-    """How choosy a step is about workers where runs have failed."""
+    """How strictly a step avoids workers on which runs have failed."""
 
     NONE = 0
     USUAL = 1
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Seats:
-    """How many tasks of a step a worker can take now, and how good it is for them."""
+    """A worker that can take tasks of a step now, with their maximum number and its score."""
 
     worker: Worker
     count: int
@@ -61,18 +61,18 @@
 def find_seats(
     cell: Cell, step: Step, workers: Iterable[Worker], over_reservations: bool = False
 ) -> Iterator[Seats]:
-    """Give the seats for a step's tasks on some workers.
+    """Yield the candidates for a step among some workers.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
         The step.
     workers
-        Workers of the step's service that may take something now.
-    over_reservations
-        Whether room counts that others have only reserved.
+        Open workers of the step's service.
+    ignore_reservations
+        Whether resources that are only reserved for other steps count as free.
     """
     spec = step.spec
     room = spec.room
@@ -95,7 +95,7 @@
 
 
 def _free_now(cell: Cell, step: Step, worker: Worker, over_reservations: bool) -> Size:
-    """Give the room that a run of a step may take at a worker if it began now."""
+    """Return the resources of a worker that a run of a step may use if it starts now."""
     if not worker.claims:
         return worker.free
     if over_reservations:
@@ -104,20 +104,20 @@
 
 
 def is_bulky(step: Step, capacity: Size) -> bool:
-    """Whether pieces of room between other work hardly ever hold a step's tasks.
+    """Check whether the resources left free between other runs rarely hold a step's tasks.
 
     Parameters
     ----------
     step
         The step.
     capacity
-        The room of a large worker of its service.
+        Resources of a large worker of the step's service.
     """
     return step.spec.gang or not capacity.holds(step.spec.room.times(_BULKY_PARTS))
 
 
 def care_of(cell: Cell, step: Step) -> Care:
-    """Tell how choosy a step is about workers where runs have failed."""
+    """Return how strictly a step avoids workers on which runs have failed."""
     waited = cell.now - step.waiting_since
     if waited < _CAREFUL_SECONDS:
         return Care.MOST if _is_last_attempt(cell, step) else Care.USUAL
@@ -129,7 +129,7 @@
 
 
 def may_be_trusted(cell: Cell, worker: Worker, care: Care) -> bool:
-    """Whether a worker where runs have failed takes another one."""
+    """Check whether a worker's failures permit another run at a caution level."""
     if care is Care.NONE:
         return True
     if is_being_proved(worker, cell.now):
@@ -138,13 +138,13 @@
 
 
 def _is_last_attempt(cell: Cell, step: Step) -> bool:
-    """Whether one more failure would fail the job."""
+    """Check whether one more failure of a task would fail the job."""
     most = cell.queue_of(step.job).max_attempts - 1
     return any(task.failures >= most for task in step.tasks)
 
 
 def most_seats(step: Step, worker: Worker) -> int:
-    """Give the most tasks of a step that a worker may run besides those there."""
+    """Return how many more tasks of a step a worker may run, regardless of its resources."""
     spec = step.spec
     if spec.label and spec.label not in worker.entry.labels:
         return 0
@@ -154,7 +154,7 @@
 
 
 def fitting(free: Size, room: Size) -> int:
-    """Count the tasks that fit into an amount of room, which may be negative."""
+    """Return the number of tasks that fit into free resources, which may be negative."""
     counts = [
         have // need
         for have, need in (
@@ -168,7 +168,7 @@
 
 
 def _count_there(step: Step, worker: Worker) -> int:
-    """Count the step's runs on a worker, those that are being stopped included."""
+    """Count a step's runs on a worker, including those that are being stopped."""
     job, repetition, number = step.key
     return sum(
         1
@@ -178,7 +178,7 @@
 
 
 def choose_workers(step: Step, tasks: list[Task], seats: list[Seats]) -> list[Worker]:
-    """Give a worker for each task, as far as the seats go."""
+    """Return a worker for each task, in order, as far as the candidates suffice."""
     if step.spec.gang and step.spec.same_rack:
         seats = _within_one_rack(seats, len(tasks))
     seats.sort(key=lambda seat: -seat.score)
@@ -186,8 +186,7 @@
     for task in tasks:
         avoided |= task.avoid or set()
     if avoided or any(seat.worker.aside_for for seat in seats):
-        # What failed on a worker goes elsewhere while there is an elsewhere, and so does what had
-        # to take workers in that are set aside.
+        # Prefer workers on which the tasks have not failed, and those without charged failures.
         seats.sort(key=lambda seat: (seat.worker.life in avoided, bool(seat.worker.charged)))
     chosen: list[Worker] = []
     for seat in seats:
@@ -199,7 +198,7 @@
 
 
 def _within_one_rack(seats: list[Seats], wanted: int) -> list[Seats]:
-    """Give the seats of one rack that holds all, or else all seats."""
+    """Return the candidates of the smallest rack that can hold all tasks, or all candidates."""
     racks: dict[str, list[Seats]] = {}
     for seat in seats:
         racks.setdefault(seat.worker.entry.rack, []).append(seat)
--- a/src/snowdock/jobs/shares.py
+++ b/src/snowdock/jobs/shares.py
@@ -1,8 +1,7 @@
-"""How much of the workers each team uses, against its fair share of them.
+"""Resource usage of teams relative to their fair shares.
 
-The load this answers: workers that are full, and a team that sends many times its usual. What
-nobody else wants anybody may use, so a share bounds nothing: it tells policy programs who goes
-first where two teams want the same room.
+A share is not a limit: idle resources may be used by any team. Policy programs use the shares to
+decide which team goes first when resources are scarce.
 """
 
 import collections
@@ -13,11 +12,11 @@
 __all__ = ["count_capacity", "share_used", "tell_team_use"]
 
 _TELL_SECONDS = 1.0
-"""Time between two lines about a team."""
+"""Time between two log lines on a team's usage."""
 
 
 def count_capacity(cell: Cell) -> Size:
-    """Give all room of the workers that are known."""
+    """Return the total resources of all known workers."""
     total = ZERO
     for worker in cell.workers.values():
         total = total.plus(worker.entry.capacity)
@@ -25,10 +24,9 @@
 
 
 def share_used(cell: Cell, team: str) -> float:
-    """Tell how many times its fair share of all room a team has running.
+    """Return a team's dominant share of all resources in multiples of its fair share.
 
-    The kind of room counts of which it uses the largest part. 0 for jobs of no team, and where
-    no weights are known.
+    Returns 0 for jobs without a team, and if no weights are configured.
     """
     share = cell.configuration.teams.share(team)
     if not share:
@@ -37,7 +35,7 @@
 
 
 def tell_team_use(cell: Cell, now: float) -> None:
-    """Tell of each team that waits what it uses of its quota and its share, if it is time."""
+    """Log periodically how much of its quota and share each team with waiting steps uses."""
     if now - cell.teams_told_at < _TELL_SECONDS:
         return
     cell.teams_told_at = now
--- a/src/snowdock/jobs/team_use.py
+++ b/src/snowdock/jobs/team_use.py
@@ -1,8 +1,8 @@
-"""What each team has running, over all workers.
+"""Resource usage of teams over all workers.
 
-Counted is all that is or may be at a worker: runs on record whose start has not gone out yet,
-starts without an answer, which may be carried out seconds later, runs that are being stopped,
-those at workers that are cut off or not known yet, and those of earlier leaders.
+All runs that exist or may exist on a worker count: placed runs whose start was not sent yet, starts
+without an answer, which may still be carried out, runs that are being stopped, runs on workers that
+are unreachable or not known yet, and runs of earlier leaders.
 """
 
 from ..declarations import ZERO, Size
@@ -11,25 +11,25 @@
 __all__ = ["TeamUse"]
 
 _Run = tuple[str, TaskId, int]
-"""A worker's life, a task, and the number of its run."""
+"""Life of the worker, task, and number of the run."""
 
 
 class TeamUse:
-    """The room that runs take of their teams' quotas."""
+    """Resources that runs use of their teams' quotas."""
 
     def __init__(self) -> None:
         self._runs: dict[_Run, tuple[str, Size]] = {}
         self._used: dict[str, Size] = {}
 
     def hold(self, life: str, task: TaskId, run: int, team: str, size: Size) -> None:
-        """Count a run as its team's; one that is counted already stays as it is."""
+        """Add a run to its team's usage, unless it is already counted."""
         if not team or (life, task, run) in self._runs:
             return
         self._runs[life, task, run] = (team, size)
         self._used[team] = self.used(team).plus(size)
 
     def drop(self, life: str, task: TaskId, run: int) -> None:
-        """Count a run no more that surely neither is nor will be at a worker."""
+        """Remove a run that certainly neither exists nor will start on a worker."""
         found = self._runs.pop((life, task, run), None)
         if found is None:
             return
@@ -41,9 +41,9 @@
             self._used[team] = left
 
     def used(self, team: str) -> Size:
-        """Give what a team has running."""
+        """Return the resources that a team uses."""
         return self._used.get(team, ZERO)
 
     def teams(self) -> dict[str, Size]:
-        """Give what each team has running that runs anything."""
+        """Return the resources that each team with runs uses."""
         return dict(self._used)
