--- a/tests/jobs_tools.py
+++ b/tests/jobs_tools.py
@@ -1,4 +1,4 @@
-"""A leader's state with workers, and short ways to feed it, for tests of the reducer."""
+"""Harness for tests of the reducer: a leader's state with simulated workers and store."""
 
 import dataclasses
 import itertools
@@ -64,7 +64,7 @@
 
 
 class Bench:
-    """A cell whose store and workers answer as the test says."""
+    """Drives the reducer of one leader; the test controls the answers of store and workers."""
 
     def __init__(self, token: int = 1, advice: AdviceTerms | None = None, attempts: int = 3):
         self.now = 100.0
@@ -83,7 +83,7 @@
         self._ends = itertools.count(1)
 
     def feed(self, event: Event) -> list[Effect]:
-        """Feed one event; batches are on record at once unless the store is held."""
+        """Feed one event; batches are stored immediately unless the store is paused."""
         effects = reduce(self.cell, event, self.now, self.now * 1000)
         self.told += of_type(effects, Decided)
         for effect in list(effects):
@@ -100,7 +100,7 @@
         return restore(self.cell, recorded, self.now, self.now * 1000)
 
     def tick(self, seconds: float) -> list[Effect]:
-        """Let time pass in ticks; give all that was wanted meanwhile."""
+        """Advance the time in ticks of 0.1 s, and return all resulting effects."""
         found = []
         for _ in range(round(seconds * 10)):
             self.now += 0.1
@@ -117,7 +117,7 @@
             self.report(life)
 
     def renewal(self, life: str) -> RenewOrder:
-        """Give the renewal of a worker that is on its way, after waiting for one."""
+        """Return the pending renewal of a worker, after waiting for one if necessary."""
         for _ in range(50):
             if life in self.renewals:
                 return self.renewals.pop(life)
@@ -125,7 +125,7 @@
         raise AssertionError(f"{life} is not renewed")
 
     def report(self, life: str, running=(), ended=()) -> list[Effect]:
-        """Answer a worker's renewal with what runs and what has ended."""
+        """Answer a worker's renewal with its current runs and ended runs."""
         order = self.renewal(life)
         rows = [RunningRun(task, run, "", percent, 0.0) for task, run, percent in running]
         ends = [EndedRun(next(self._ends), task, run, kind, "") for task, run, kind in ended]
@@ -134,7 +134,7 @@
         return self.feed(RenewAnswered(life, order, outcome))
 
     def miss(self, life: str) -> list[Effect]:
-        """Leave a worker's renewal without an answer."""
+        """Report that a worker's renewal got no answer."""
         return self.feed(RenewAnswered(life, self.renewal(life), None))
 
     def submit(self, *steps: StepSpec) -> str:
@@ -143,16 +143,16 @@
         return job
 
     def end_life(self, life: str) -> list[Effect]:
-        """Have another life answer at a worker's address."""
+        """Answer a worker's renewal with the refusal of another life at its address."""
         return self.feed(RenewAnswered(life, self.renewal(life), Refusal.OTHER_LIFE))
 
     def drain(self, life: str) -> None:
-        """Have a worker's entry say that it leaves."""
+        """Set a worker's entry to draining."""
         entry = self.cell.workers[life].entry
         self.feed(WorkerListed(dataclasses.replace(entry, draining=True)))
 
     def new_starts(self) -> list[SendStart]:
-        """Give what was started since this was asked for last."""
+        """Return the starts since the last call, and clear the recorded effects."""
         found = of_type(self.seen, SendStart)
         self.seen.clear()
         return found
@@ -168,7 +168,7 @@
 
 
 def cut_off(bench: Bench, life: str, seconds: float = 9.0) -> None:
-    """Let a worker give no answer for longer than its leases hold."""
+    """Leave a worker's renewals unanswered for a time that exceeds its leases by default."""
     end = bench.now + seconds
     while bench.now < end:
         if life in bench.renewals:
@@ -177,7 +177,7 @@
 
 
 class Leaders:
-    """Leaders that follow one another, each with what the one before has put on record."""
+    """A succession of leaders, each of which restores the records of its predecessor."""
 
     def __init__(self, *steps: StepSpec, workers: int = 1) -> None:
         self.bench = Bench()
@@ -197,7 +197,7 @@
         self.bench.add_worker(f"w{self._lives}")
 
     def next_starts(self) -> list[SendStart]:
-        """Give the starts that a job gets on workers that are new; none once it is given up."""
+        """Return the job's next starts, adding workers as needed; none once the job has ended."""
         found = self.bench.new_starts()
         for _ in range(20):
             if found or self.status.is_final:
@@ -208,7 +208,7 @@
         return found
 
     def take_over(self) -> None:
-        """Have another leader begin with what is on record; it knows of no worker yet."""
+        """Replace the leader by one that restores the records and knows no workers yet."""
         self._token += 1
         before = self.bench
         progress = {job: decode_progress(data) for job, data in before.recorded.items()}
@@ -218,7 +218,7 @@
         self.bench.restore(RecordedJobs({self.job: self._accepted}, set(), progress))
 
     def list_worker(self, life: str, draining: bool = False) -> None:
-        """Have the leader find the entry of a worker."""
+        """List a worker that has not answered a renewal of this leader."""
         self.bench.add_worker(life, settled=False)
         if draining:
             self.bench.drain(life)
@@ -230,13 +230,13 @@
 
 
 def unended(emulator: Emulator, jobs: list[DrawnJob]) -> list[str]:
-    """Give the jobs of an emulated day that callers were not shown the end of."""
+    """Return the jobs of an emulation whose final status was not published."""
     statuses = emulator.statuses
     return [job.job for job in jobs if job.job not in statuses or not statuses[job.job].is_final]
 
 
 def of_type(effects, kind):
-    """Give the effects of one type."""
+    """Return the effects of one type."""
     return [effect for effect in effects if isinstance(effect, kind)]
 
 
--- a/tests/test_jobs_capacity.py
+++ b/tests/test_jobs_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of workers whose room shrinks and grows while they run."""
+"""Tests of workers whose capacity shrinks and grows at run time."""
 
 import dataclasses
 import random
@@ -30,21 +30,21 @@
         return self.bench.feed(WorkerListed(dataclasses.replace(entry, capacity=capacity)))
 
     def place_without_record(self) -> Persist:
-        """Place two tasks whose placement is on its way to the record."""
+        """Place two tasks while the store does not confirm their placement."""
         self.bench.holds_store = True
         self.bench.submit(PAIR)
         (batch,) = of_type(self.bench.effects, Persist)
         return batch
 
     def test_room_that_shrinks_before_a_start_goes_out(self) -> None:
-        """Of two tasks that were placed, only one starts where room for one is left."""
+        """If the capacity shrinks after the placement of two tasks, only those that fit start."""
         batch = self.place_without_record()
         self.resize(Size(1000, 9000))
         found = self.bench.feed(Persisted(batch.number))
         self.assertEqual(len(self.bench.starts(found)), 1)
 
     def test_worker_that_has_nothing_left(self) -> None:
-        """Neither starts where the worker has no room at all, and both wait again."""
+        """If the worker has no capacity left, no task starts and all of them are requeued."""
         batch = self.place_without_record()
         self.resize(ZERO)
         found = self.bench.feed(Persisted(batch.number))
@@ -56,7 +56,7 @@
         self.assertEqual(len(self.bench.starts(self.bench.seen)), 2)
 
     def test_what_runs_is_left_to_end(self) -> None:
-        """Runs beyond a room that has shrunk go on; nothing starts beside them before they end."""
+        """Runs that exceed a shrunk capacity continue; nothing starts before they end."""
         job = self.bench.submit(PAIR)
         starts = self.bench.starts()
         for start in starts:
@@ -73,7 +73,7 @@
         self.assertEqual(len(self.bench.starts(self.bench.seen)), 1)
 
     def test_room_that_grows_is_used_at_once(self) -> None:
-        """A task that waits for room starts as soon as the entry tells of it."""
+        """Waiting tasks start as soon as the worker's entry has more capacity."""
         self.bench.submit(msgspec.structs.replace(SMALL, count=4))
         self.assertEqual(len(self.bench.starts(self.bench.seen)), 2)
         self.bench.now += 0.1
@@ -84,7 +84,7 @@
 
 class TestTroubles(unittest.TestCase):
     def test_no_start_beyond_what_a_worker_says(self) -> None:
-        """Rooms that shrink, to nothing too, and grow again beside lost answers and new leaders."""
+        """Capacities shrink, also to zero, and grow, with lost answers and leader changes."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = self.play(seed)
@@ -110,7 +110,7 @@
             if source.random() < 0.05:
                 emulator.kill_leader(0.5)
             if source.random() < 0.05:
-                # What was placed before is put on record long after its worker told of less room.
+                # Placements are recorded long after the capacity of their workers has shrunk.
                 emulator.faults.store_down = True
                 emulator.timeline.after(6.0, lambda: _bring_back(emulator))
         emulator.faults.store_down = False
--- a/tests/test_jobs_placing.py
+++ b/tests/test_jobs_placing.py
@@ -1,4 +1,4 @@
-"""Tests of placing: what one pass looks at, whose turn it is, and what tickets allow."""
+"""Tests of placement: bounds of a pass, fairness between steps, and expired tickets."""
 
 import dataclasses
 import unittest
@@ -22,7 +22,7 @@
 
 
 class TestBacklog(unittest.TestCase):
-    """A leader with much to place goes on answering to everything else."""
+    """Placement passes over a long backlog are bounded in time."""
 
     WORKERS = 80
     STEPS = 400
@@ -52,7 +52,7 @@
             self.bench.submit(gang)
 
     def test_one_pass_is_bounded(self) -> None:
-        """A pass over many steps that find no room looks at a bounded number of workers."""
+        """A pass over many steps that cannot be placed examines a bounded number of workers."""
         self.submit_backlog()
         self.bench.now += 1.0
         self.scored = 0
@@ -61,7 +61,7 @@
         self.assertLessEqual(self.scored, 1_600)
 
     def test_passes_take_a_bounded_share_of_the_time(self) -> None:
-        """However many events come, looking at workers takes a third of the time at most."""
+        """Examining workers takes at most 30 % of the time, however many events arrive."""
         self.submit_backlog()
         self.scored = 0
         for _ in range(1000):
@@ -71,14 +71,14 @@
         self.assertLessEqual(self.scored, 1.0 * 0.3 / 10e-6 + 1_600)
 
     def test_every_step_gets_its_turn(self) -> None:
-        """A small job is placed although many that find no room rank before it."""
+        """A small job is placed although many higher-ranked steps cannot be placed."""
         self.submit_backlog()
         small = self.bench.submit()
         self.bench.tick(self.STEPS * self.WORKERS / 750 * 0.1 + 0.5)
         self.assertIn(small, [start.order.task.job for start in self.bench.starts(self.bench.seen)])
 
     def test_ranks_are_renewed_a_few_at_a_time(self) -> None:
-        """All ranks are renewed in turn, a few in each round."""
+        """All ranks are refreshed in turn, a limited number in each tick."""
         self.submit_backlog()
         self.bench.tick(1.0)
         self.ranked = 0
@@ -89,7 +89,7 @@
         self.assertGreater(oldest, self.bench.now - 3.0)
 
     def test_placing_waits_while_events_do(self) -> None:
-        """While further events wait, steps are placed a little later, with all they told."""
+        """While further events are queued, the placement is delayed and covers all of them."""
         bench = self.bench
         bench.now += 1.0
         bench.feed(Ticked(2))
@@ -107,7 +107,7 @@
 
 class TestQuestions(unittest.TestCase):
     def test_long_questions_keep_no_short_one_waiting(self) -> None:
-        """However many long questions wait, a step with a short one is asked about at once."""
+        """A short request is sent immediately, however many long ones are pending."""
         bench = Bench()
         slow, quick = AdviceTerms(500, 5, 2000), AdviceTerms(5, 0.1, 2000)
         queues = [
@@ -131,7 +131,7 @@
     TERMS = AdviceTerms(decide_ms=10, each_ms=1, valid_ms=2000)
 
     def place(self, count: int, gang: bool) -> Bench:
-        """Have a step placed while the store takes so long that its tickets expire."""
+        """Place a step while the store is so slow that the tickets expire."""
         bench = Bench(advice=self.TERMS)
         for number in range(count):
             bench.add_worker(f"w{number}", cpu=1000)
@@ -147,14 +147,14 @@
         return bench
 
     def test_start_is_not_sent(self) -> None:
-        """A start whose ticket has expired meanwhile is not sent; the task waits again."""
+        """A start whose ticket has expired is not sent, and the task is requeued."""
         bench = self.place(1, gang=False)
         self.assertEqual(bench.starts(bench.seen), [])
         self.assertEqual(of_type(bench.seen, SendStop), [])
         self.assertEqual(len(bench.cell.waiting), 1)
 
     def test_no_member_of_a_gang_is_sent(self) -> None:
-        """A gang is started whole or not at all."""
+        """No member of a gang is started if a ticket has expired."""
         bench = self.place(3, gang=True)
         self.assertEqual(bench.starts(bench.seen), [])
         self.assertEqual(of_type(bench.seen, SendStop), [])
--- a/tests/test_jobs_preempting.py
+++ b/tests/test_jobs_preempting.py
@@ -1,4 +1,4 @@
-"""Tests of making room for gangs: who yields, what is kept, and what is given back."""
+"""Tests of preemption for gangs: the choice of victims, and claims on the freed resources."""
 
 import dataclasses
 import unittest
@@ -28,7 +28,7 @@
             self.bench.add_worker(life, cpu=2000)
 
     def fill(self, spec=YIELDING, count: int = 4) -> list[SendStart]:
-        """Have all room taken by runs of one step, as their workers report."""
+        """Fill the workers with confirmed runs of one step."""
         self.bench.submit(msgspec.structs.replace(spec, count=count))
         starts = self.bench.starts()
         for start in starts:
@@ -41,7 +41,7 @@
         return of_type(self.bench.effects, SendStop)
 
     def end_stopped(self, stops: list[SendStop]) -> list[SendStart]:
-        """Have workers list the ends of stopped runs; give the starts that follow."""
+        """Report the ends of stopped runs, and return the resulting starts."""
         before = len(self.bench.starts(self.bench.seen))
         for life in sorted({stop.life for stop in stops}):
             self.bench.now += 0.01
@@ -55,37 +55,37 @@
         return self.bench.starts(self.bench.seen)[before:]
 
     def test_yielding_runs_make_room(self) -> None:
-        """As many runs are stopped as the gang needs, and it starts once they have ended."""
+        """As many runs are stopped as a gang needs, and the gang starts once they have ended."""
         self.fill()
         stops = self.submit_gang()
         self.assertEqual(len(stops), 3)
         started = self.end_stopped(stops)
         gang = [start for start in started if start.order.task.job.endswith("2")]
         self.assertEqual(len(gang), 3)
-        # What has yielded waits for room to come and may have reserved it; the gang keeps none.
+        # The preempted step may have reservations; the gang keeps no claim.
         kept = [self.bench.cell.claims]
         kept += [worker.claims for worker in self.bench.cell.workers.values()]
         gangs = {start.order.task.job for start in gang}
         self.assertEqual([key for keys in kept for key in keys if key[0] in gangs], [])
 
     def test_nothing_is_stopped_in_vain(self) -> None:
-        """Where all that yields would not be enough, nothing is stopped."""
+        """No run is stopped if preempting all eligible runs would not suffice."""
         self.fill()
         self.assertEqual(self.submit_gang(count=5), [])
 
     def test_only_what_saves_its_progress_yields(self) -> None:
-        """A run without checkpoints would have to begin again; it is left alone."""
+        """A run without checkpoints is not preempted, as it would lose its progress."""
         self.fill(SMALL)
         self.assertEqual(self.submit_gang(), [])
 
     def test_policy_decides(self) -> None:
-        """What the operators' program does not name yields to nobody."""
+        """No run is preempted if the policy program does not permit it."""
         self.yields = False
         self.fill()
         self.assertEqual(self.submit_gang(), [])
 
     def test_claimed_room_is_kept(self) -> None:
-        """Room that is being made goes to nobody else meanwhile."""
+        """Claimed resources are not used by other steps."""
         self.fill(count=2)
         stops = self.submit_gang(count=4)
         self.assertEqual(len(stops), 2)
@@ -96,7 +96,7 @@
         self.assertEqual(len(self.bench.starts(self.bench.seen)), before)
 
     def test_claim_without_an_outcome_ends(self) -> None:
-        """Room is given back where the stopped runs do not end in time."""
+        """A claim expires if the stopped runs do not end in time."""
         self.fill(count=2)
         self.submit_gang(count=4)
         before = len(self.bench.starts(self.bench.seen))
@@ -105,7 +105,7 @@
         self.assertEqual(len(self.bench.starts(self.bench.seen)), before + 1)
 
     def test_fewest_runs_are_stopped(self) -> None:
-        """Of workers with room to make, those are taken where the fewest runs have to yield."""
+        """The workers with the fewest victims are chosen."""
         half = msgspec.structs.replace(YIELDING, size=Size(500, 100))
         self.bench.cell.workers["w2"].aside_until = self.bench.now + 0.005
         self.fill(half, count=4)
@@ -115,7 +115,7 @@
         self.assertEqual([stop.life for stop in stops], ["w2", "w2"])
 
     def test_worker_on_trial_counts_for_nothing(self) -> None:
-        """Room on a worker that is being proved is not counted as free, nor made there."""
+        """Neither free resources nor preemptible runs of a worker on trial are considered."""
         self.fill(count=1)
         (busy,) = [w for w in self.bench.cell.workers.values() if w.runs]
         busy.trial = next(iter(busy.runs))
@@ -124,12 +124,12 @@
         self.assertEqual(self.bench.cell.claims, {})
 
     def test_task_yields_a_few_times_only(self) -> None:
-        """A task that was stopped twice to make room is left alone."""
+        """A task that was preempted twice is not preempted again."""
         starts = self.fill()
         for start in starts:
             self.bench.cell.find_task(start.order.task).yields = 2
         self.assertEqual(self.submit_gang(), [])
 
     def test_room_is_never_negative(self) -> None:
-        """Where more is claimed than is free, nothing fits; it does not count backwards."""
+        """The number of fitting tasks is zero if the free resources are negative."""
         self.assertEqual(fitting(Size(-1500, 100, 0), Size(1000, 10, 0)), 0)
--- a/tests/test_jobs_reducer.py
+++ b/tests/test_jobs_reducer.py
@@ -1,4 +1,4 @@
-"""Tests of the leader's reducer: what is ordered when, and what follows from answers."""
+"""Tests of the leader's reducer: when orders are sent, and how answers are handled."""
 
 import dataclasses
 import unittest
@@ -35,7 +35,7 @@
 
 class TestDurability(unittest.TestCase):
     def test_start_waits_for_its_record(self) -> None:
-        """No start is sent before its placement is on record."""
+        """No start is sent before its placement is recorded."""
         bench = Bench()
         bench.add_worker()
         bench.holds_store = True
@@ -48,7 +48,7 @@
         self.assertEqual(len(bench.starts()), 1)
 
     def test_one_batch_at_a_time(self) -> None:
-        """What changes while a batch is on its way goes with the next."""
+        """Changes made while a batch is in flight are sent with the next one."""
         bench = Bench()
         bench.add_worker()
         bench.holds_store = True
@@ -62,7 +62,7 @@
         self.assertEqual(bench.cell.batch, 2)
 
     def test_end_is_forgotten_after_its_record(self) -> None:
-        """A worker may forget an end, and callers see it, once it is on record."""
+        """An end is acknowledged to its worker, and published, once it is recorded."""
         bench = Bench()
         bench.add_worker()
         job = bench.submit()
@@ -101,27 +101,27 @@
         return found
 
     def test_lease_of_a_silent_worker_is_not_renewed(self) -> None:
-        """Renewals to a worker that does not answer only look, so its leases run out."""
+        """Renewals to a worker that does not answer carry no lease, so its leases expire."""
         found = self.miss_for(3.0)
         looks = [effect.order.lease_until_ms for effect in of_type(found, SendRenew)]
         self.assertGreater(len(looks), 3)
         self.assertEqual(set(looks), {0})
 
     def test_runs_begin_again_after_the_lease(self) -> None:
-        """Not before its leases are over, at the slowest rate of its clock, then elsewhere."""
+        """Runs restart elsewhere after the leases are over at the slowest clock rate."""
         self.bench.add_worker("v")
         found = self.miss_for(9.0)
         again = [effect for effect in of_type(found, SendStart) if effect.life == "v"]
         self.assertEqual([effect.order.run for effect in again], [2])
 
     def test_not_before_the_lease(self) -> None:
-        """Within the lease nothing begins again."""
+        """No run restarts while the leases may still be valid."""
         self.bench.add_worker("v")
         found = self.miss_for(3.5)
         self.assertEqual(of_type(found, SendStart), [])
 
     def test_other_life_ends_all_at_once(self) -> None:
-        """Where another life answers, the runs of the one meant are over."""
+        """If another life of the worker answers, the runs of the addressed life are over."""
         self.bench.add_worker("v")
         event = StartAnswered("w", self.order.task, 1, StartResult(Refusal.OTHER_LIFE))
         found = self.bench.feed(event) + self.bench.tick(0.2)
@@ -140,7 +140,7 @@
         return self.bench.feed(StartAnswered("w", self.order.task, 1, None))
 
     def test_listed_run_is_adopted(self) -> None:
-        """A run that the worker lists has started."""
+        """An unanswered start has succeeded if the worker reports the run."""
         self.bench.report("w", running=[(self.order.task, 1, 0.0)])
         self.unanswered()
         self.bench.report("w", running=[(self.order.task, 1, 5.0)])
@@ -148,7 +148,7 @@
         self.assertEqual((task.phase, task.run), (Phase.RUNNING, 1))
 
     def missing(self) -> list:
-        """Report, after the lost answer, that nothing runs."""
+        """Report no runs after the lost answer to the start."""
         self.bench.report("w")
         self.unanswered()
         self.bench.now += 0.01
@@ -156,7 +156,7 @@
         return self.bench.report("w")
 
     def test_missing_run_is_stopped_before_it_begins_again(self) -> None:
-        """A run that is not listed may come later, so the worker must refuse it first."""
+        """An unreported run may still start, so it is stopped before it restarts elsewhere."""
         found = self.missing()
         self.assertEqual(len(of_type(found, SendStop)), 1)
         self.assertEqual(of_type(found, SendStart), [])
@@ -169,7 +169,7 @@
         self.assertEqual([e.order.run for e in of_type(self.bench.seen, SendStart)], [2])
 
     def test_repeated_stop_keeps_its_first_answer(self) -> None:
-        """Stops that are sent again do not put off what follows from the first answer."""
+        """Repeated stop orders do not reset the time of the first answer."""
         self.missing()
         self.bench.feed(StopAnswered("w", self.order.task, 1, True))
         stop = next(iter(self.bench.cell.stops.values()))
@@ -182,7 +182,7 @@
 
 class TestWaiting(unittest.TestCase):
     def test_refused_start_leaves_its_job_waiting(self) -> None:
-        """A job counts as waiting until a start of it has been confirmed."""
+        """A job stays pending until one of its starts is confirmed."""
         bench = Bench()
         bench.add_worker()
         job = bench.submit()
@@ -199,7 +199,7 @@
 
 class TestFailures(unittest.TestCase):
     def test_attempts_are_counted_and_end_the_job(self) -> None:
-        """A job has failed with the last attempt that its queue allows, not before."""
+        """A job fails with the last attempt that its queue permits, not before."""
         bench = Bench(attempts=2)
         bench.add_worker()
         bench.submit()
@@ -214,7 +214,7 @@
         self.assertEqual(bench.starts(), [])
 
     def test_failure_of_a_run_given_up_counts(self) -> None:
-        """A run that was taken for lost and had failed uses an attempt up all the same."""
+        """The failure of a run that was considered lost still counts as an attempt."""
         bench = Bench(attempts=2)
         bench.add_worker("w")
         bench.submit()
@@ -226,7 +226,7 @@
         self.assertEqual(task.failures, 1)
 
     def test_gang_fails_once_a_run(self) -> None:
-        """Two failed members of one run are one failure of the gang."""
+        """Two failed members of one run count as one failure of the gang."""
         bench = Bench(attempts=2)
         bench.add_worker()
         job = bench.submit(gang_of(3))
@@ -252,7 +252,7 @@
 
 class TestGangs(unittest.TestCase):
     def test_starts_as_a_whole_or_not_at_all(self) -> None:
-        """A gang without room for all its members starts none."""
+        """A gang starts none of its members unless there are resources for all."""
         bench = Bench()
         bench.add_worker("w", cpu=4000)
         bench.submit(gang_of(5))
@@ -263,7 +263,7 @@
         self.assertEqual({start.order.run for start in bench.starts(found)}, {1})
 
     def test_refused_member_takes_the_others_along(self) -> None:
-        """Where one member cannot start, the others are stopped before they wait in vain."""
+        """If a member is refused, the other members are stopped immediately."""
         bench = Bench()
         bench.add_worker()
         bench.submit(gang_of(3))
@@ -276,7 +276,7 @@
 
 class TestPlacing(unittest.TestCase):
     def test_room_is_never_oversold(self) -> None:
-        """What is being stopped still takes room."""
+        """A run that is being stopped still uses its resources."""
         bench = Bench()
         bench.add_worker("w", cpu=1000)
         job = bench.submit()
@@ -290,7 +290,7 @@
         self.assertEqual(len(bench.starts(bench.effects + bench.tick(0.2))), 1)
 
     def test_steps_follow_their_predecessors(self) -> None:
-        """A later step waits for all tasks of the earlier one."""
+        """A step waits for all tasks of its predecessor."""
         bench = Bench()
         bench.add_worker()
         later = msgspec.structs.replace(SMALL, after=(0,))
@@ -305,7 +305,7 @@
         self.assertEqual([start.order.task.step for start in started], [1])
 
     def test_draining_worker_gets_nothing_new(self) -> None:
-        """A worker that is about to leave takes nothing, and what runs there goes on."""
+        """Nothing is placed on a draining worker."""
         bench = Bench()
         bench.add_worker("w")
         entry = dataclasses.replace(bench.cell.workers["w"].entry, draining=True)
@@ -314,7 +314,7 @@
         self.assertEqual(bench.starts(bench.effects + bench.tick(0.5)), [])
 
     def test_delisted_worker_keeps_its_runs(self) -> None:
-        """A missing entry is no evidence that runs are over."""
+        """The removal of a worker's entry does not end its runs."""
         bench = Bench()
         bench.add_worker("w")
         bench.submit()
@@ -326,7 +326,7 @@
         self.assertEqual(len(bench.cell.workers["w"].runs), 1)
 
     def test_worker_that_goes_without_a_word_gets_nothing_new(self) -> None:
-        """A worker whose entry goes while the store is well is leaving, though it answers."""
+        """Nothing is placed on a worker whose entry was removed while the store was available."""
         bench = Bench()
         bench.add_worker("w")
         bench.feed(WorkerDelisted("w", may_return=False))
@@ -335,7 +335,7 @@
         self.assertEqual(bench.starts(bench.seen), [])
 
     def test_entry_that_lapsed_with_the_store_may_return(self) -> None:
-        """A worker whose entry went with an outage is used while it may come back, no longer."""
+        """A worker whose entry expired in a store outage is used for a grace period only."""
         bench = Bench()
         bench.add_worker("w")
         bench.feed(WorkerDelisted("w", may_return=True))
@@ -347,7 +347,7 @@
         self.assertEqual(len(bench.starts(bench.seen)), 1)
 
     def test_failed_run_goes_elsewhere(self) -> None:
-        """The next try of a failed run avoids the worker that it failed on."""
+        """The next attempt after a failed run avoids the worker that it failed on."""
         bench = Bench()
         bench.add_worker("w", cpu=8000)
         bench.submit()
@@ -370,7 +370,7 @@
         return self.bench.feed(AdviceAnswered(AdviceGiven(asked.wanted, tickets)))
 
     def test_start_carries_the_ticket(self) -> None:
-        """Only advised workers are used, with the ticket for the worker's life."""
+        """Only workers with a ticket are used, and the start carries that ticket."""
         self.bench.submit()
         (asked,) = of_type(self.bench.effects, AskAdvice)
         self.assertEqual(set(asked.wanted.workers), {"w", "v"})
@@ -379,14 +379,14 @@
         self.assertEqual((start.life, start.order.ticket), ("v", "ticket-v"))
 
     def test_questions_are_few_and_the_highest_rank_goes_first(self) -> None:
-        """No more than two questions a node are on their way, whatever waits."""
+        """At most two requests for each node are pending, however many steps wait."""
         for _ in range(20):
             self.bench.submit()
         self.bench.tick(0.2)
         self.assertEqual(len(self.bench.cell.questions), 4)
 
     def test_unfit_workers_are_not_asked_about_again(self) -> None:
-        """What the service has told stays; only tickets are renewed."""
+        """Fitness is remembered; only tickets are renewed."""
         self.bench.submit(msgspec.structs.replace(SMALL, size=Size(4000, 1000)))
         (asked,) = of_type(self.bench.effects, AskAdvice)
         self.bench.cell.workers["w"].used = Size(4000, 0)
@@ -397,7 +397,7 @@
         self.assertEqual(again.wanted.workers, ("w",))
 
     def test_gang_asks_about_as_many_workers_as_it_needs(self) -> None:
-        """A question about all of many workers would outlast its tickets."""
+        """Requests are limited in size; otherwise tickets would expire before the placement."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(90):
             bench.add_worker(f"x{number}")
@@ -408,7 +408,7 @@
         self.assertGreaterEqual(len(asked[0]), 10)
 
     def test_gang_learns_of_all_workers_at_once(self) -> None:
-        """Several nodes are asked at the same time, about each worker once."""
+        """Parallel requests cover all workers, each of them once."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(90):
             bench.add_worker(f"x{number}")
@@ -418,7 +418,7 @@
         self.assertEqual(len(set(asked)), 90)
 
     def test_gang_counts_the_tickets_that_hold(self) -> None:
-        """Only what is missing beside valid tickets is asked for, among those known to be fit."""
+        """Only expired tickets of workers known to be fit are requested again."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(4):
             bench.add_worker(f"x{number}", cpu=1000)
@@ -434,7 +434,7 @@
         self.assertEqual(again.wanted.workers, ("x0",))
 
     def test_answer_from_before_the_terms_changed(self) -> None:
-        """A queue whose advice was taken away and given back is asked about as before."""
+        """An answer to a request sent before the queue's terms changed is not counted."""
         cell = self.bench.cell
         self.bench.submit(msgspec.structs.replace(SMALL, size=Size(4000, 1000)))
         (asked,) = of_type(self.bench.effects, AskAdvice)
@@ -445,7 +445,7 @@
         self.assertEqual(step.advice.asking, 0)
 
     def test_failed_question_is_asked_again(self) -> None:
-        """A question without an answer is repeated a little later."""
+        """A request without an answer is repeated after a delay."""
         self.bench.submit()
         (asked,) = of_type(self.bench.effects, AskAdvice)
         self.bench.feed(AdviceFailed(asked.wanted))
@@ -465,7 +465,7 @@
         return bench, job
 
     def test_running_run_is_adopted(self) -> None:
-        """What the worker lists goes on; nothing is started or stopped."""
+        """A run that the worker reports continues; nothing is started or stopped."""
         bench, job = self.restored()
         bench.add_worker("w", settled=False)
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
@@ -473,7 +473,7 @@
         self.assertEqual(of_type(found, SendStart) + of_type(found, SendStop), [])
 
     def test_statuses_are_shown_at_once(self) -> None:
-        """A new leader shows all jobs on record before it takes any event."""
+        """A new leader publishes the statuses of all recorded jobs before any event."""
         bench = Bench(token=9)
         job = "a" * 16
         effects = bench.restore(self.recorded(job, "w"))
@@ -481,7 +481,7 @@
         self.assertEqual(shown, [(job, JobStatus.RUNNING)])
 
     def test_failure_on_record_is_not_counted_again(self) -> None:
-        """An end that is on record, and that the worker lists again, counts once."""
+        """A recorded failure that the worker reports again is counted once."""
         bench = Bench(token=9, attempts=2)
         job = "a" * 16
         bench.restore(self.recorded(job, "", failed_runs=[3]))
@@ -493,21 +493,21 @@
         self.assertEqual([start.order.run for start in bench.starts(bench.seen)], [4])
 
     def test_run_that_never_arrived_begins_again(self) -> None:
-        """The first report under the new token settles what runs there."""
+        """A run missing from the first report to the new leader is restarted."""
         bench, _ = self.restored()
         bench.add_worker("w", settled=False)
         found = bench.report("w") + bench.tick(0.2)
         self.assertEqual([start.order.run for start in bench.starts(found)], [4])
 
     def test_worker_never_seen_again(self) -> None:
-        """Its runs are over only after the longest lease and a cut-off leader's silence."""
+        """The runs of an unreached worker restart only after all leases have expired."""
         bench, _ = self.restored(life="gone")
         bench.add_worker("w")
         self.assertEqual(bench.starts(bench.tick(9.5)), [])
         self.assertEqual(len(bench.starts(bench.tick(1.0))), 1)
 
     def test_placement_that_never_began_still_waits(self) -> None:
-        """A job whose placement is on record counts as waiting until a worker tells of it."""
+        """A job with a recorded placement stays pending until a worker reports the run."""
         bench = Bench(token=9)
         job = "a" * 16
         progress = JobProgress(JobStatus.PENDING, [TaskProgress(0, 0, 0, run=1, life="w")])
@@ -519,7 +519,7 @@
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
 
     def test_cancelled_job_is_stopped_by_the_successor(self) -> None:
-        """A run of a job that was cancelled is stopped where it is found."""
+        """A reported run of a cancelled job is stopped."""
         bench = Bench(token=9)
         job = "a" * 16
         recorded = self.recorded(job, "w")
@@ -531,7 +531,7 @@
         self.assertEqual(of_type(found, SendStart), [])
 
     def test_run_that_nothing_accounts_for_is_stopped(self) -> None:
-        """A run under no record takes room until it has ended, and is stopped."""
+        """A reported run without a record is stopped, and uses resources until it has ended."""
         bench, job = self.restored(life="elsewhere")
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
         bench.add_worker("w", settled=False)
@@ -540,7 +540,7 @@
         self.assertEqual(bench.cell.workers["w"].used.cpu, 1000)
 
     def test_job_that_ended_is_known_by_its_end_alone(self) -> None:
-        """It is shown as it ended, and does not run again when it is handed in again."""
+        """An ended job is published with its status and does not run again if resubmitted."""
         bench = Bench(token=9)
         bench.add_worker()
         job = "a" * 16
@@ -553,7 +553,7 @@
         self.assertEqual([e.names for e in of_type(found, ForgetAccepted)], [(job,)])
 
     def test_run_of_a_job_that_ended_takes_all_that_is_free(self) -> None:
-        """How much it takes is known no more; nothing is placed beside it until it has ended."""
+        """A run whose size is unknown blocks its worker until it has ended."""
         bench = Bench(token=9)
         job = "a" * 16
         bench.restore(RecordedJobs({}, set(), {job: JobProgress(JobStatus.COMPLETED, [])}))
@@ -567,7 +567,7 @@
         self.assertEqual(len(bench.starts(found)), 1)
 
     def test_fenced_leader_steps_down(self) -> None:
-        """A worker that has seen a higher token ends a leadership."""
+        """A refusal from a worker that has seen a higher token makes the leader step down."""
         bench = Bench()
         bench.add_worker()
         bench.submit()
@@ -578,7 +578,7 @@
 
 
 class TestForgetting(unittest.TestCase):
-    """How a job was taken in is forgotten once nothing rests on it any more."""
+    """A job's acceptance record is deleted once it is not needed any more."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -594,7 +594,7 @@
         return self.bench.report("w", ended=[(self.start.order.task, 1, kind)])
 
     def test_not_before_its_end_is_on_record(self) -> None:
-        """While the store is away, a successor needs to know what is to be done."""
+        """The acceptance record is kept until the job's end is stored."""
         self.bench.holds_store = True
         found = self.end(DONE) + self.bench.tick(1.0)
         self.assertEqual(self.forgotten(found), [])
@@ -603,7 +603,7 @@
         self.assertEqual(self.forgotten(found), [(self.job,)])
 
     def test_handed_in_again_while_its_end_waits(self) -> None:
-        """Until its end is on record, a successor knows of it by how it was taken in alone."""
+        """The record of a resubmitted job is kept until the job's end is stored."""
         self.bench.holds_store = True
         self.end(DONE)
         found = self.bench.feed(JobAccepted(self.job, accepted())) + self.bench.tick(1.0)
@@ -613,7 +613,7 @@
         self.assertIn((self.job,), self.forgotten(found))
 
     def test_not_while_something_runs(self) -> None:
-        """A successor counts the room of runs that are being stopped."""
+        """The record is kept while a run is being stopped, as a successor counts its resources."""
         found = self.bench.feed(JobCancelled(self.job)) + self.bench.tick(0.3)
         self.assertEqual(self.forgotten(found), [])
         found = self.end(EndKind.STOPPED) + self.bench.tick(0.1)
@@ -622,7 +622,7 @@
 
 class TestCancelling(unittest.TestCase):
     def test_cancelling_may_come_first(self) -> None:
-        """A cancelling on record before its job keeps the job from running."""
+        """A cancellation that arrives before its job keeps the job from running."""
         bench = Bench()
         bench.add_worker()
         bench.feed(JobCancelled("a" * 16))
@@ -634,7 +634,7 @@
 
 class TestSlowWorkers(unittest.TestCase):
     def test_run_moves_away_from_a_slow_worker(self) -> None:
-        """A run that stands still is stopped where another worker has room for it."""
+        """A run without progress is stopped if another worker can run it."""
         bench = Bench()
         bench.add_worker("w")
         bench.submit()
@@ -651,7 +651,7 @@
         self.assertGreater(bench.cell.workers["w"].slowness, 1.8)
 
     def test_run_at_the_usual_pace_stays(self) -> None:
-        """Progress as estimated moves nothing."""
+        """A run that progresses as estimated is not moved."""
         bench = Bench()
         bench.add_worker("w")
         bench.submit()
--- a/tests/test_jobs_reserving.py
+++ b/tests/test_jobs_reserving.py
@@ -1,4 +1,4 @@
-"""Tests of reserving room to come for bulky steps, and of asking for advice in time for it."""
+"""Tests of reservations for bulky steps, and of advice requests in time for them."""
 
 import dataclasses
 import unittest
@@ -16,7 +16,7 @@
 
 
 class TestReserving(unittest.TestCase):
-    """One worker of four cores, where two runs of a second each take one."""
+    """Tests on a worker of four cores, with two runs of one core and one second each."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -32,7 +32,7 @@
         self.bench.now += 0.1
 
     def submit(self, spec) -> list[SendStart]:
-        """Submit a job of one step; give its starts."""
+        """Submit a job of one step, and return its starts."""
         self.bench.now += 0.01
         job = self.bench.submit(spec)
         return [start for start in self.bench.starts() if start.order.task.job == job]
@@ -43,7 +43,7 @@
         self.bench.report("w", ended=ends)
 
     def test_smaller_work_does_not_take_the_pieces(self) -> None:
-        """What would end after a bulky task can begin waits for it, and it begins first."""
+        """A task that would end after a reservation starts waits; the bulky task goes first."""
         self.assertEqual(self.submit(BULKY), [])
         self.assertEqual(self.submit(SMALL), [])
         self.end_running()
@@ -51,12 +51,12 @@
         self.assertEqual(start.order.task.job, f"{2:016x}")
 
     def test_what_ends_before_may_use_it(self) -> None:
-        """Room that is reserved is used meanwhile by what ends in time."""
+        """Reserved resources are used by runs that end before the reservation starts."""
         self.assertEqual(self.submit(BULKY), [])
         self.assertEqual(len(self.submit(QUICK)), 1)
 
     def test_what_ranks_higher_may_use_it(self) -> None:
-        """A reservation holds nothing back that is more urgent."""
+        """A reservation does not block steps with a higher rank."""
         self.assertEqual(self.submit(BULKY), [])
         self.bench.cell.policy = dataclasses.replace(
             self.bench.cell.policy, rank=lambda step, now: 1e6
@@ -64,7 +64,7 @@
         self.assertEqual(len(self.submit(SMALL)), 1)
 
     def test_reservation_ends_with_its_job(self) -> None:
-        """Room that nobody waits for any more is given back."""
+        """A reservation is released once its step no longer waits."""
         self.submit(BULKY)
         self.assertTrue(self.bench.cell.workers["w"].claims)
         self.end_running()
@@ -72,7 +72,7 @@
         self.assertEqual(self.bench.cell.workers["w"].claims, {})
 
     def test_overdue_run_keeps_nobody_waiting_for_long(self) -> None:
-        """Where a run does not end as expected, small work is let in after as long again."""
+        """If a run does not end when expected, small tasks are placed after as long again."""
         self.submit(BULKY)
         self.submit(SMALL)
         job = f"{3:016x}"
@@ -82,7 +82,7 @@
         self.assertIn(job, [each.order.task.job for each in self.bench.starts(self.bench.seen)])
 
     def test_reservation_keeps_nobody_from_running_anything_for_long(self) -> None:
-        """Beside free room that is only reserved, a job of small tasks has one let in soon."""
+        """A step that only reservations block has one task placed after a bounded time."""
         long = msgspec.structs.replace(SMALL, size=Size(1000, 100), estimate_ms=60_000)
         self.end_running()
         (running,) = self.submit(long)
@@ -97,7 +97,7 @@
         self.assertEqual(started.count(job), 1)
 
     def test_bulky_task_has_room_made(self) -> None:
-        """Runs that save their progress yield to a single bulky task, too."""
+        """Checkpointing runs are preempted for a single bulky task, too."""
         self.bench.cell.policy = dataclasses.replace(
             self.bench.cell.policy, yields=lambda step, other, now: True
         )
@@ -126,7 +126,7 @@
         return of_type(self.bench.effects, AskAdvice)
 
     def fill(self, life: str) -> SendStart:
-        """Have a bulky run take all of a worker."""
+        """Fill a worker with a bulky run."""
         self.bench.now += 0.01
         self.bench.submit(BULKY)
         (asked,) = self.asked()
@@ -136,7 +136,7 @@
         return start
 
     def test_workers_without_room_are_learned_of(self) -> None:
-        """A question whose fixed part costs most names all workers, room or not."""
+        """A request includes workers without free resources while that adds little to its cost."""
         self.fill("w1")
         self.bench.now += 0.01
         self.bench.submit(BULKY)
@@ -144,7 +144,7 @@
         self.assertEqual(set(asked.wanted.workers), {"w1", "w2"})
 
     def test_ticket_is_there_when_room_is(self) -> None:
-        """The ticket for a worker whose room comes free is renewed before that."""
+        """The ticket for a reserved worker is renewed before its resources become free."""
         running = self.fill("w1")
         self.bench.now += 0.01
         self.bench.submit(BULKY)
@@ -159,7 +159,7 @@
 
 
 class TestRankBesideTickets(unittest.TestCase):
-    """Who ranks higher goes first, also where another one's ticket is there sooner."""
+    """A higher-ranked step goes first even if another step has its ticket earlier."""
 
     CHECK = msgspec.structs.replace(SMALL, size=Size(1000, 100), estimate_ms=1000)
     LONG = msgspec.structs.replace(BULKY, estimate_ms=60_000)
@@ -176,7 +176,7 @@
         )
 
     def take(self, effects) -> None:
-        """Confirm starts, and answer questions half a second after they were asked."""
+        """Confirm starts, and schedule the answers to advice requests after 0.5 s."""
         self.asked += [(self.bench.now + 0.5, each) for each in of_type(effects, AskAdvice)]
         for start in self.bench.starts(effects):
             self.started.append(start.order.task.job)
@@ -205,7 +205,7 @@
         self.take(self.bench.report(life, ended=[(task.id, task.run, DONE)]))
 
     def test_small_step_beside_large_ones_with_tickets(self) -> None:
-        """A step of small tasks is not passed by a late large one whose ticket is renewed."""
+        """A small step is placed before a later bulky one whose ticket was renewed in advance."""
         self.rank_by(lambda step: -step.spec.size.cpu)
         self.bench.add_worker("w1", cpu=4000)
         self.bench.add_worker("w2", cpu=4000)
@@ -214,7 +214,7 @@
         self.assertEqual(self.started, [first])
         check = self.submit(self.CHECK, "w1")
         late = self.submit(BULKY, "w1")
-        # The check's ticket lapses meanwhile; the large step's is renewed for when room comes.
+        # The small step's ticket expires meanwhile; that of the large step is renewed in advance.
         self.pass_time(2.6)
         self.end("w1", first)
         self.pass_time(1.2)
@@ -222,7 +222,7 @@
         self.assertNotIn(late, self.started)
 
     def test_room_that_is_asked_about_is_kept_only_so_long(self) -> None:
-        """Where the service does not answer, a lower step is let in soon."""
+        """If the service does not answer, a lower-ranked step is placed after a bounded time."""
         self.rank_by(lambda step: -step.spec.size.cpu)
         self.bench.add_worker("w1", cpu=4000)
         first = self.submit(BULKY, "w1")
@@ -236,7 +236,7 @@
         self.assertIn(late, self.started)
 
     def test_large_step_beside_reserved_room(self) -> None:
-        """Room that another one has only reserved keeps it out briefly, with short tickets too."""
+        """A reservation blocks a large step for a bounded time, even with short-lived tickets."""
         self.bench = Bench(advice=AdviceTerms(decide_ms=500, each_ms=5, valid_ms=1000))
         self.rank_by(lambda step: step.spec.count)
         for life in ("w1", "w2", "w3"):
--- a/tests/test_jobs_waiting.py
+++ b/tests/test_jobs_waiting.py
@@ -1,4 +1,4 @@
-"""Replays of the worst load: bursts on 270 workers, wide steps beside a flood of small work."""
+"""Emulations of heavy load: bursts on many workers, and wide steps beside many small jobs."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class TestCrowd(unittest.TestCase):
-    """Nothing fails but what is drawn to fail; the processors are never all in use."""
+    """Bursts without injected faults, on workers whose processors are never all in use."""
 
     reports: dict[str, QueueReport]
 
@@ -29,24 +29,24 @@
         cls.reports = {each.queue: each for each in report.queues}
 
     def test_no_promise_is_broken(self) -> None:
-        """No task runs twice, none where it may not, no worker is overfull."""
+        """No task runs twice or on an unfit worker, and no worker is overcommitted."""
         self.assertEqual(self.violations, 0)
 
     def test_wide_steps_are_not_passed_over(self) -> None:
-        """Steps are looked at while the advice about them holds, however many wait."""
+        """Wide steps are searched while their tickets are valid, however many steps wait."""
         self.assertGreater(self.reports["recons"].worth, 0.95)
         self.assertGreater(self.reports["payouts"].worth, 0.95)
 
     def test_small_work_beside_them(self) -> None:
-        """Callers who wait are served through a burst that doubles their number."""
+        """Small interactive jobs are served through a burst that doubles their number."""
         self.assertGreater(self.reports["lookups"].worth, 0.85)
 
 
 class TestTeams(unittest.TestCase):
-    """20 teams with quotas on 176 workers, whose gangs few workers may run, and a burst of them."""
+    """A burst of gangs that few workers may run, from 20 teams with quotas on 176 workers."""
 
     def test_gangs_find_their_workers_in_time(self) -> None:
-        """Asked about one part of the workers after the other, they had 0.754 of their worth."""
+        """Gangs are placed in time, which requires parallel advice requests about all workers."""
         capacity = Size(32_000, 131_072, 0)
         teams = uneven_teams(20, capacity.times(176).scaled(1.6))
         bursts = (Burst("payouts", 6.0, 4.0, 1.7),)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tests of quotas: what a team has running stays within them, whatever happens to its runs."""
+"""Tests of quotas: a team's runs stay within its quota, also under faults."""
 
 import random
 import unittest
@@ -38,7 +38,7 @@
 
 
 class QuotaBench(Bench):
-    """A cell with teams."""
+    """A harness with teams."""
 
     def __init__(self, *teams: Team, **more) -> None:
         super().__init__(**more)
@@ -66,7 +66,7 @@
 
 class TestWaves(unittest.TestCase):
     def test_wide_step_goes_in_waves(self) -> None:
-        """No more tasks run than the quota holds; each end lets the next begin."""
+        """No more tasks run than the quota admits; each end lets the next task start."""
         bench = QuotaBench(team(3000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
@@ -80,14 +80,14 @@
         self.assertEqual(bench.used, 3000)
 
     def test_every_kind_of_room_counts(self) -> None:
-        """A quota of memory binds as well as one of processors."""
+        """Quotas of memory are enforced as well as quotas of processors."""
         bench = QuotaBench(team(UNBOUNDED, memory=250))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
         self.assertEqual(len(bench.started), 2)
 
     def test_other_teams_are_not_held_up(self) -> None:
-        """A team at its quota keeps nobody else waiting."""
+        """A team at its quota does not delay other teams."""
         bench = QuotaBench(team(1000), team(5000, name="b"))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
@@ -97,14 +97,14 @@
         self.assertEqual(sorted(owners), ["1", "2", "2", "2", "2", "2"])
 
     def test_jobs_of_no_team_are_not_bound(self) -> None:
-        """What needed no key has no quota."""
+        """Jobs that were submitted without a key have no quota."""
         bench = QuotaBench(team(1000))
         bench.add_worker(cpu=20_000)
         bench.submit(WIDE)
         self.assertEqual(len(bench.started), 10)
 
     def test_task_larger_than_the_quota_runs_alone(self) -> None:
-        """It may pass the quota by itself, but by no second one."""
+        """A task may exceed the quota alone, but no second task may start beside it."""
         bench = QuotaBench(team(500))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
@@ -113,7 +113,7 @@
 
 class TestGangs(unittest.TestCase):
     def test_gang_starts_whole_or_not_at_all(self) -> None:
-        """Beside other work of its team a gang waits until all of it is within the quota."""
+        """A gang waits until the quota admits all of it beside the team's other runs."""
         bench = QuotaBench(team(4500))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", StepSpec(count=1, size=ONE))
@@ -126,7 +126,7 @@
         self.assertEqual(len(bench.started), 5)
 
     def test_gang_without_room_keeps_no_quota_for_long(self) -> None:
-        """What no worker holds for now may not keep its team's other gangs from starting."""
+        """A gang that no workers can hold does not block the other gangs of its team."""
         bench = QuotaBench(team(10_000))
         bench.add_worker(cpu=4000)
         bench.submit_as("a", msgspec.structs.replace(GANG, size=Size(2000, 100)))
@@ -137,7 +137,7 @@
         self.assertEqual([start.order.task.job[-1] for start in bench.started], ["2"] * 4)
 
     def test_gang_that_can_never_run_waits_and_is_not_failed(self) -> None:
-        """A quota may rise again: then it runs; until then it is shown as waiting."""
+        """A gang that exceeds the quota stays pending, and runs once the quota is raised."""
         bench = QuotaBench(team(2000))
         bench.add_worker(cpu=20_000)
         job = bench.submit_as("a", GANG)
@@ -149,7 +149,7 @@
         self.assertEqual(len(bench.started), 4)
 
     def test_gang_is_not_passed_by_its_own_team(self) -> None:
-        """Freed quota is kept for a gang that waits, and not given to tasks that rank lower."""
+        """Freed quota is reserved for a waiting gang rather than used by lower-ranked tasks."""
         bench = QuotaBench(team(4000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", StepSpec(count=3, size=ONE, estimate_ms=1000))
@@ -167,7 +167,7 @@
         self.assertEqual(len(bench.started), 7)
 
     def test_gang_larger_than_the_quota_keeps_nothing(self) -> None:
-        """What can never run holds up nobody."""
+        """No quota is reserved for a gang that exceeds the whole quota."""
         bench = QuotaBench(team(2000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", GANG)
@@ -178,7 +178,7 @@
 
 
 class TestCounted(unittest.TestCase):
-    """Each kind of run that is or may be at a worker is counted until it surely is not."""
+    """Each run that exists or may exist on a worker counts until it certainly does not."""
 
     def setUp(self) -> None:
         self.bench = QuotaBench(team(1000))
@@ -191,7 +191,7 @@
         return start
 
     def test_held_start(self) -> None:
-        """A placement that is not on record yet."""
+        """A placement that is not recorded yet counts."""
         self.bench.holds_store = True
         self.bench.submit_as("a", WIDE)
         self.bench.tick(1.0)
@@ -199,14 +199,14 @@
         self.assertEqual(self.bench.started, [])
 
     def test_unanswered_start(self) -> None:
-        """It may be carried out seconds later."""
+        """A start without an answer counts, as it may still be carried out."""
         start = self.start_one()
         self.bench.feed(StartAnswered(start.life, start.order.task, 1, None))
         self.bench.tick(1.0)
         self.assertEqual(len(self.bench.started), 1)
 
     def test_run_being_stopped(self) -> None:
-        """Until its end is listed, or its worker has refused it for good."""
+        """A run being stopped counts until its end is reported or its start is excluded."""
         start = self.start_one()
         self.bench.feed(StartAnswered(start.life, start.order.task, 1, None))
         while not of_type(self.bench.seen, SendStop):
@@ -225,7 +225,7 @@
         self.assertEqual(self.bench.used, 1000)
 
     def test_worker_that_is_cut_off(self) -> None:
-        """What runs there runs on until its lease is over."""
+        """Runs on an unreachable worker count until their leases have expired."""
         start = self.start_one()
         self.bench.confirm(start)
         self.bench.report(start.life, running=[(start.order.task, 1, 10.0)])
@@ -237,7 +237,7 @@
         self.assertEqual(len(self.bench.started), 1)
 
     def test_runs_of_an_earlier_leader(self) -> None:
-        """They count before their worker is known, and after."""
+        """Runs of an earlier leader count before and after their worker is known."""
         job = "a" * 16
         progress = JobProgress(JobStatus.RUNNING, [TaskProgress(0, 0, 0, 1, "u")], "a")
         bench = QuotaBench(team(1000))
@@ -253,7 +253,7 @@
         self.assertEqual(len(bench.started), 1)
 
     def test_nothing_is_left_counted(self) -> None:
-        """Once all have ended, nothing is."""
+        """No usage is left once all runs have ended."""
         start = self.start_one()
         self.bench.confirm(start)
         self.bench.report(start.life, ended=[(start.order.task, 1, DONE)])
@@ -266,7 +266,7 @@
 
 class TestChangedQuotas(unittest.TestCase):
     def test_lowered_quota_holds_starts_back(self) -> None:
-        """A start that waits for its record does not go out over the quota of then."""
+        """A deferred start is not sent if the quota was lowered meanwhile."""
         bench = QuotaBench(team(4000))
         bench.add_worker(cpu=20_000)
         bench.holds_store = True
@@ -279,7 +279,7 @@
         self.assertLessEqual(len(bench.started), 2)
 
     def test_raised_quota_is_used_at_once(self) -> None:
-        """What waited for it begins with the next look for room."""
+        """Waiting tasks start with the first pass after the quota is raised."""
         bench = QuotaBench(team(1000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
@@ -292,7 +292,7 @@
     SECONDS = 15
 
     def test_quotas_hold_in_all_troubles(self) -> None:
-        """Late orders, lost answers, takeovers and changed quotas: checked at the workers."""
+        """No quota is exceeded with late orders, lost answers, leader changes and new quotas."""
         for seed in range(6):
             with self.subTest(seed=seed):
                 emulator, jobs = self.play(seed)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of fair shares: who goes first where teams want the same room."""
+"""Tests of fair shares: which team goes first when resources are scarce."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 class ShareBench(Bench):
-    """A cell with the shipped programs and two teams, one of thrice the other's weight."""
+    """A harness with the shipped programs and two teams with weights 3 and 1."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -59,19 +59,19 @@
         return self.bench.starts(self.bench.seen)[-1].order.task.job
 
     def test_share_counts_the_weight(self) -> None:
-        """Half of the room is twice the share of who weighs a quarter of all."""
+        """Half of all resources is twice the share of a team with a quarter of the weight."""
         self.fill("small", 2)
         self.assertAlmostEqual(share_used(self.bench.cell, "small"), 2.0)
         self.assertEqual(share_used(self.bench.cell, "large"), 0.0)
         self.assertEqual(share_used(self.bench.cell, ""), 0.0)
 
     def test_nobody_else_wants_it(self) -> None:
-        """What is free anybody may use, far over its share."""
+        """A team may use idle resources beyond its share."""
         self.fill("small", 4)
         self.assertEqual(len(self.bench.starts(self.bench.seen)), 4)
 
     def test_team_that_sends_many_times_its_usual(self) -> None:
-        """On a full worker the next room goes to who is below its share, though it came last."""
+        """On a full worker, a team below its share goes first, although it submitted last."""
         self.fill("small", 4)
         for _ in range(36):
             self.bench.submit_as("small")
@@ -81,7 +81,7 @@
         self.assertEqual(self.newest, late)
 
     def test_operators_are_told(self) -> None:
-        """Each second, of each team that waits."""
+        """The usage of each team with waiting steps is logged every second."""
         self.fill("small", 4)
         self.bench.submit_as("small")
         told = [e for e in of_type(self.bench.tick(1.2), Decided) if e.decision == "team_use"]
