--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -266,7 +266,7 @@
 
 class TestChangedQuotas(unittest.TestCase):
     def test_lowered_quota_holds_starts_back(self) -> None:
-        """A deferred start is not sent if the quota was lowered meanwhile."""
+        """A deferred start is not sent if it exceeds a quota that was lowered meanwhile."""
         bench = QuotaBench(team(4000))
         bench.add_worker(cpu=20_000)
         bench.holds_store = True
