--- a/src/snowdock/jobs/seats.py
+++ b/src/snowdock/jobs/candidates.py
@@ -6,51 +6,51 @@
 
 from ..declarations import Size
 from .cell import Cell
-from .failed_runs import is_being_proved, is_doubtful, is_on_trial
+from .failed_runs import has_probation_run, is_doubtful, is_on_probation
 from .forecast import expected_end
-from .parts import Step, Task
+from .job_state import Step, Task
 from .workers import Worker
 
 __all__ = [
-    "Care",
-    "Seats",
-    "care_of",
+    "Candidate",
+    "Caution",
+    "caution_for",
     "choose_workers",
-    "find_seats",
-    "fitting",
+    "count_fitting",
+    "find_candidates",
     "is_bulky",
-    "may_be_trusted",
-    "most_seats",
+    "is_trusted",
+    "max_additional_tasks",
 ]
 
-_UNBOUNDED = 1_000
+_UNBOUNDED_TASKS = 1_000
 """Number of fitting tasks if a task needs no resources."""
 
 
-_BULKY_PARTS = 3
+_BULKY_TASKS_PER_WORKER = 3
 """A task is bulky if fewer than this many fit on an empty large worker. On a worker that is shared
 by several runs, that much rarely becomes free at once by chance."""
 
 
-_CAREFUL_SECONDS = 1.0
+_LAST_ATTEMPT_CAUTION_SECONDS = 1.0
 """Time for which the last attempt of a task waits for a worker without recent failures."""
 
-_LONGEST_CHOOSY_SECONDS = 2.0
+_MAX_CAUTION_SECONDS = 2.0
 """Maximum time for which a step that runs nothing avoids workers quarantined for failures. Users
 accept 3 s beside free resources, of which a ticket and the recording take up to one. A last
 attempt waits 0.5 s longer."""
 
 
-class Care(enum.IntEnum):
+class Caution(enum.IntEnum):
     """How strictly a step avoids workers on which runs have failed."""
 
     NONE = 0
-    USUAL = 1
-    MOST = 2
+    NORMAL = 1
+    HIGH = 2
 
 
 @dataclasses.dataclass(slots=True)
-class Seats:
+class Candidate:
     """A worker that can take tasks of a step now, with their maximum number and its score."""
 
     worker: Worker
@@ -58,9 +58,9 @@
     score: float
 
 
-def find_seats(
-    cell: Cell, step: Step, workers: Iterable[Worker], over_reservations: bool = False
-) -> Iterator[Seats]:
+def find_candidates(
+    cell: Cell, step: Step, workers: Iterable[Worker], ignore_reservations: bool = False
+) -> Iterator[Candidate]:
     """Yield the candidates for a step among some workers.
 
     Parameters
@@ -76,30 +76,30 @@
     """
     spec = step.spec
     room = spec.room
-    care = care_of(cell, step)
+    caution = caution_for(cell, step)
     for worker in workers:
-        free = _free_now(cell, step, worker, over_reservations)
+        free = _available_room(cell, step, worker, ignore_reservations)
         if not free.holds(room):
             continue
-        if not may_be_trusted(cell, worker, care):
+        if not is_trusted(cell, worker, caution):
             continue
-        count = min(fitting(free, room), most_seats(step, worker))
+        count = min(count_fitting(free, room), max_additional_tasks(step, worker))
         if count <= 0:
             continue
-        if is_on_trial(worker, cell.now):
+        if is_on_probation(worker, cell.now):
             count = 1
-        there = _count_there(step, worker) if spec.most_per_worker else 0
-        score = cell.policy.score(step, worker, there)
+        step_runs = _count_step_runs(step, worker) if spec.most_per_worker else 0
+        score = cell.policy.score(step, worker, step_runs)
         if score is not None:
-            yield Seats(worker, count, score)
+            yield Candidate(worker, count, score)
 
 
-def _free_now(cell: Cell, step: Step, worker: Worker, over_reservations: bool) -> Size:
+def _available_room(cell: Cell, step: Step, worker: Worker, ignore_reservations: bool) -> Size:
     """Return the resources of a worker that a run of a step may use if it starts now."""
-    if not worker.claims:
+    if not worker.room_holds:
         return worker.free
-    if over_reservations:
-        return worker.unclaimed(step.key)
+    if ignore_reservations:
+        return worker.unreserved_room(step.key)
     return worker.free_for(step.key, step.rank, expected_end(step, worker, cell.now))
 
 
@@ -113,47 +113,47 @@
     capacity
         Resources of a large worker of the step's service.
     """
-    return step.spec.gang or not capacity.holds(step.spec.room.times(_BULKY_PARTS))
+    return step.spec.gang or not capacity.holds(step.spec.room.times(_BULKY_TASKS_PER_WORKER))
 
 
-def care_of(cell: Cell, step: Step) -> Care:
+def caution_for(cell: Cell, step: Step) -> Caution:
     """Return how strictly a step avoids workers on which runs have failed."""
     waited = cell.now - step.waiting_since
-    if waited < _CAREFUL_SECONDS:
-        return Care.MOST if _is_last_attempt(cell, step) else Care.USUAL
-    longest = _LONGEST_CHOOSY_SECONDS
+    if waited < _LAST_ATTEMPT_CAUTION_SECONDS:
+        return Caution.HIGH if _is_last_attempt(cell, step) else Caution.NORMAL
+    max_wait_s = _MAX_CAUTION_SECONDS
     if _is_last_attempt(cell, step):
-        longest += _CAREFUL_SECONDS / 2
-    is_stuck = waited >= longest and not any(task.is_placed for task in step.tasks)
-    return Care.NONE if is_stuck else Care.USUAL
+        max_wait_s += _LAST_ATTEMPT_CAUTION_SECONDS / 2
+    is_stuck = waited >= max_wait_s and not any(task.is_placed for task in step.tasks)
+    return Caution.NONE if is_stuck else Caution.NORMAL
 
 
-def may_be_trusted(cell: Cell, worker: Worker, care: Care) -> bool:
+def is_trusted(cell: Cell, worker: Worker, caution: Caution) -> bool:
     """Check whether a worker's failures permit another run at a caution level."""
-    if care is Care.NONE:
+    if caution is Caution.NONE:
         return True
-    if is_being_proved(worker, cell.now):
+    if has_probation_run(worker, cell.now):
         return False
-    return care is Care.USUAL or not is_doubtful(worker)
+    return caution is Caution.NORMAL or not is_doubtful(worker)
 
 
 def _is_last_attempt(cell: Cell, step: Step) -> bool:
     """Check whether one more failure of a task would fail the job."""
-    most = cell.queue_of(step.job).max_attempts - 1
-    return any(task.failures >= most for task in step.tasks)
+    max_retries = cell.queue_of(step.job).max_attempts - 1
+    return any(task.failures >= max_retries for task in step.tasks)
 
 
-def most_seats(step: Step, worker: Worker) -> int:
+def max_additional_tasks(step: Step, worker: Worker) -> int:
     """Return how many more tasks of a step a worker may run, regardless of its resources."""
     spec = step.spec
     if spec.label and spec.label not in worker.entry.labels:
         return 0
     if not spec.most_per_worker:
-        return _UNBOUNDED
-    return max(0, spec.most_per_worker - _count_there(step, worker))
+        return _UNBOUNDED_TASKS
+    return max(0, spec.most_per_worker - _count_step_runs(step, worker))
 
 
-def fitting(free: Size, room: Size) -> int:
+def count_fitting(free: Size, room: Size) -> int:
     """Return the number of tasks that fit into free resources, which may be negative."""
     counts = [
         have // need
@@ -164,10 +164,10 @@
         )
         if need
     ]
-    return max(0, min(counts, default=_UNBOUNDED))
+    return max(0, min(counts, default=_UNBOUNDED_TASKS))
 
 
-def _count_there(step: Step, worker: Worker) -> int:
+def _count_step_runs(step: Step, worker: Worker) -> int:
     """Count a step's runs on a worker, including those that are being stopped."""
     job, repetition, number = step.key
     return sum(
@@ -177,32 +177,34 @@
     )
 
 
-def choose_workers(step: Step, tasks: list[Task], seats: list[Seats]) -> list[Worker]:
+def choose_workers(step: Step, tasks: list[Task], candidates: list[Candidate]) -> list[Worker]:
     """Return a worker for each task, in order, as far as the candidates suffice."""
     if step.spec.gang and step.spec.same_rack:
-        seats = _within_one_rack(seats, len(tasks))
-    seats.sort(key=lambda seat: -seat.score)
+        candidates = _select_rack(candidates, len(tasks))
+    candidates.sort(key=lambda candidate: -candidate.score)
     avoided = set()
     for task in tasks:
-        avoided |= task.avoid or set()
-    if avoided or any(seat.worker.aside_for for seat in seats):
+        avoided |= task.avoided_lives or set()
+    if avoided or any(seat.worker.quarantine_cause for seat in candidates):
         # Prefer workers on which the tasks have not failed, and those without charged failures.
-        seats.sort(key=lambda seat: (seat.worker.life in avoided, bool(seat.worker.charged)))
+        candidates.sort(
+            key=lambda seat: (seat.worker.life in avoided, bool(seat.worker.failures_by_step))
+        )
     chosen: list[Worker] = []
-    for seat in seats:
-        taken = min(seat.count, len(tasks) - len(chosen))
-        chosen.extend([seat.worker] * taken)
+    for seat in candidates:
+        count = min(seat.count, len(tasks) - len(chosen))
+        chosen.extend([seat.worker] * count)
         if len(chosen) == len(tasks):
             break
     return chosen
 
 
-def _within_one_rack(seats: list[Seats], wanted: int) -> list[Seats]:
+def _select_rack(candidates: list[Candidate], wanted: int) -> list[Candidate]:
     """Return the candidates of the smallest rack that can hold all tasks, or all candidates."""
-    racks: dict[str, list[Seats]] = {}
-    for seat in seats:
+    racks: dict[str, list[Candidate]] = {}
+    for seat in candidates:
         racks.setdefault(seat.worker.entry.rack, []).append(seat)
-    fitting = [rack for rack in racks.values() if sum(seat.count for seat in rack) >= wanted]
-    if not fitting:
-        return seats
-    return min(fitting, key=lambda rack: sum(seat.count for seat in rack))
+    sufficient = [rack for rack in racks.values() if sum(seat.count for seat in rack) >= wanted]
+    if not sufficient:
+        return candidates
+    return min(sufficient, key=lambda rack: sum(seat.count for seat in rack))
--- a/src/snowdock/jobs/events.py
+++ b/src/snowdock/jobs/events.py
@@ -4,8 +4,8 @@
 
 from .model import Configuration, JobId, JobStatus, TaskId
 from .orders import (
-    AdviceGiven,
-    AdviceWanted,
+    AdviceRequest,
+    AdviceResult,
     Refusal,
     RenewOrder,
     StartOrder,
@@ -22,20 +22,20 @@
     "AskAdvice",
     "CloseWorker",
     "ConfigurationChanged",
-    "Decided",
     "DropJobs",
     "Effect",
     "Event",
     "ForgetAccepted",
     "JobAccepted",
     "JobCancelled",
+    "LogDecision",
     "OpenWorker",
     "Persist",
     "Persisted",
     "ProgressRecord",
     "PublishStatus",
     "RenewAnswered",
-    "SendRenew",
+    "SendRenewal",
     "SendStart",
     "SendStop",
     "StartAnswered",
@@ -125,14 +125,14 @@
 class AdviceAnswered:
     """The advice service answered a request."""
 
-    given: AdviceGiven
+    result: AdviceResult
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceFailed:
     """The advice service did not answer a request, or no node could send it."""
 
-    wanted: AdviceWanted
+    request: AdviceRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -155,7 +155,7 @@
         earlier have been handled before it.
     """
 
-    askers: int = 1
+    advice_node_count: int = 1
     sent_at: float = 0.0
 
 
@@ -211,7 +211,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendRenew:
+class SendRenewal:
     """Renew a worker's lease and request its report."""
 
     life: str
@@ -222,7 +222,7 @@
 class AskAdvice:
     """Send a request to the advice service; ``expected_ms`` is its expected duration."""
 
-    wanted: AdviceWanted
+    request: AdviceRequest
     expected_ms: float
 
 
@@ -276,7 +276,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Decided:
+class LogDecision:
     """Log a decision about a job, task or worker, with the data that it is based on."""
 
     decision: str
@@ -288,7 +288,7 @@
     Persist
     | SendStart
     | SendStop
-    | SendRenew
+    | SendRenewal
     | AskAdvice
     | OpenWorker
     | CloseWorker
@@ -296,5 +296,5 @@
     | DropJobs
     | ForgetAccepted
     | StepDown
-    | Decided
+    | LogDecision
 )
--- a/src/snowdock/jobs/model.py
+++ b/src/snowdock/jobs/model.py
@@ -120,7 +120,7 @@
     may_miss: int = 0
 
     @property
-    def may_yield(self) -> bool:
+    def is_preemptible(self) -> bool:
         """Whether a run can be stopped and resumed from a checkpoint on another worker."""
         return self.checkpointing and not (self.gang or self.long_running)
 
@@ -260,6 +260,6 @@
                 best = queue
         return best
 
-    def queue_named(self, name: str) -> Queue | None:
+    def find_queue_by_name(self, name: str) -> Queue | None:
         """Return the queue with a name, or None."""
         return next((queue for queue in self.queues if queue.name == name), None)
--- /dev/null
+++ b/src/snowdock/jobs/placement.py
@@ -0,0 +1,379 @@
+"""Placement of waiting steps on workers, by rank, in passes of bounded duration."""
+
+import dataclasses
+
+from ..declarations import ZERO, Size
+from .availability import find_exclusion
+from .candidates import Candidate, Caution, caution_for, choose_workers, find_candidates, is_bulky
+from .cell import Cell, DeferredStart
+from .durability import mark_dirty
+from .failed_runs import begin_probation_run
+from .job_state import Phase, Step, Task
+from .occupancy import occupy
+from .placement_advice import may_request_advice, needs_advice, request_advice
+from .preemption import has_claim, preempt_runs, release_expired_claims
+from .quotas import reserve_quotas, tasks_within_quota
+from .ranking import refresh_ranks
+from .reservations import reserve_room
+from .suspects import (
+    IsolationLevel,
+    limit_suspect_seats,
+    may_share_worker,
+    next_tasks,
+    record_suspect,
+)
+from .workers import Worker
+
+__all__ = ["place_waiting_steps"]
+
+_MIN_PASS_INTERVAL_SECONDS = 0.005
+"""Minimum time between two passes, so that one pass covers several changes."""
+
+_SECONDS_PER_EXAMINED_WORKER = 10e-6
+"""Approximate time to examine one worker for one step."""
+
+_MAX_EXAMINED_PER_PASS = 1_500
+"""Maximum number of workers examined in one pass, which takes about 15 ms, so that renewals and
+answers are not delayed for longer. Half of them are examined for the steps with the highest rank,
+half for the steps whose last search is the oldest."""
+
+_MAX_PASS_TIME_SHARE = 0.3
+"""Maximum fraction of the time spent in passes. The rest is left for other events: if these are
+delayed, tickets expire before their starts are sent, and each refused start needs another pass."""
+
+_MAX_BLOCKED_SECONDS = 1.5
+"""Time after which a step that runs nothing, and that only reservations block, may place one task
+on reserved resources. Together with up to 0.5 s for tickets this stays below the 3 s that users
+accept for a small job beside free resources."""
+
+_CROWDED_STEP_COUNT = 50
+_SEARCH_RETRY_SECONDS = 0.05
+"""While more steps than this are waiting, a step that could not be placed is not searched again
+for this time, so that other steps are."""
+
+
+@dataclasses.dataclass(slots=True)
+class _WorkerPool:
+    """Open workers of one service, and the maximum free resources among them.
+
+    Bulky steps are searched even if no worker has enough free resources, because runs may be
+    preempted or resources reserved for them.
+    """
+
+    workers: dict[str, Worker] = dataclasses.field(default_factory=dict)
+    _by_free_cpu: list[Worker] | None = None
+    max_free_cpu: int = 0
+    max_free_memory: int = 0
+    max_free_accelerators: int = 0
+    capacity: Size = ZERO
+
+    def add(self, worker: Worker) -> None:
+        """Add a worker to the pool."""
+        free = worker.free
+        self.workers[worker.entry.life] = worker
+        # Plain comparisons instead of Size methods: every pass calls this for every worker.
+        if free.cpu > self.max_free_cpu:
+            self.max_free_cpu = free.cpu
+        if free.memory > self.max_free_memory:
+            self.max_free_memory = free.memory
+        if free.accelerators > self.max_free_accelerators:
+            self.max_free_accelerators = free.accelerators
+        if not self.capacity.holds(worker.entry.capacity):
+            self.capacity = self.capacity.at_least(worker.entry.capacity)
+
+    @property
+    def by_free_cpu(self) -> list[Worker]:
+        """Workers by descending free processors, as of the first access."""
+        if self._by_free_cpu is None:
+            self._by_free_cpu = sorted(self.workers.values(), key=lambda each: -each.free.cpu)
+        return self._by_free_cpu
+
+    def may_hold(self, step: Step) -> bool:
+        """Check whether a worker might have enough free resources for a task of a step."""
+        max_free = Size(self.max_free_cpu, self.max_free_memory, self.max_free_accelerators)
+        return step.is_bulky or max_free.holds(step.spec.room)
+
+
+_EMPTY_POOL = _WorkerPool()
+
+
+class _WorkerPools:
+    """Open workers of one pass, by service."""
+
+    def __init__(self, cell: Cell, now: float) -> None:
+        self._cell = cell
+        self._now = now
+        self._regular = self._build_pools(is_last_resort=False)
+        self._last_resort: dict[str, _WorkerPool] | None = None
+
+    def pool_for(self, step: Step) -> _WorkerPool:
+        """Return the open workers for a step; quarantined ones only as a last resort."""
+        service = self._cell.queue_of(step.job).service
+        if caution_for(self._cell, step) is not Caution.NONE:
+            return self._regular.get(service, _EMPTY_POOL)
+        if self._last_resort is None:
+            self._last_resort = self._build_pools(is_last_resort=True)
+        return self._last_resort.get(service, _EMPTY_POOL)
+
+    def _build_pools(self, is_last_resort: bool) -> dict[str, _WorkerPool]:
+        pools: dict[str, _WorkerPool] = {}
+        for worker in self._cell.workers.values():
+            if find_exclusion(worker, self._now, is_last_resort) is None:
+                pools.setdefault(worker.entry.service, _WorkerPool()).add(worker)
+        return pools
+
+
+def place_waiting_steps(cell: Cell, now: float) -> None:
+    """Run a placement pass over the waiting steps, in descending order of rank."""
+    if not cell.waiting_steps or now < cell.next_placement_at:
+        return
+    cell.needs_placement = False
+    cell.last_placement_at = now
+    release_expired_claims(cell, now)
+    refresh_ranks(cell, now)
+    reserve_quotas(cell)
+    pools = _WorkerPools(cell, now)
+    examined = len(cell.workers)
+    by_rank = sorted(cell.waiting_steps.values(), key=lambda step: -step.rank)
+    examined += _search_steps(cell, by_rank, pools, now, _MAX_EXAMINED_PER_PASS // 2)
+    newly_advised = [step for step in by_rank if step.has_new_advice]
+    examined += _search_steps(cell, newly_advised, pools, now, _MAX_EXAMINED_PER_PASS)
+    if len(cell.waiting_steps) > _CROWDED_STEP_COUNT:
+        by_last_search = sorted(cell.waiting_steps.values(), key=lambda step: step.last_search_at)
+        examined += _search_steps(cell, by_last_search, pools, now, _MAX_EXAMINED_PER_PASS // 2)
+    pause = examined * _SECONDS_PER_EXAMINED_WORKER / _MAX_PASS_TIME_SHARE
+    cell.next_placement_at = now + max(_MIN_PASS_INTERVAL_SECONDS, pause)
+
+
+def _search_steps(
+    cell: Cell, steps: list[Step], pools: _WorkerPools, now: float, max_examined: int
+) -> int:
+    """Search workers for steps, in order, and return the number of workers examined.
+
+    No further step is searched once ``max_examined`` workers have been examined.
+    """
+    examined = 0
+    for step in steps:
+        if examined >= max_examined:
+            break
+        if step.not_before <= now and step.next_search_at <= now:
+            step.last_search_at = now
+            step.has_new_advice = False
+            examined += _place_step(cell, step, pools, now)
+    return examined
+
+
+def _place_step(cell: Cell, step: Step, pools: _WorkerPools, now: float) -> int:
+    """Place as many tasks of a step as possible, and return the number of workers examined."""
+    tasks, isolation = next_tasks(step, now)
+    if not tasks:
+        del cell.waiting_steps[step.key]
+        return 1
+    tasks = tasks[: _limit_to_quota(cell, step, len(tasks))]
+    if not tasks:
+        return 1
+    pool = pools.pool_for(step)
+    step.is_bulky = is_bulky(step, pool.capacity)
+    if not pool.may_hold(step):
+        return 1
+    if needs_advice(cell, step):
+        return 1 + _place_advised(cell, step, tasks, isolation, pool, now)
+    workers = _filter_by_isolation(isolation, list(pool.workers.values()))
+    candidates = _find_step_candidates(cell, step, workers, workers, isolation, now)
+    remaining = _place_tasks(cell, step, tasks, isolation, candidates, now)
+    if remaining:
+        if step.is_bulky:
+            _claim_or_reserve_room(cell, step, workers, workers, len(remaining), now)
+        _defer_search(cell, step, now)
+    return 1 + len(workers)
+
+
+def _limit_to_quota(cell: Cell, step: Step, wanted: int) -> int:
+    """Return the number of tasks that the team's quota admits, and log when it becomes zero."""
+    count = tasks_within_quota(cell, step, wanted)
+    if step.is_at_quota is not (count == 0):
+        step.is_at_quota = count == 0
+        decision = "team_at_quota" if step.is_at_quota else "team_below_quota"
+        team = step.job.team
+        used = cell.team_usage.used(team)
+        cell.log_decision(
+            decision, step.job.id, step=step.number, team=team, wanted=wanted, used=used
+        )
+    return count
+
+
+def _place_advised(
+    cell: Cell,
+    step: Step,
+    tasks: list[Task],
+    isolation: IsolationLevel,
+    pool: _WorkerPool,
+    now: float,
+) -> int:
+    """Place tasks on workers with tickets, or request advice; return the workers examined."""
+    workers = _filter_by_isolation(isolation, _find_workers_with_ticket(step, pool, now))
+    fit = _filter_by_isolation(isolation, _find_fit_workers(step, pool))
+    candidates = _find_step_candidates(cell, step, workers, fit, isolation, now)
+    remaining = _place_tasks(cell, step, tasks, isolation, candidates, now)
+    examined = len(workers)
+    if not remaining or (len(remaining) < len(tasks) and not step.is_bulky):
+        return examined
+    if step.is_bulky:
+        examined += len(fit)
+        if _claim_or_reserve_room(cell, step, workers, fit, len(remaining), now):
+            return examined
+    if not step.advice.pending_requests and may_request_advice(cell, step, fit, now):
+        examined += request_advice(cell, step, pool.by_free_cpu, fit, len(remaining), now)
+    _defer_search(cell, step, now)
+    return examined
+
+
+def _filter_by_isolation(isolation: IsolationLevel, workers: list[Worker]) -> list[Worker]:
+    """Return the workers that satisfy an isolation level."""
+    if isolation is IsolationLevel.NONE:
+        return workers
+    return [worker for worker in workers if may_share_worker(worker, isolation)]
+
+
+def _find_step_candidates(
+    cell: Cell,
+    step: Step,
+    workers: list[Worker],
+    fit: list[Worker],
+    isolation: IsolationLevel,
+    now: float,
+) -> list[Candidate]:
+    """Return the candidates for a step, or one with reserved resources if it is blocked for long.
+
+    ``workers`` are those on which the step could start now, ``fit`` those that may run it at all.
+    """
+    candidates = list(find_candidates(cell, step, workers))
+    if isolation is not IsolationLevel.NONE:
+        candidates = limit_suspect_seats(cell, step, candidates, isolation)
+    if candidates or step.spec.gang or not fit:
+        return candidates
+    if any(task.is_placed for task in step.tasks) or not _is_blocked_by_reservations(
+        cell, step, fit
+    ):
+        step.blocked_since = None
+        return []
+    if step.blocked_since is None:
+        step.blocked_since = now
+    if now - step.blocked_since < _MAX_BLOCKED_SECONDS:
+        return []
+    reserved = list(find_candidates(cell, step, workers, ignore_reservations=True))
+    if not reserved:
+        # The tickets for these workers are being renewed.
+        return []
+    best = max(reserved, key=lambda seat: seat.score)
+    return [dataclasses.replace(best, count=1)]
+
+
+def _is_blocked_by_reservations(cell: Cell, step: Step, fit: list[Worker]) -> bool:
+    """Check whether only reservations for other steps prevent a placement."""
+    return any(True for _ in find_candidates(cell, step, fit, ignore_reservations=True))
+
+
+def _place_tasks(
+    cell: Cell,
+    step: Step,
+    tasks: list[Task],
+    isolation: IsolationLevel,
+    candidates: list[Candidate],
+    now: float,
+) -> list[Task]:
+    """Place tasks on candidates, a gang as a whole or not at all; return the remaining tasks."""
+    chosen = choose_workers(step, tasks, candidates)
+    if not chosen or (step.spec.gang and len(chosen) < len(tasks)):
+        return tasks
+    _assign_tasks(cell, step, tasks, isolation, chosen, now)
+    return tasks[len(chosen) :]
+
+
+def _claim_or_reserve_room(
+    cell: Cell,
+    step: Step,
+    ready: list[Worker],
+    fit: list[Worker],
+    wanted: int,
+    now: float,
+) -> bool:
+    """Preempt runs for a bulky step, or else reserve resources; return whether it has a claim.
+
+    ``ready`` are the workers on which the step could start now, ``fit`` those that may run it at
+    all.
+    """
+    if has_claim(cell, step, now) or preempt_runs(cell, step, ready, wanted, now):
+        return True
+    reserve_room(cell, step, fit, wanted, now)
+    return False
+
+
+def _defer_search(cell: Cell, step: Step, now: float) -> None:
+    if len(cell.waiting_steps) > _CROWDED_STEP_COUNT:
+        step.next_search_at = now + _SEARCH_RETRY_SECONDS
+
+
+def _find_workers_with_ticket(step: Step, pool: _WorkerPool, now: float) -> list[Worker]:
+    """Return the workers for which the step has a valid ticket."""
+    workers = []
+    for life, (_, expires) in step.advice.tickets.items():
+        worker = pool.workers.get(life)
+        if worker is not None and expires > now:
+            workers.append(worker)
+    return workers
+
+
+def _find_fit_workers(step: Step, pool: _WorkerPool) -> list[Worker]:
+    """Return the workers known to be fit for the step, even if their tickets have expired."""
+    return [pool.workers[life] for life in step.advice.tickets if life in pool.workers]
+
+
+def _assign_tasks(
+    cell: Cell,
+    step: Step,
+    tasks: list[Task],
+    isolation: IsolationLevel,
+    chosen: list[Worker],
+    now: float,
+) -> None:
+    """Assign tasks to workers; the starts are sent once the placement is recorded."""
+    gang_run = max(task.run for task in step.tasks) + 1
+    checkpoint = _gang_checkpoint(step) if step.spec.gang else ""
+    for task, worker in zip(tasks, chosen, strict=False):
+        task.run = gang_run if step.spec.gang else task.run + 1
+        task.life = worker.life
+        task.is_confirmed = False
+        task.phase = Phase.RECORDED
+        task.phase_since = task.ordered_at = now
+        if step.spec.gang:
+            task.checkpoint = checkpoint
+        occupy(cell, worker, task.id, task.run, step)
+        record_suspect(worker, task, isolation)
+        begin_probation_run(worker, (task.id, task.run), now)
+        cell.deferred.append(DeferredStart(task, task.run))
+    step.blocked_since = None
+    mark_dirty(cell, step.job)
+    cell.log_decision(
+        "placed",
+        step.job.id,
+        step=step.number,
+        tasks=len(chosen),
+        run=tasks[0].run,
+        workers=sorted({worker.life for worker in chosen}),
+        rank=step.rank,
+        waited_s=now - step.job.submitted_at,
+    )
+    remaining = [task for task in step.tasks if task.phase is Phase.WAITING]
+    if not remaining:
+        del cell.waiting_steps[step.key]
+        release_expired_claims(cell, now)
+    elif any(task.lost_runs for task in remaining):
+        # These tasks have another isolation level and were not considered in this search.
+        cell.needs_placement = True
+
+
+def _gang_checkpoint(step: Step) -> str:
+    """Return the newest checkpoint of any member; all members must resume from the same one."""
+    latest = max(step.tasks, key=lambda task: (bool(task.checkpoint), task.run, task.checkpoint))
+    return latest.checkpoint
--- a/src/snowdock/jobs/quotas.py
+++ b/src/snowdock/jobs/quotas.py
@@ -6,17 +6,17 @@
 
 from ..declarations import ZERO, Size
 from ..teams import Team
-from .cell import Cell, QuotaKept
-from .parts import Step, Task
-from .seats import fitting
+from .candidates import count_fitting
+from .cell import Cell, QuotaReservation
+from .job_state import Step, Task
 
-__all__ = ["keep_quotas", "may_start", "tasks_within_quota"]
+__all__ = ["may_start_within_quota", "reserve_quotas", "tasks_within_quota"]
 
-_KEEPS_QUOTA = True
+_RESERVES_QUOTA = True
 """Whether quota is reserved for waiting gangs. Without it, a gang waits behind all smaller steps
 of its team."""
 
-_KEPT_WHOLE_SECONDS = 1.5
+_MAX_IDLE_RESERVATION_SECONDS = 1.5
 """Time for which quota that suffices for a gang is reserved for it. A gang that cannot be placed
 for another reason would block the other gangs of its team otherwise."""
 
@@ -42,62 +42,62 @@
     if team is None:
         return wanted
     size = step.spec.size
-    used = cell.team_use.used(team.name).plus(_kept_from(cell, step))
-    count = min(wanted, fitting(team.quota.minus(used), size))
+    used = cell.team_usage.used(team.name).plus(_reserved_for_higher_rank(cell, step))
+    count = min(wanted, count_fitting(team.quota.minus(used), size))
     if count == wanted:
         return wanted
     if not step.spec.gang:
         # A task that is larger than the quota may run alone.
         return max(1, count) if used == ZERO else count
     # So may a gang, if all but one of its tasks fit within the quota and its overage.
-    over = team.quota.scaled(1 + cell.settings.quota_overage)
-    return wanted if used == ZERO and fitting(over, size) >= wanted - 1 else 0
+    overage_quota = team.quota.scaled(1 + cell.settings.quota_overage)
+    return wanted if used == ZERO and count_fitting(overage_quota, size) >= wanted - 1 else 0
 
 
-def keep_quotas(cell: Cell) -> None:
+def reserve_quotas(cell: Cell) -> None:
     """Reserve of each team's quota what the team's highest-ranked waiting gang needs.
 
     Otherwise smaller tasks of the team would use all quota that becomes free, and the gang would
     never be admitted. Steps with a higher rank may still use the reserved quota.
     """
-    cell.quota_kept.clear()
-    if not _KEEPS_QUOTA:
+    cell.quota_reservations.clear()
+    if not _RESERVES_QUOTA:
         return
-    for step in cell.waiting.values():
+    for step in cell.waiting_steps.values():
         team = _team_of(cell, step) if step.spec.gang else None
-        if team is None or _is_kept_in_vain(cell, step, team):
+        if team is None or _is_reservation_idle(cell, step, team):
             continue
-        need = step.spec.size.times(step.spec.count)
-        kept = cell.quota_kept.get(team.name)
-        if (kept is None or kept.rank < step.rank) and team.quota.holds(need):
-            cell.quota_kept[team.name] = QuotaKept(step.key, step.rank, need)
+        size = step.spec.size.times(step.spec.count)
+        reservation = cell.quota_reservations.get(team.name)
+        if (reservation is None or reservation.rank < step.rank) and team.quota.holds(size):
+            cell.quota_reservations[team.name] = QuotaReservation(step.key, step.rank, size)
 
 
-def _is_kept_in_vain(cell: Cell, step: Step, team: Team) -> bool:
+def _is_reservation_idle(cell: Cell, step: Step, team: Team) -> bool:
     """Check whether a gang has had enough quota for a while but waits for something else."""
-    free = team.quota.minus(cell.team_use.used(team.name))
+    free = team.quota.minus(cell.team_usage.used(team.name))
     if not free.holds(step.spec.size.times(step.spec.count)):
-        step.has_quota_since = None
+        step.quota_available_since = None
         return False
-    if step.has_quota_since is None:
-        step.has_quota_since = cell.now
-    return cell.now - step.has_quota_since > _KEPT_WHOLE_SECONDS
+    if step.quota_available_since is None:
+        step.quota_available_since = cell.now
+    return cell.now - step.quota_available_since > _MAX_IDLE_RESERVATION_SECONDS
 
 
-def _kept_from(cell: Cell, step: Step) -> Size:
+def _reserved_for_higher_rank(cell: Cell, step: Step) -> Size:
     """Return the quota that is reserved for a gang of the team that ranks higher than a step."""
-    kept = cell.quota_kept.get(step.job.team)
-    if kept is None or kept.step == step.key or kept.rank < step.rank:
+    reservation = cell.quota_reservations.get(step.job.team)
+    if reservation is None or reservation.step == step.key or reservation.rank < step.rank:
         return ZERO
-    return kept.need
+    return reservation.size
 
 
-def may_start(cell: Cell, task: Task) -> bool:
+def may_start_within_quota(cell: Cell, task: Task) -> bool:
     """Check whether a placed task may still start, as its team's quota may have been lowered."""
     team = _team_of(cell, task.step)
     if team is None:
         return True
-    others = cell.team_use.used(team.name).minus(task.step.spec.size)
+    others = cell.team_usage.used(team.name).minus(task.step.spec.size)
     return team.quota.scaled(1 + cell.settings.quota_overage).holds(others)
 
 
--- a/src/snowdock/jobs/reserving.py
+++ b/src/snowdock/jobs/reservations.py
@@ -9,19 +9,19 @@
 import math
 from collections.abc import Iterable
 
+from .candidates import caution_for, count_fitting, is_trusted, max_additional_tasks
 from .cell import Cell, Claim
-from .forecast import room_to_come
+from .forecast import upcoming_free_room
+from .job_state import Step
 from .model import StepKey
-from .parts import Step
-from .seats import care_of, fitting, may_be_trusted, most_seats
-from .workers import Hold, Worker
+from .workers import RoomHold, Worker
 
-__all__ = ["find_reservation", "keep_room", "release_claim", "reserve"]
+__all__ = ["find_reservation", "hold_room", "release_claim", "reserve_room"]
 
-_KEPT_SECONDS = 0.6
+_RESERVATION_SECONDS = 0.6
 """Duration of a reservation; it is renewed while its step waits."""
 
-_RENEW_SECONDS = 0.3
+_RENEWAL_MARGIN_SECONDS = 0.3
 """A reservation is renewed when this much or less of it is left, possibly on other workers, because
 runs end earlier or later than expected."""
 
@@ -29,12 +29,14 @@
 def find_reservation(cell: Cell, step: Step, now: float) -> Claim | None:
     """Return the reservation for a step, or None if there is none."""
     claim = cell.claims.get(step.key)
-    if claim is None or claim.is_forced or claim.until <= now:
+    if claim is None or claim.is_preemptive or claim.expires_at <= now:
         return None
     return claim
 
 
-def reserve(cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float) -> None:
+def reserve_room(
+    cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float
+) -> None:
     """Reserve the workers on which a bulky step can be placed first.
 
     Parameters
@@ -51,64 +53,68 @@
         Current time on the steady clock, in seconds.
     """
     claim = cell.claims.get(step.key)
-    if claim is not None and claim.until > now + (0.0 if claim.is_forced else _RENEW_SECONDS):
+    if claim is not None and claim.expires_at > now + (
+        0.0 if claim.is_preemptive else _RENEWAL_MARGIN_SECONDS
+    ):
         return
     release_claim(cell, step.key)
-    seats = _first_seats(cell, step, workers, wanted, now)
-    if not seats:
+    slots = _find_earliest_slots(cell, step, workers, wanted, now)
+    if not slots:
         return
-    lives = frozenset(worker.life for _, worker in seats)
+    lives = frozenset(worker.life for _, worker in slots)
     for life in lives:
-        times = [at for at, worker in seats if worker.life == life]
+        times = [at for at, worker in slots if worker.life == life]
         # A gang starts with its last slot, other tasks with the first slot of their worker.
-        due = seats[-1][0] if step.spec.gang else times[0]
+        due = slots[-1][0] if step.spec.gang else times[0]
         room = step.spec.room.times(len(times))
-        cell.workers[life].claims[step.key] = Hold(room, due, step.rank)
-    cell.claims[step.key] = Claim(now + _KEPT_SECONDS, lives, is_forced=False)
+        cell.workers[life].room_holds[step.key] = RoomHold(room, due, step.rank)
+    cell.claims[step.key] = Claim(now + _RESERVATION_SECONDS, lives, is_preemptive=False)
     if claim is None:
-        cell.tell(
+        cell.log_decision(
             "room_reserved",
             step.job.id,
             step=step.number,
             tasks=wanted,
             workers=len(lives),
-            due_s=seats[0][0] - now,
+            due_s=slots[0][0] - now,
             rank=step.rank,
         )
 
 
-def _first_seats(
+def _find_earliest_slots(
     cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float
 ) -> list[tuple[float, Worker]]:
     """Return the times and workers of the earliest slots for tasks, in ascending order of time.
 
     Returns none for a gang if there are not enough slots for all of its tasks.
     """
-    care = care_of(cell, step)
-    seats: list[tuple[float, Worker]] = []
+    caution = caution_for(cell, step)
+    slots: list[tuple[float, Worker]] = []
     for worker in workers:
-        if may_be_trusted(cell, worker, care):
-            seats += [(at, worker) for at in _seat_times(cell, step, worker, wanted, now)]
-    if step.spec.gang and len(seats) < wanted:
+        if is_trusted(cell, worker, caution):
+            slots += [(at, worker) for at in _compute_slot_times(cell, step, worker, wanted, now)]
+    if step.spec.gang and len(slots) < wanted:
         return []
-    seats.sort(key=lambda seat: seat[0])
-    return seats[:wanted]
+    slots.sort(key=lambda seat: seat[0])
+    return slots[:wanted]
 
 
-def _seat_times(cell: Cell, step: Step, worker: Worker, wanted: int, now: float) -> list[float]:
+def _compute_slot_times(
+    cell: Cell, step: Step, worker: Worker, wanted: int, now: float
+) -> list[float]:
     """Return the expected times at which a worker has resources for each further task."""
-    most = min(wanted, most_seats(step, worker))
+    max_tasks = min(wanted, max_additional_tasks(step, worker))
     free = worker.free_for(step.key, step.rank)
-    times = [now] * min(most, fitting(free, step.spec.room))
-    for at, room in room_to_come(cell, worker, now):
-        if len(times) >= most or math.isinf(at):
+    times = [now] * min(max_tasks, count_fitting(free, step.spec.room))
+    for at, room in upcoming_free_room(cell, worker, now):
+        if len(times) >= max_tasks or math.isinf(at):
             break
         free = free.plus(room)
-        times += [at] * (min(most, fitting(free, step.spec.room)) - len(times))
+        times += [at] * (min(max_tasks, count_fitting(free, step.spec.room)) - len(times))
     return times
 
 
-def keep_room(
+def hold_room(
     cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float, seconds: float
 ) -> None:
     """Hold free resources against lower-ranked steps while a step waits for tickets.
@@ -132,13 +138,13 @@
     lives = set()
     for worker in workers:
         free = worker.free_for(step.key, step.rank)
-        seats = min(wanted, most_seats(step, worker), fitting(free, step.spec.room))
-        if seats:
-            worker.claims[step.key] = Hold(step.spec.room.times(seats), now, step.rank)
+        slots = min(wanted, max_additional_tasks(step, worker), count_fitting(free, step.spec.room))
+        if slots:
+            worker.room_holds[step.key] = RoomHold(step.spec.room.times(slots), now, step.rank)
             lives.add(worker.life)
-            wanted -= seats
+            wanted -= slots
     if lives:
-        cell.claims[step.key] = Claim(now + seconds, frozenset(lives), is_forced=False)
+        cell.claims[step.key] = Claim(now + seconds, frozenset(lives), is_preemptive=False)
 
 
 def release_claim(cell: Cell, key: StepKey) -> None:
@@ -149,4 +155,4 @@
     for life in claim.lives:
         worker = cell.workers.get(life)
         if worker is not None:
-            worker.claims.pop(key, None)
+            worker.room_holds.pop(key, None)
--- a/src/snowdock/jobs/team_use.py
+++ b/src/snowdock/jobs/team_usage.py
@@ -8,27 +8,27 @@
 from ..declarations import ZERO, Size
 from .model import TaskId
 
-__all__ = ["TeamUse"]
+__all__ = ["TeamUsage"]
 
 _Run = tuple[str, TaskId, int]
 """Life of the worker, task, and number of the run."""
 
 
-class TeamUse:
+class TeamUsage:
     """Resources that runs use of their teams' quotas."""
 
     def __init__(self) -> None:
         self._runs: dict[_Run, tuple[str, Size]] = {}
         self._used: dict[str, Size] = {}
 
-    def hold(self, life: str, task: TaskId, run: int, team: str, size: Size) -> None:
+    def add_run(self, life: str, task: TaskId, run: int, team: str, size: Size) -> None:
         """Add a run to its team's usage, unless it is already counted."""
         if not team or (life, task, run) in self._runs:
             return
         self._runs[life, task, run] = (team, size)
         self._used[team] = self.used(team).plus(size)
 
-    def drop(self, life: str, task: TaskId, run: int) -> None:
+    def remove_run(self, life: str, task: TaskId, run: int) -> None:
         """Remove a run that certainly neither exists nor will start on a worker."""
         found = self._runs.pop((life, task, run), None)
         if found is None:
@@ -44,6 +44,6 @@
         """Return the resources that a team uses."""
         return self._used.get(team, ZERO)
 
-    def teams(self) -> dict[str, Size]:
+    def used_by_team(self) -> dict[str, Size]:
         """Return the resources that each team with runs uses."""
         return dict(self._used)
--- a/tests/test_jobs_crashes.py
+++ b/tests/test_jobs_crashes.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from snowdock.jobs.events import (
-    Decided,
+    LogDecision,
     Persist,
     Persisted,
     SendStart,
@@ -16,7 +16,14 @@
 from snowdock.jobs.progress import decode_progress
 from snowdock.jobs.runs import stop_run
 from snowdock.jobs.takeover import RecordedJobs
-from tests.jobs_tools import DONE, SMALL, Bench, accepted, cut_off, of_type
+from tests.jobs_tools import (
+    DONE,
+    SMALL,
+    Bench,
+    disconnect_worker,
+    filter_by_type,
+    make_accepted_job,
+)
 from tests.standins.entry_cluster import EntryCluster
 
 MOST_STARTS = 5
@@ -25,7 +32,7 @@
 ROUNDS = 12
 
 
-class Crashes:
+class CrashingWorkers:
     """Workers that one task ends whenever it starts there; all other tasks end well.
 
     Workers return as another life at the same address.
@@ -33,7 +40,7 @@
 
     def __init__(self, guilty: int = 0) -> None:
         self.bench = Bench()
-        self.guilty = guilty
+        self.crashing_task = guilty
         self.starts = 0
         self._lives = 0
         for _ in range(6):
@@ -43,11 +50,11 @@
         self._lives += 1
         self.bench.add_worker(f"w{self._lives}")
 
-    def carry_out(self, starts: list[SendStart]) -> bool:
+    def execute_starts(self, starts: list[SendStart]) -> bool:
         """Start runs as ordered; tell whether a worker crashed."""
         crashed = set()
         for start in starts:
-            if start.order.task.index == self.guilty:
+            if start.order.task.index == self.crashing_task:
                 self.starts += 1
                 crashed.add(start.life)
         for start in starts:
@@ -56,16 +63,16 @@
                 run = (start.order.task, start.order.run, DONE)
                 self.bench.report(start.life, ended=[run])
         for life in crashed:
-            self.bench.miss(life)
+            self.bench.leave_unanswered(life)
             self.bench.tick(3.5)
             self.bench.end_life(life)
             self.add_worker()
         return bool(crashed)
 
-    def play(self, after_crash=lambda: None) -> None:
+    def run_rounds(self, after_crash=lambda: None) -> None:
         """Go on until nothing is started any more, or for a number of rounds."""
         for _ in range(ROUNDS):
-            if self.carry_out(self.bench.new_starts()):
+            if self.execute_starts(self.bench.new_starts()):
                 after_crash()
             self.bench.tick(3.0)
 
@@ -74,18 +81,18 @@
     def status(self, bench: Bench, job: str) -> JobStatus:
         return bench.cell.jobs[job].status
 
-    def test_it_is_given_up(self) -> None:
+    def test_crashing_task_is_given_up(self) -> None:
         """A task that ends each worker that starts it is given up, and its job has failed."""
-        crashes = Crashes()
+        crashes = CrashingWorkers()
         job = crashes.bench.submit(SMALL)
-        crashes.play()
+        crashes.run_rounds()
         self.assertLessEqual(crashes.starts, MOST_STARTS)
         self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
 
-    def test_successors_count_on(self) -> None:
+    def test_counts_survive_leader_changes(self) -> None:
         """It is given up as soon where another leader takes over after each crash."""
-        crashes = Crashes()
-        spec = accepted(SMALL)
+        crashes = CrashingWorkers()
+        spec = make_accepted_job(SMALL)
         job = crashes.bench.submit(SMALL)
         token = 1
 
@@ -100,7 +107,7 @@
             for life in cell.workers:
                 crashes.bench.add_worker(life)
 
-        crashes.play(take_over)
+        crashes.run_rounds(take_over)
         self.assertLessEqual(crashes.starts, MOST_STARTS)
         self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
 
@@ -132,11 +139,11 @@
         """Give the start that the task gets on a new worker."""
         self.bench.add_worker("v")
         self.bench.tick(0.2)
-        (again,) = [each for each in self.bench.starts(self.bench.seen) if each.life == "v"]
+        (again,) = [each for each in self.bench.starts(self.bench.all_effects) if each.life == "v"]
         return again
 
     def fall_silent(self, seconds: float) -> None:
-        cut_off(self.bench, "w", seconds)
+        disconnect_worker(self.bench, "w", seconds)
 
     def test_another_life_is_a_crash(self) -> None:
         """A worker whose next life answers has crashed."""
@@ -149,7 +156,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 1))
 
-    def test_worker_that_had_said_it_leaves(self) -> None:
+    def test_end_of_a_draining_worker(self) -> None:
         """Where the worker was draining, the end of its life is charged to nobody."""
         self.bench.confirm(self.start)
         self.bench.drain("w")
@@ -166,7 +173,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 0))
 
-    def test_worker_that_leaves_as_soon_as_it_is_given_a_task(self) -> None:
+    def test_draining_worker_that_ends_just_after_a_start(self) -> None:
         """A draining worker takes nothing new, and ends seconds later: what is younger may be why.
 
         A task that ended each worker was started three times after its third crash, since one of
@@ -178,13 +185,15 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 1))
 
-    def test_task_that_lasts_outlives_a_roll(self) -> None:
+    def test_long_running_task_survives_a_rolling_replacement(self) -> None:
         """A task that lasts goes on, however many workers are replaced under it in turn."""
         bench = self.bench = Bench()
         bench.add_worker("w0")
         job = bench.submit(msgspec.structs.replace(SMALL, long_running=True))
         for number in range(8):
-            (start,) = [each for each in bench.starts(bench.seen) if each.order.run == number + 1]
+            (start,) = [
+                each for each in bench.starts(bench.all_effects) if each.order.run == number + 1
+            ]
             bench.confirm(start)
             self.bench.drain(start.life)
             bench.add_worker(f"w{number + 1}")
@@ -213,9 +222,9 @@
         """A start that waits for its record has done nothing to the worker."""
         bench = self.bench = Bench()
         bench.add_worker("w")
-        bench.holds_store = True
+        bench.is_store_paused = True
         bench.submit(SMALL)
-        (batch,) = of_type(bench.effects, Persist)
+        (batch,) = filter_by_type(bench.effects, Persist)
         self.assertEqual(decode_progress(batch.records[0].data).tasks[0].life, "w")
         self.bench.end_life("w")
         (task,) = next(iter(bench.cell.jobs.values())).all_tasks()
@@ -226,14 +235,16 @@
         self.bench.confirm(self.start)
         self.bench.end_life("w")
         self.bench.tick(10.0)
-        self.bench.holds_store = True
+        self.bench.is_store_paused = True
         self.bench.add_worker("v")
         self.bench.tick(0.2)
-        self.bench.miss("v")
-        self.bench.seen.clear()
+        self.bench.leave_unanswered("v")
+        self.bench.all_effects.clear()
         self.bench.end_life("v")
         (line,) = [
-            each for each in of_type(self.bench.seen, Decided) if each.decision == "run_lost"
+            each
+            for each in filter_by_type(self.bench.all_effects, LogDecision)
+            if each.decision == "run_lost"
         ]
         self.assertLess(dict(line.fields)["silent_after_s"], 5.0)
 
@@ -241,7 +252,9 @@
         """A run whose worker a new leader never gets to know is charged as a loss."""
         progress = decode_progress(self.bench.recorded[self.job])
         self.bench = Bench(2)
-        self.bench.restore(RecordedJobs({self.job: accepted(SMALL)}, set(), {self.job: progress}))
+        self.bench.restore(
+            RecordedJobs({self.job: make_accepted_job(SMALL)}, set(), {self.job: progress})
+        )
         self.bench.tick(12.0)
         self.assertEqual(self.counts(), (0, 1))
 
@@ -254,13 +267,13 @@
         (task,) = _recorded(self.bench, self.job).tasks
         self.assertEqual((task.crashed_runs, task.lost_runs), ([1], [1]))
 
-    def test_run_that_only_a_report_told_of(self) -> None:
+    def test_run_confirmed_only_by_a_report(self) -> None:
         """A start without an answer counts as a crash once a report has listed its run."""
         self.bench.report("w", running=[(self.task.id, 1, 1.0)])
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (1, 1))
 
-    def test_second_run_is_told_of_anew(self) -> None:
+    def test_second_run_is_confirmed_separately(self) -> None:
         """What was told of an earlier run says nothing of the next."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
@@ -281,9 +294,9 @@
         """A run is as old as its order: its placement may wait for the store for seconds."""
         bench = self.bench = Bench()
         bench.add_worker("w")
-        bench.holds_store = True
+        bench.is_store_paused = True
         self.job = bench.submit(SMALL)
-        (batch,) = of_type(bench.effects, Persist)
+        (batch,) = filter_by_type(bench.effects, Persist)
         self.pass_time(3.0)
         bench.feed(Persisted(batch.number))
         (self.start,) = bench.starts()
@@ -293,7 +306,7 @@
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 1))
 
-    def test_task_with_an_end_is_not_absolved(self) -> None:
+    def test_finite_task_keeps_its_losses(self) -> None:
         """Only one that lasts is cleared by its work: another may end its worker at its end."""
         self.bench.confirm(self.start)
         self.bench.end_life("w")
@@ -312,7 +325,7 @@
         self.assertEqual(self.counts(), (0, 0))
         self.assertEqual(self.bench.cell.jobs[self.job].status, JobStatus.RUNNING)
 
-    def test_task_that_lasts_is_absolved(self) -> None:
+    def test_long_running_task_is_cleared_of_losses(self) -> None:
         """Once it has worked for long, earlier losses of a task that lasts count no more."""
         bench = self.bench = Bench()
         bench.add_worker("w")
@@ -341,7 +354,7 @@
 class TestCutOffWorkers(unittest.TestCase):
     """Workers that are cut off lose their leases, and answer again as they were."""
 
-    def test_loss_is_taken_back(self) -> None:
+    def test_loss_is_revoked(self) -> None:
         """A worker that answers again as it was did not crash: its losses charge nobody."""
         bench = Bench()
         bench.add_worker("w")
@@ -349,10 +362,10 @@
         ((step,),) = bench.cell.jobs[job].repetitions
         (task,) = step.tasks
         for _ in range(7):
-            (start,) = bench.starts(bench.seen)
-            bench.seen.clear()
+            (start,) = bench.starts(bench.all_effects)
+            bench.all_effects.clear()
             bench.confirm(start)
-            cut_off(bench, "w")
+            disconnect_worker(bench, "w")
             self.assertEqual(len(task.lost_runs), 1)
             for _ in range(3):
                 bench.report("w")
@@ -362,14 +375,14 @@
         (recorded,) = _recorded(bench, job).tasks
         self.assertEqual(recorded.lost_runs, [])
 
-    def test_it_is_put_on_record(self) -> None:
+    def test_revoked_loss_is_recorded(self) -> None:
         """A successor knows of it, also where the task runs elsewhere by then."""
         bench = Bench()
         bench.add_worker("w")
         job = bench.submit(SMALL)
         (start,) = bench.new_starts()
         bench.confirm(start)
-        cut_off(bench, "w")
+        disconnect_worker(bench, "w")
         bench.add_worker("v")
         bench.tick(0.2)
         (again,) = bench.new_starts()
@@ -379,8 +392,8 @@
         self.assertEqual(_recorded(bench, job).tasks[0].lost_runs, [])
 
 
-class TestWholePath(unittest.TestCase):
-    def test_callers_hear_of_it(self) -> None:
+class TestEndToEnd(unittest.TestCase):
+    def test_callers_see_the_failed_job(self) -> None:
         """With real daemons, such a job is shown as failed, and its neighbours as completed."""
         cluster = EntryCluster(2, workers=4)
         self.addCleanup(cluster.close)
