--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,6 +1,6 @@
 """Compare ways to decide, paired: ``python -m bench.ways WAY ... [--seeds N]``.
 
-A way is ``standing``, or settings of the decisions such as ``reserving._KEPT_SECONDS=0.3``, joined
+A way is ``standing``, or settings of the decisions such as ``quotas._RESERVES_QUOTA=False``, joined
 by commas: the constants of modules of ``snowdock.jobs``. All ways play the same seeds on the
 emulator: a settlement service on 176 workers with 20 teams, one of which sends many times its
 usual, a burst of lookups and one of payouts. A leader's own processor time is not modelled.
--- a/src/snowdock/jobs/candidates.py
+++ b/src/snowdock/jobs/candidates.py
@@ -37,7 +37,7 @@
 
 _MAX_CAUTION_SECONDS = 2.0
 """Maximum time for which a step that runs nothing avoids workers quarantined for failures. Users
-accept 3 s beside free resources, of which a ticket and the recording take up to one. A last
+accept 3 s beside free room, of which a ticket and the recording take up to one. A last
 attempt waits 0.5 s longer."""
 
 
@@ -154,7 +154,7 @@
 
 
 def count_fitting(free: Size, room: Size) -> int:
-    """Return the number of tasks that fit into free resources, which may be negative."""
+    """Return the number of tasks that fit into free room, which may be negative."""
     counts = [
         have // need
         for have, need in (
--- a/src/snowdock/jobs/cell.py
+++ b/src/snowdock/jobs/cell.py
@@ -40,7 +40,7 @@
         Length of the lease that each renewal requests.
     unreached_run_expiry_s
         Time after the leadership was claimed when runs on workers that were never reached are
-        certainly over.
+        certain to have ended.
     gang_wait_s
         Time that a member of a gang waits for the other members.
     early_s
@@ -182,7 +182,7 @@
     leadership_claimed_at, started_at, now
         Times of the leadership claim, of the start, and of the newest event.
     jobs
-        Known jobs by id, including ended ones until their retention time is over.
+        Known jobs by id, including ended ones until their retention time ends.
     job_ended_at
         End times of ended jobs, in ascending order.
     early_cancellations
@@ -197,7 +197,7 @@
     newest_lives
         The life that was listed last, by worker id, while any state of the worker is kept.
     ended_lives
-        Lives that are over but still listed in the store.
+        Lives that have ended but are still listed in the store.
     orphans
         Runs that may exist on a worker of which no life is known, by worker id.
     team_usage
--- a/src/snowdock/jobs/events.py
+++ b/src/snowdock/jobs/events.py
@@ -236,7 +236,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CloseWorker:
-    """End the calls to a worker whose life is over."""
+    """End the calls to a worker whose life has ended."""
 
     life: str
 
@@ -253,14 +253,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DropJobs:
-    """Delete the records of jobs whose retention time is over."""
+    """Delete the records of jobs whose retention time has ended."""
 
     jobs: tuple[JobId, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForgetAccepted:
-    """Delete the acceptance records of jobs whose end is stored and that have no runs left.
+    """Delete the submission records of jobs whose end is stored and that have no runs left.
 
     ``names`` holds the `record_name` of each job.
     """
--- a/src/snowdock/jobs/job_state.py
+++ b/src/snowdock/jobs/job_state.py
@@ -43,7 +43,7 @@
         Earliest time of the next request after a failed one, in steady-clock seconds.
     next_search_at
         Earliest time of the next search for workers to ask about, in steady-clock seconds. It does
-        not apply once a fit worker has enough free resources.
+        not apply once a fit worker has enough free room.
     """
 
     terms: AdviceTerms
--- a/src/snowdock/jobs/model.py
+++ b/src/snowdock/jobs/model.py
@@ -217,7 +217,7 @@
     name
         Name of the pool.
     rejects_overload
-        Whether the workers refuse runs that exceed their free resources.
+        Whether the workers refuse runs that exceed their free room.
     headroom
         Whether the VMs are powered off until they are moved to another pool.
     health_path
--- a/src/snowdock/jobs/placement.py
+++ b/src/snowdock/jobs/placement.py
@@ -43,8 +43,8 @@
 
 _MAX_BLOCKED_SECONDS = 1.5
 """Time after which a step that runs nothing, and that only reservations block, may place one task
-on reserved resources. Together with up to 0.5 s for tickets this stays below the 3 s that users
-accept for a small job beside free resources."""
+on reserved room. Together with up to 0.5 s for tickets this stays below the 3 s that users
+accept for a small job beside free room."""
 
 _CROWDED_STEP_COUNT = 50
 _SEARCH_RETRY_SECONDS = 0.05
@@ -54,9 +54,9 @@
 
 @dataclasses.dataclass(slots=True)
 class _WorkerPool:
-    """Open workers of one service, and the maximum free resources among them.
+    """Open workers of one service, and the maximum free room among them.
 
-    Bulky steps are searched even if no worker has enough free resources, because runs may be
+    Bulky steps are searched even if no worker has enough free room, because runs may be
     preempted or resources reserved for them.
     """
 
@@ -89,7 +89,7 @@
         return self._by_free_cpu
 
     def may_hold(self, step: Step) -> bool:
-        """Check whether a worker might have enough free resources for a task of a step."""
+        """Check whether a worker might have enough free room for a task of a step."""
         max_free = Size(self.max_free_cpu, self.max_free_memory, self.max_free_accelerators)
         return step.is_bulky or max_free.holds(step.spec.room)
 
@@ -243,7 +243,7 @@
     isolation: IsolationLevel,
     now: float,
 ) -> list[Candidate]:
-    """Return the candidates for a step, or one with reserved resources if it is blocked for long.
+    """Return the candidates for a step, or one with reserved room if it is blocked for long.
 
     ``workers`` are those on which the step could start now, ``fit`` those that may run it at all.
     """
--- a/src/snowdock/jobs/placement_advice.py
+++ b/src/snowdock/jobs/placement_advice.py
@@ -177,7 +177,7 @@
     """Return the workers to ask about, or none if no answer could help yet.
 
     Also return the number of workers examined. The search ends with the first workers that have
-    enough free resources: examining all workers for every step can take longer than tickets are
+    enough free room: examining all workers for every step can take longer than tickets are
     valid.
     """
     advice = step.advice
@@ -201,7 +201,7 @@
     if not chosen:
         chosen = _find_reserved_workers_due(cell, step, now)
         examined += len(chosen)
-    # Fitness never changes, so also ask about workers without free resources while that is cheap.
+    # Fitness never changes, so also ask about workers without free room while that is cheap.
     asked = {worker.life for worker in chosen}
     spare = _count_cheap_workers(step) * _max_parallel_requests(step) - len(chosen)
     for worker in by_free_cpu:
@@ -217,7 +217,7 @@
 def _find_unknown_workers(
     step: Step, by_free_cpu: list[Worker], slots: int
 ) -> tuple[list[Worker], int]:
-    """Return workers with free resources whose fitness for a step is unknown.
+    """Return workers with free room whose fitness for a step is unknown.
 
     They offer at least ``slots`` slots, if possible, and are at least as many as are cheap to ask
     about. Also return the number of workers examined.
--- a/src/snowdock/jobs/progress_batches.py
+++ b/src/snowdock/jobs/progress_batches.py
@@ -29,7 +29,7 @@
         job = cell.dirty_jobs.pop(job_id)
         progress = _build_progress(job)
         if progress.status.is_final and not progress.tasks:
-            # A takeover reads all acceptance records, so keep only those of open jobs.
+            # A takeover reads all submission records, so keep only those of open jobs.
             cell.deferred.append(ForgetAccepted((job.record_name,)))
         data = encode(progress)
         size += len(data)
--- a/src/snowdock/jobs/reducer.py
+++ b/src/snowdock/jobs/reducer.py
@@ -115,7 +115,7 @@
         cell.log_decision("job_record_unreadable", event.job)
         return
     if event.job in cell.job_ended_at:
-        # A resubmission. The acceptance record is deleted only once the job's end is stored: a
+        # A resubmission. The submission record is deleted only once the job's end is stored: a
         # successor leader knows the job from this record alone until then.
         cell.deferred.append(ForgetAccepted((record_name(event.job, event.accepted.team),)))
         return
--- a/src/snowdock/jobs/runs.py
+++ b/src/snowdock/jobs/runs.py
@@ -251,7 +251,7 @@
 
 
 def void_run(cell: Cell, task: Task, now: float) -> None:
-    """Discard a run that never started or is certainly over, without counting an attempt."""
+    """Discard a run that never started or has certainly ended, without counting an attempt."""
     _discard_run(cell, task)
     if task.phase is not Phase.DONE and not task.step.job.status.is_final:
         _requeue_task(cell, task, now)
--- a/tests/test_jobs_preemption.py
+++ b/tests/test_jobs_preemption.py
@@ -85,7 +85,7 @@
         self.assertEqual(self.submit_gang(), [])
 
     def test_claimed_room_is_kept(self) -> None:
-        """Claimed resources are not used by other steps."""
+        """Claimed room are not used by other steps."""
         self.fill_workers(count=2)
         stops = self.submit_gang(count=4)
         self.assertEqual(len(stops), 2)
@@ -115,7 +115,7 @@
         self.assertEqual([stop.life for stop in stops], ["w2", "w2"])
 
     def test_worker_on_trial_offers_no_room(self) -> None:
-        """Neither free resources nor preemptible runs of a worker on trial are considered."""
+        """Neither free room nor preemptible runs of a worker on probation are considered."""
         self.fill_workers(count=1)
         (busy,) = [w for w in self.bench.cell.workers.values() if w.runs]
         busy.probation_run = next(iter(busy.runs))
@@ -131,5 +131,5 @@
         self.assertEqual(self.submit_gang(), [])
 
     def test_room_is_never_negative(self) -> None:
-        """The number of fitting tasks is zero if the free resources are negative."""
+        """The number of fitting tasks is zero if the free room are negative."""
         self.assertEqual(count_fitting(Size(-1500, 100, 0), Size(1000, 10, 0)), 0)
--- a/tests/test_jobs_reducer.py
+++ b/tests/test_jobs_reducer.py
@@ -110,7 +110,7 @@
         self.assertEqual(set(lease_ends), {0})
 
     def test_runs_restart_after_the_lease(self) -> None:
-        """Runs restart elsewhere after the leases are over at the slowest clock rate."""
+        """Runs restart elsewhere once the leases have expired at the slowest clock rate."""
         self.bench.add_worker("v")
         found = self.leave_unanswered_for(9.0)
         again = [effect for effect in filter_by_type(found, SendStart) if effect.life == "v"]
@@ -123,7 +123,7 @@
         self.assertEqual(filter_by_type(found, SendStart), [])
 
     def test_other_life_ends_all_runs(self) -> None:
-        """If another life of the worker answers, the runs of the addressed life are over."""
+        """If another life of the worker answers, the runs of the addressed life have ended."""
         self.bench.add_worker("v")
         event = StartAnswered("w", self.order.task, 1, StartResult(Refusal.OTHER_LIFE))
         found = self.bench.feed(event) + self.bench.tick(0.2)
@@ -586,7 +586,7 @@
 
 
 class TestForgetting(unittest.TestCase):
-    """A job's acceptance record is deleted once it is not needed any more."""
+    """A job's submission record is deleted once it is not needed any more."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -602,7 +602,7 @@
         return self.bench.report("w", ended=[(self.start.order.task, 1, kind)])
 
     def test_not_before_its_end_is_on_record(self) -> None:
-        """The acceptance record is kept until the job's end is stored."""
+        """The submission record is kept until the job's end is stored."""
         self.bench.is_store_paused = True
         found = self.end_run(DONE) + self.bench.tick(1.0)
         self.assertEqual(self.forgotten_names(found), [])
--- a/tests/test_jobs_reservations.py
+++ b/tests/test_jobs_reservations.py
@@ -51,7 +51,7 @@
         self.assertEqual(start.order.task.job, f"{2:016x}")
 
     def test_run_that_ends_in_time_may_use_reserved_room(self) -> None:
-        """Reserved resources are used by runs that end before the reservation starts."""
+        """Reserved room are used by runs that end before the reservation starts."""
         self.assertEqual(self.submit(BULKY), [])
         self.assertEqual(len(self.submit(QUICK)), 1)
 
@@ -142,7 +142,7 @@
         return start
 
     def test_request_includes_workers_without_room(self) -> None:
-        """A request includes workers without free resources while that adds little to its cost."""
+        """A request includes workers without free room while that adds little to its cost."""
         self.fill_worker("w1")
         self.bench.now += 0.01
         self.bench.submit(BULKY)
