--- a/src/snowdock/jobs/cell.py
+++ b/src/snowdock/jobs/cell.py
@@ -75,14 +75,14 @@
         the worker is unsuitable.
     backoff_seconds
         (step, failures) -> seconds until the next attempt.
-    yields
+    may_preempt
         (step, other step, now) -> whether runs of the other step are preempted for the step.
     """
 
     rank: Callable[[Step, float], float]
     score: Callable[[Step, Worker, int], float | None]
     backoff_seconds: Callable[[Step, int], float]
-    yields: Callable[[Step, Step, float], bool]
+    may_preempt: Callable[[Step, Step, float], bool]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/snowdock/jobs/policy.py
+++ b/src/snowdock/jobs/policy.py
@@ -56,12 +56,12 @@
         work = _describe_step(current_cell(), step, step.job.submitted_at)
         return book.call(_policy_kind(step), "backoff_seconds", work, failures)
 
-    def yields(step: Step, other: Step, now: float) -> bool:
+    def may_preempt(step: Step, other: Step, now: float) -> bool:
         work = _describe_step(current_cell(), step, now)
         victim = _describe_step(current_cell(), other, now)
         return bool(book.call(_policy_kind(step), "preempt", work, victim))
 
-    return SchedulingPolicy(rank, score, backoff_seconds, yields)
+    return SchedulingPolicy(rank, score, backoff_seconds, may_preempt)
 
 
 def _policy_kind(step: Step) -> str:
--- a/src/snowdock/jobs/preemption.py
+++ b/src/snowdock/jobs/preemption.py
@@ -89,12 +89,12 @@
     cell: Cell, step: Step, workers: Iterable[Worker], now: float
 ) -> list[_PreemptionOption]:
     @functools.cache
-    def yields(other: Step) -> bool:
-        return cell.policy.yields(step, other, now)
+    def may_preempt(other: Step) -> bool:
+        return cell.policy.may_preempt(step, other, now)
 
     caution = caution_for(cell, step)
     return [
-        _build_option(step, worker, _find_preemptible_tasks(cell, worker, yields))
+        _build_option(step, worker, _find_preemptible_tasks(cell, worker, may_preempt))
         for worker in workers
         if _has_lasting_ticket(step, worker, now) and is_trusted(cell, worker, caution)
     ]
@@ -149,7 +149,7 @@
 
 
 def _find_preemptible_tasks(
-    cell: Cell, worker: Worker, yields: Callable[[Step], bool]
+    cell: Cell, worker: Worker, may_preempt: Callable[[Step], bool]
 ) -> list[Task]:
     """Return the tasks on a worker whose runs may be preempted, the largest first."""
     found = []
@@ -159,7 +159,7 @@
             continue
         if task.preemptions >= _MAX_PREEMPTIONS or task.percent > _NEARLY_DONE_PERCENT:
             continue
-        if yields(task.step):
+        if may_preempt(task.step):
             found.append(task)
     found.sort(key=lambda task: -task.step.spec.room.cpu)
     return found
--- a/tests/jobs_tools.py
+++ b/tests/jobs_tools.py
@@ -57,7 +57,7 @@
     rank=lambda step, now: -step.job.submitted_at,
     score=lambda step, worker, there: float(worker.free.cpu),
     backoff_seconds=lambda step, failures: 0.0,
-    yields=lambda step, other, now: False,
+    may_preempt=lambda step, other, now: False,
 )
 
 SMALL = StepSpec(count=1, size=Size(1000, 1000), estimate_ms=1000)
--- a/tests/test_jobs_preemption.py
+++ b/tests/test_jobs_preemption.py
@@ -18,10 +18,10 @@
 class TestPreemption(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench()
-        self.yields = True
+        self.may_preempt = True
         self.bench.cell.policy = dataclasses.replace(
             self.bench.cell.policy,
-            yields=lambda step, other, now: self.yields,
+            may_preempt=lambda step, other, now: self.may_preempt,
             rank=lambda step, now: 1.0 if step.spec.gang else 0.0,
         )
         for life in ("w1", "w2"):
@@ -80,7 +80,7 @@
 
     def test_policy_decides(self) -> None:
         """No run is preempted if the policy program does not permit it."""
-        self.yields = False
+        self.may_preempt = False
         self.fill_workers()
         self.assertEqual(self.submit_gang(), [])
 
--- a/tests/test_jobs_reservations.py
+++ b/tests/test_jobs_reservations.py
@@ -105,7 +105,7 @@
     def test_bulky_task_preempts_runs(self) -> None:
         """Checkpointing runs are preempted for a single bulky task, too."""
         self.bench.cell.policy = dataclasses.replace(
-            self.bench.cell.policy, yields=lambda step, other, now: True
+            self.bench.cell.policy, may_preempt=lambda step, other, now: True
         )
         self.end_running()
         yielding = msgspec.structs.replace(SMALL, count=4, checkpointing=True)
