--- a/src/snowdock/jobs/candidates.py
+++ b/src/snowdock/jobs/candidates.py
@@ -185,15 +185,18 @@
     avoided = set()
     for task in tasks:
         avoided |= task.avoided_lives or set()
-    if avoided or any(seat.worker.quarantine_cause for seat in candidates):
+    if avoided or any(candidate.worker.quarantine_cause for candidate in candidates):
         # Prefer workers on which the tasks have not failed, and those without charged failures.
         candidates.sort(
-            key=lambda seat: (seat.worker.life in avoided, bool(seat.worker.failures_by_step))
+            key=lambda candidate: (
+                candidate.worker.life in avoided,
+                bool(candidate.worker.failures_by_step),
+            )
         )
     chosen: list[Worker] = []
-    for seat in candidates:
-        count = min(seat.count, len(tasks) - len(chosen))
-        chosen.extend([seat.worker] * count)
+    for candidate in candidates:
+        count = min(candidate.count, len(tasks) - len(chosen))
+        chosen.extend([candidate.worker] * count)
         if len(chosen) == len(tasks):
             break
     return chosen
@@ -202,9 +205,11 @@
 def _select_rack(candidates: list[Candidate], wanted: int) -> list[Candidate]:
     """Return the candidates of the smallest rack that can hold all tasks, or all candidates."""
     racks: dict[str, list[Candidate]] = {}
-    for seat in candidates:
-        racks.setdefault(seat.worker.entry.rack, []).append(seat)
-    sufficient = [rack for rack in racks.values() if sum(seat.count for seat in rack) >= wanted]
+    for candidate in candidates:
+        racks.setdefault(candidate.worker.entry.rack, []).append(candidate)
+    sufficient = [
+        rack for rack in racks.values() if sum(candidate.count for candidate in rack) >= wanted
+    ]
     if not sufficient:
         return candidates
-    return min(sufficient, key=lambda rack: sum(seat.count for seat in rack))
+    return min(sufficient, key=lambda rack: sum(candidate.count for candidate in rack))
--- a/src/snowdock/jobs/cell.py
+++ b/src/snowdock/jobs/cell.py
@@ -129,7 +129,7 @@
 
 
 Deferred = DeferredStart | DeferredRenewal | Effect
-"""An action that is deferred until a batch of progress records is stored."""
+"""An action that is deferred until a batch of progress records is recorded."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -223,10 +223,10 @@
     dirty_jobs
         Jobs whose progress is recorded with the next batch.
     deferred
-        Actions that are deferred until the next batch is stored, in order.
+        Actions that are deferred until the next batch is recorded, in order.
     batch_number, batch_deferred
-        Number of the newest batch, and the actions deferred until it is stored; None if no batch
-        is being stored.
+        Number of the newest batch, and the actions deferred until it is recorded; None if no batch
+        is being recorded.
     effects
         Effects of the event that is being handled.
     advice_node_count
--- a/src/snowdock/jobs/events.py
+++ b/src/snowdock/jobs/events.py
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobAccepted:
-    """A job was accepted by a node and is stored."""
+    """A job was accepted by a node and is recorded."""
 
     job: JobId
     accepted: AcceptedJob
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCancelled:
-    """The cancellation of a job is stored; ``name`` is the `record_name` of the job."""
+    """The cancellation of a job is recorded; ``name`` is the `record_name` of the job."""
 
     name: str
 
@@ -137,7 +137,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Persisted:
-    """A batch of progress records is stored."""
+    """A batch of progress records is recorded."""
 
     number: int
 
@@ -188,7 +188,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Persist:
-    """Store a batch of progress records; only one batch is in flight at a time."""
+    """Record a batch of progress; only one batch is in flight at a time."""
 
     number: int
     records: tuple[ProgressRecord, ...]
@@ -260,7 +260,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForgetAccepted:
-    """Delete the submission records of jobs whose end is stored and that have no runs left.
+    """Delete the submission records of jobs whose end is recorded and that have no runs left.
 
     ``names`` holds the `record_name` of each job.
     """
--- a/src/snowdock/jobs/job_state.py
+++ b/src/snowdock/jobs/job_state.py
@@ -226,7 +226,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """A job that is stored durably.
+    """A job that is recorded in the store.
 
     Attributes
     ----------
--- a/src/snowdock/jobs/placement.py
+++ b/src/snowdock/jobs/placement.py
@@ -265,7 +265,7 @@
     if not reserved:
         # The tickets for these workers are being renewed.
         return []
-    best = max(reserved, key=lambda seat: seat.score)
+    best = max(reserved, key=lambda candidate: candidate.score)
     return [dataclasses.replace(best, count=1)]
 
 
@@ -293,17 +293,17 @@
 def _claim_or_reserve_room(
     cell: Cell,
     step: Step,
-    ready: list[Worker],
+    workers: list[Worker],
     fit: list[Worker],
     wanted: int,
     now: float,
 ) -> bool:
     """Preempt runs for a bulky step, or else reserve resources; return whether it has a claim.
 
-    ``ready`` are the workers on which the step could start now, ``fit`` those that may run it at
+    ``workers`` are those on which the step could start now, ``fit`` those that may run it at
     all.
     """
-    if has_claim(cell, step, now) or preempt_runs(cell, step, ready, wanted, now):
+    if has_claim(cell, step, now) or preempt_runs(cell, step, workers, wanted, now):
         return True
     reserve_room(cell, step, fit, wanted, now)
     return False
--- a/src/snowdock/jobs/placement_advice.py
+++ b/src/snowdock/jobs/placement_advice.py
@@ -247,11 +247,13 @@
         return []
     advice = step.advice
     workers = (cell.workers.get(life) for life in claim.lives)
-    held = [worker for worker in workers if worker is not None and step.key in worker.room_holds]
-    answer_at = now + _MAX_ANSWER_TIME_FACTOR * _estimate_answer_seconds(advice, len(held))
+    reserved = [
+        worker for worker in workers if worker is not None and step.key in worker.room_holds
+    ]
+    answer_at = now + _MAX_ANSWER_TIME_FACTOR * _estimate_answer_seconds(advice, len(reserved))
     return [
         worker
-        for worker in held
+        for worker in reserved
         if worker.room_holds[step.key].needed_at <= answer_at
         and advice.valid_ticket(worker.life, answer_at) is None
     ]
--- a/src/snowdock/jobs/preemption.py
+++ b/src/snowdock/jobs/preemption.py
@@ -76,7 +76,7 @@
         return False
     step.next_claim_at = now + _CLAIM_RETRY_SECONDS
     options = _build_options(cell, step, workers, now)
-    missing = wanted - sum(offer.free_slots for offer in options)
+    missing = wanted - sum(option.free_slots for option in options)
     preempted = _choose_preempted_slots(options, missing)
     required = missing if step.spec.gang else 1
     if missing <= 0 or len(preempted) < required:
--- a/src/snowdock/jobs/progress_batches.py
+++ b/src/snowdock/jobs/progress_batches.py
@@ -1,4 +1,4 @@
-"""Batches of progress records, and the actions deferred until each batch is stored.
+"""Batches of progress records, and the actions deferred until each batch is recorded.
 
 At most one batch is in flight.
 """
@@ -48,7 +48,7 @@
 
 
 def handle_persisted(cell: Cell, number: int, now: float) -> None:
-    """Release the actions that were deferred until a batch was stored."""
+    """Release the actions that were deferred until a batch was recorded."""
     if number != cell.batch_number or cell.batch_deferred is None:
         return
     deferred, cell.batch_deferred = cell.batch_deferred, None
--- a/src/snowdock/jobs/reducer.py
+++ b/src/snowdock/jobs/reducer.py
@@ -103,8 +103,8 @@
                 cell.log_decision("configuration", str(configuration.version))
                 list_pending_workers(cell, now)
                 cell.needs_placement = True
-        case Ticked(askers):
-            cell.advice_node_count = askers
+        case Ticked(advice_node_count):
+            cell.advice_node_count = advice_node_count
             _handle_tick(cell, now, wall_ms)
 
 
@@ -115,7 +115,7 @@
         cell.log_decision("job_record_unreadable", event.job)
         return
     if event.job in cell.job_ended_at:
-        # A resubmission. The submission record is deleted only once the job's end is stored: a
+        # A resubmission. The submission record is deleted only once the job's end is recorded: a
         # successor leader knows the job from this record alone until then.
         cell.deferred.append(ForgetAccepted((record_name(event.job, event.accepted.team),)))
         return
--- a/src/snowdock/jobs/reservations.py
+++ b/src/snowdock/jobs/reservations.py
@@ -95,7 +95,7 @@
             slots += [(at, worker) for at in _compute_slot_times(cell, step, worker, wanted, now)]
     if step.spec.gang and len(slots) < wanted:
         return []
-    slots.sort(key=lambda seat: seat[0])
+    slots.sort(key=lambda slot: slot[0])
     return slots[:wanted]
 
 
--- a/tests/jobs_tools.py
+++ b/tests/jobs_tools.py
@@ -83,7 +83,7 @@
         self._ends = itertools.count(1)
 
     def feed(self, event: Event) -> list[Effect]:
-        """Feed one event; batches are stored immediately unless the store is paused."""
+        """Feed one event; batches are recorded immediately unless the store is paused."""
         effects = reduce(self.cell, event, self.now, self.now * 1000)
         self.decisions += filter_by_type(effects, LogDecision)
         for effect in list(effects):
--- a/tests/test_jobs_placement.py
+++ b/tests/test_jobs_placement.py
@@ -79,7 +79,7 @@
             small, [start.order.task.job for start in self.bench.starts(self.bench.all_effects)]
         )
 
-    def test_ranks_are_renewed_a_few_at_a_time(self) -> None:
+    def test_ranks_are_refreshed_a_few_at_a_time(self) -> None:
         """All ranks are refreshed in turn, a limited number in each tick."""
         self.submit_backlog()
         self.bench.tick(1.0)
@@ -90,7 +90,7 @@
         oldest = min(step.ranked_at for step in self.bench.cell.waiting_steps.values())
         self.assertGreater(oldest, self.bench.now - 3.0)
 
-    def test_placing_waits_while_events_do(self) -> None:
+    def test_placement_is_delayed_while_events_wait(self) -> None:
         """While further events are queued, the placement is delayed and covers all of them."""
         bench = self.bench
         bench.now += 1.0
--- a/tests/test_jobs_preemption.py
+++ b/tests/test_jobs_preemption.py
@@ -54,7 +54,7 @@
         self.bench.tick(0.2)
         return self.bench.starts(self.bench.all_effects)[before:]
 
-    def test_yielding_runs_make_room(self) -> None:
+    def test_preempted_runs_free_room(self) -> None:
         """As many runs are stopped as a gang needs, and the gang starts once they have ended."""
         self.fill_workers()
         stops = self.submit_gang()
@@ -78,14 +78,14 @@
         self.fill_workers(SMALL)
         self.assertEqual(self.submit_gang(), [])
 
-    def test_policy_decides(self) -> None:
+    def test_policy_may_forbid_preemption(self) -> None:
         """No run is preempted if the policy program does not permit it."""
         self.may_preempt = False
         self.fill_workers()
         self.assertEqual(self.submit_gang(), [])
 
     def test_claimed_room_is_kept(self) -> None:
-        """Claimed room are not used by other steps."""
+        """Claimed room is not used by other steps."""
         self.fill_workers(count=2)
         stops = self.submit_gang(count=4)
         self.assertEqual(len(stops), 2)
@@ -95,7 +95,7 @@
         self.bench.tick(0.2)
         self.assertEqual(len(self.bench.starts(self.bench.all_effects)), before)
 
-    def test_claim_without_an_outcome_ends(self) -> None:
+    def test_unused_claim_expires(self) -> None:
         """A claim expires if the stopped runs do not end in time."""
         self.fill_workers(count=2)
         self.submit_gang(count=4)
@@ -131,5 +131,5 @@
         self.assertEqual(self.submit_gang(), [])
 
     def test_room_is_never_negative(self) -> None:
-        """The number of fitting tasks is zero if the free room are negative."""
+        """The number of fitting tasks is zero if the free room is negative."""
         self.assertEqual(count_fitting(Size(-1500, 100, 0), Size(1000, 10, 0)), 0)
--- a/tests/test_jobs_reducer.py
+++ b/tests/test_jobs_reducer.py
@@ -217,7 +217,7 @@
         self.assertEqual(statuses, [JobStatus.FAILED])
         self.assertEqual(bench.starts(), [])
 
-    def test_failure_of_a_run_given_up_counts(self) -> None:
+    def test_failure_of_a_lost_run_counts(self) -> None:
         """The failure of a run that was considered lost still counts as an attempt."""
         bench = Bench(attempts=2)
         bench.add_worker("w")
@@ -229,7 +229,7 @@
         bench.report("w", ended=[(start.order.task, 1, FAILED)])
         self.assertEqual(task.failures, 1)
 
-    def test_gang_fails_once_a_run(self) -> None:
+    def test_gang_run_fails_once(self) -> None:
         """Two failed members of one run count as one failure of the gang."""
         bench = Bench(attempts=2)
         bench.add_worker()
@@ -278,7 +278,7 @@
         self.assertEqual(stopped, {start.order.task for start in others})
 
 
-class TestPlacing(unittest.TestCase):
+class TestPlacement(unittest.TestCase):
     def test_stopping_run_still_takes_room(self) -> None:
         """A run that is being stopped still uses its resources."""
         bench = Bench()
@@ -400,7 +400,7 @@
         (again,) = filter_by_type(self.bench.tick(0.1), AskAdvice)
         self.assertEqual(again.request.workers, ("w",))
 
-    def test_gang_asks_about_as_many_workers_as_it_needs(self) -> None:
+    def test_gang_request_size_is_bounded(self) -> None:
         """Requests are limited in size; otherwise tickets would expire before the placement."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(90):
@@ -439,7 +439,7 @@
         (again,) = filter_by_type(bench.tick(0.1), AskAdvice)
         self.assertEqual(again.request.workers, ("x0",))
 
-    def test_answer_from_before_the_terms_changed(self) -> None:
+    def test_answer_to_a_request_under_previous_terms(self) -> None:
         """An answer to a request sent before the queue's terms changed is not counted."""
         cell = self.bench.cell
         self.bench.submit(msgspec.structs.replace(SMALL, size=Size(4000, 1000)))
@@ -450,7 +450,7 @@
         self.answer(asked)
         self.assertEqual(step.advice.pending_requests, 0)
 
-    def test_failed_question_is_asked_again(self) -> None:
+    def test_failed_request_is_repeated(self) -> None:
         """A request without an answer is repeated after a delay."""
         self.bench.submit()
         (asked,) = filter_by_type(self.bench.effects, AskAdvice)
@@ -478,7 +478,7 @@
         found = bench.report("w", running=[(task.id, 3, 50.0)]) + bench.tick(1.0)
         self.assertEqual(filter_by_type(found, SendStart) + filter_by_type(found, SendStop), [])
 
-    def test_statuses_are_shown_at_once(self) -> None:
+    def test_statuses_are_published_on_restore(self) -> None:
         """A new leader publishes the statuses of all recorded jobs before any event."""
         bench = Bench(token=9)
         job = "a" * 16
@@ -505,14 +505,14 @@
         found = bench.report("w") + bench.tick(0.2)
         self.assertEqual([start.order.run for start in bench.starts(found)], [4])
 
-    def test_worker_never_seen_again(self) -> None:
+    def test_runs_of_an_unreached_worker(self) -> None:
         """The runs of an unreached worker restart only after all leases have expired."""
         bench, _ = self.restore_bench(life="gone")
         bench.add_worker("w")
         self.assertEqual(bench.starts(bench.tick(9.5)), [])
         self.assertEqual(len(bench.starts(bench.tick(1.0))), 1)
 
-    def test_placement_that_never_began_still_waits(self) -> None:
+    def test_unconfirmed_placement_stays_pending(self) -> None:
         """A job with a recorded placement stays pending until a worker reports the run."""
         bench = Bench(token=9)
         job = "a" * 16
@@ -545,7 +545,7 @@
         self.assertEqual([e.order.run for e in filter_by_type(found, SendStop)], [2])
         self.assertEqual(bench.cell.workers["w"].used.cpu, 1000)
 
-    def test_job_that_ended_is_known_by_its_end_alone(self) -> None:
+    def test_ended_job_does_not_run_again(self) -> None:
         """An ended job is published with its status and does not run again if resubmitted."""
         bench = Bench(token=9)
         bench.add_worker()
@@ -560,7 +560,7 @@
         )
         self.assertEqual([e.names for e in filter_by_type(found, ForgetAccepted)], [(job,)])
 
-    def test_run_of_a_job_that_ended_takes_all_that_is_free(self) -> None:
+    def test_run_of_an_ended_job_blocks_its_worker(self) -> None:
         """A run whose size is unknown blocks its worker until it has ended."""
         bench = Bench(token=9)
         job = "a" * 16
@@ -585,7 +585,7 @@
         self.assertEqual(len(filter_by_type(found, StepDown)), 1)
 
 
-class TestForgetting(unittest.TestCase):
+class TestSubmissionRecord(unittest.TestCase):
     """A job's submission record is deleted once it is not needed any more."""
 
     def setUp(self) -> None:
@@ -601,8 +601,8 @@
     def end_run(self, kind: EndKind) -> list:
         return self.bench.report("w", ended=[(self.start.order.task, 1, kind)])
 
-    def test_not_before_its_end_is_on_record(self) -> None:
-        """The submission record is kept until the job's end is stored."""
+    def test_not_before_its_end_is_recorded(self) -> None:
+        """The submission record is kept until the job's end is recorded."""
         self.bench.is_store_paused = True
         found = self.end_run(DONE) + self.bench.tick(1.0)
         self.assertEqual(self.forgotten_names(found), [])
@@ -610,8 +610,8 @@
         found = self.bench.feed(Persisted(self.bench.cell.batch_number))
         self.assertEqual(self.forgotten_names(found), [(self.job,)])
 
-    def test_handed_in_again_while_its_end_waits(self) -> None:
-        """The record of a resubmitted job is kept until the job's end is stored."""
+    def test_resubmitted_before_its_end_is_recorded(self) -> None:
+        """The record of a resubmitted job is kept until the job's end is recorded."""
         self.bench.is_store_paused = True
         self.end_run(DONE)
         found = self.bench.feed(JobAccepted(self.job, make_accepted_job())) + self.bench.tick(1.0)
@@ -620,7 +620,7 @@
         found = self.bench.feed(Persisted(self.bench.cell.batch_number)) + self.bench.tick(0.2)
         self.assertIn((self.job,), self.forgotten_names(found))
 
-    def test_not_while_something_runs(self) -> None:
+    def test_not_while_a_run_is_being_stopped(self) -> None:
         """The record is kept while a run is being stopped, as a successor counts its resources."""
         found = self.bench.feed(JobCancelled(self.job)) + self.bench.tick(0.3)
         self.assertEqual(self.forgotten_names(found), [])
@@ -660,7 +660,7 @@
         self.assertEqual([stop.order.task for stop in stops[:1]], [start.order.task])
         self.assertGreater(bench.cell.workers["w"].slowness, 1.8)
 
-    def test_run_at_the_usual_pace_stays(self) -> None:
+    def test_run_at_the_estimated_speed_stays(self) -> None:
         """A run that progresses as estimated is not moved."""
         bench = Bench()
         bench.add_worker("w")
--- a/tests/test_jobs_reservations.py
+++ b/tests/test_jobs_reservations.py
@@ -15,7 +15,7 @@
 QUICK = msgspec.structs.replace(SMALL, estimate_ms=100)
 
 
-class TestReserving(unittest.TestCase):
+class TestReservations(unittest.TestCase):
     """Tests on a worker of four cores, with two runs of one core and one second each."""
 
     def setUp(self) -> None:
@@ -51,7 +51,7 @@
         self.assertEqual(start.order.task.job, f"{2:016x}")
 
     def test_run_that_ends_in_time_may_use_reserved_room(self) -> None:
-        """Reserved room are used by runs that end before the reservation starts."""
+        """Reserved room is used by runs that end before the reservation starts."""
         self.assertEqual(self.submit(BULKY), [])
         self.assertEqual(len(self.submit(QUICK)), 1)
 
@@ -108,8 +108,8 @@
             self.bench.cell.policy, may_preempt=lambda step, other, now: True
         )
         self.end_running()
-        yielding = msgspec.structs.replace(SMALL, count=4, checkpointing=True)
-        for start in self.submit(yielding):
+        preemptible = msgspec.structs.replace(SMALL, count=4, checkpointing=True)
+        for start in self.submit(preemptible):
             self.bench.confirm(start)
         self.submit(BULKY)
         self.assertEqual(len(filter_by_type(self.bench.effects, SendStop)), 4)
--- a/tests/test_jobs_waiting.py
+++ b/tests/test_jobs_waiting.py
@@ -45,7 +45,7 @@
 class TestTeams(unittest.TestCase):
     """A burst of gangs that few workers may run, from 20 teams with quotas on 176 workers."""
 
-    def test_gangs_find_their_workers_in_time(self) -> None:
+    def test_gangs_are_placed_in_time(self) -> None:
         """Gangs are placed in time, which requires parallel advice requests about all workers."""
         capacity = Size(32_000, 131_072, 0)
         teams = uneven_teams(20, capacity.times(176).scaled(1.6))
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -60,7 +60,7 @@
         return self.starts(self.all_effects)
 
     @property
-    def used(self) -> int:
+    def used_cpu(self) -> int:
         return self.cell.team_usage.used("a").cpu
 
 
@@ -77,7 +77,7 @@
         bench.report("w", running=[], ended=[(first.task, 1, DONE)])
         bench.tick(0.2)
         self.assertEqual(len(bench.started), 4)
-        self.assertEqual(bench.used, 3000)
+        self.assertEqual(bench.used_cpu, 3000)
 
     def test_every_kind_of_room_counts(self) -> None:
         """Quotas of memory are enforced as well as quotas of processors."""
@@ -86,7 +86,7 @@
         bench.submit_as("a", WIDE)
         self.assertEqual(len(bench.started), 2)
 
-    def test_other_teams_are_not_held_up(self) -> None:
+    def test_other_teams_are_not_delayed(self) -> None:
         """A team at its quota does not delay other teams."""
         bench = QuotaBench(make_team(1000), make_team(5000, name="b"))
         bench.add_worker(cpu=20_000)
@@ -125,7 +125,7 @@
         bench.tick(0.2)
         self.assertEqual(len(bench.started), 5)
 
-    def test_gang_without_room_keeps_no_quota_for_long(self) -> None:
+    def test_gang_without_room_reserves_quota_briefly(self) -> None:
         """A gang that no workers can hold does not block the other gangs of its team."""
         bench = QuotaBench(make_team(10_000))
         bench.add_worker(cpu=4000)
@@ -136,7 +136,7 @@
         bench.tick(2.0)
         self.assertEqual([start.order.task.job[-1] for start in bench.started], ["2"] * 4)
 
-    def test_gang_that_can_never_run_waits_and_is_not_failed(self) -> None:
+    def test_gang_larger_than_the_quota_stays_pending(self) -> None:
         """A gang that exceeds the quota stays pending, and runs once the quota is raised."""
         bench = QuotaBench(make_team(2000))
         bench.add_worker(cpu=20_000)
@@ -166,7 +166,7 @@
         self.assertEqual(after, {gang})
         self.assertEqual(len(bench.started), 7)
 
-    def test_gang_larger_than_the_quota_keeps_nothing(self) -> None:
+    def test_gang_larger_than_the_quota_reserves_nothing(self) -> None:
         """No quota is reserved for a gang that exceeds the whole quota."""
         bench = QuotaBench(make_team(2000))
         bench.add_worker(cpu=20_000)
@@ -195,7 +195,7 @@
         self.bench.is_store_paused = True
         self.bench.submit_as("a", WIDE)
         self.bench.tick(1.0)
-        self.assertEqual(self.bench.used, 1000)
+        self.assertEqual(self.bench.used_cpu, 1000)
         self.assertEqual(self.bench.started, [])
 
     def test_unanswered_start(self) -> None:
@@ -213,18 +213,18 @@
             self.bench.tick(0.1)
             self.bench.report(start.life)
         self.bench.tick(0.2)
-        self.assertEqual((self.bench.used, len(self.bench.started)), (1000, 1))
+        self.assertEqual((self.bench.used_cpu, len(self.bench.started)), (1000, 1))
         self.bench.feed(StopAnswered(start.life, start.order.task, 1, True))
         self.bench.tick(0.2)
-        self.assertEqual((self.bench.used, len(self.bench.started)), (1000, 1))
+        self.assertEqual((self.bench.used_cpu, len(self.bench.started)), (1000, 1))
         for _ in range(3):
             self.bench.tick(0.6)
             self.bench.report(start.life)
         self.bench.tick(0.2)
         self.assertEqual(len(self.bench.started), 2)
-        self.assertEqual(self.bench.used, 1000)
+        self.assertEqual(self.bench.used_cpu, 1000)
 
-    def test_worker_that_is_cut_off(self) -> None:
+    def test_unreachable_worker(self) -> None:
         """Runs on an unreachable worker count until their leases have expired."""
         start = self.start_one()
         self.bench.confirm(start)
@@ -242,17 +242,17 @@
         progress = JobProgress(JobStatus.RUNNING, [TaskProgress(0, 0, 0, 1, "u")], "a")
         bench = QuotaBench(make_team(1000))
         bench.restore(RecordedJobs({job: make_team_job(WIDE)}, set(), {job: progress}))
-        self.assertEqual(bench.used, 1000)
+        self.assertEqual(bench.used_cpu, 1000)
         bench.add_worker("w", cpu=20_000)
         bench.tick(0.5)
         self.assertEqual(bench.started, [])
         bench.add_worker("u", is_settled=False)
-        self.assertEqual(bench.used, 1000)
+        self.assertEqual(bench.used_cpu, 1000)
         bench.report("u")
         bench.tick(0.2)
         self.assertEqual(len(bench.started), 1)
 
-    def test_nothing_is_left_counted(self) -> None:
+    def test_usage_is_empty_after_all_ends(self) -> None:
         """No usage is left once all runs have ended."""
         start = self.start_one()
         self.bench.confirm(start)
@@ -265,7 +265,7 @@
 
 
 class TestChangedQuotas(unittest.TestCase):
-    def test_lowered_quota_holds_starts_back(self) -> None:
+    def test_lowered_quota_delays_starts(self) -> None:
         """A deferred start is not sent if it exceeds a quota that was lowered meanwhile."""
         bench = QuotaBench(make_team(4000))
         bench.add_worker(cpu=20_000)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -84,9 +84,9 @@
         """The usage of each team with waiting steps is logged every second."""
         self.start_jobs("small", 4)
         self.bench.submit_as("small")
-        told = [
+        logged = [
             e for e in filter_by_type(self.bench.tick(1.2), LogDecision) if e.decision == "team_use"
         ]
-        fields = dict(told[-1].fields)
-        self.assertEqual((told[-1].subject, fields["waiting"]), ("small", 1))
+        fields = dict(logged[-1].fields)
+        self.assertEqual((logged[-1].subject, fields["waiting"]), ("small", 1))
         self.assertAlmostEqual(fields["of_share"], 4.0)
