--- a/src/snowdock/jobs/job_state.py
+++ b/src/snowdock/jobs/job_state.py
@@ -258,7 +258,7 @@
 
     @property
     def record_name(self) -> str:
-        """Name of the record of the job's acceptance."""
+        """Name of the job's submission record."""
         return record_name(self.id, self.team)
 
     def all_tasks(self):
--- a/src/snowdock/jobs/policy.py
+++ b/src/snowdock/jobs/policy.py
@@ -27,39 +27,39 @@
 
 
 def make_policy(
-    alarm: Callable[[PolicyFailure], None], current_cell: Callable[[], Cell]
+    on_failure: Callable[[PolicyFailure], None], current_cell: Callable[[], Cell]
 ) -> SchedulingPolicy:
     """Create the scheduling policy of a leader from the shipped programs.
 
     Parameters
     ----------
-    alarm
+    on_failure
         Called for each failure of a program.
     current_cell
         Returns the state of the leader.
     """
     choice = PolicyChoice(_PROGRAM)
-    book = PolicySet(alarm)
-    book.replace(Declarations(policies={"batch": choice, "gang": choice}))
+    policies = PolicySet(on_failure)
+    policies.replace(Declarations(policies={"batch": choice, "gang": choice}))
 
     def rank(step: Step, now: float) -> float:
-        return book.call(_policy_kind(step), "rank", _describe_step(current_cell(), step, now))
+        return policies.call(_policy_kind(step), "rank", _describe_step(current_cell(), step, now))
 
     def score(step: Step, worker: Worker, step_runs: int) -> float | None:
         if step.policy_view is None:
             step.policy_view = _describe_step_coarsely(current_cell(), step)
-        return book.score(
+        return policies.score(
             step.policy_view["kind"], step.policy_view, _describe_worker(worker, step_runs)
         )
 
     def backoff_seconds(step: Step, failures: int) -> float:
         work = _describe_step(current_cell(), step, step.job.submitted_at)
-        return book.call(_policy_kind(step), "backoff_seconds", work, failures)
+        return policies.call(_policy_kind(step), "backoff_seconds", work, failures)
 
     def may_preempt(step: Step, other: Step, now: float) -> bool:
         work = _describe_step(current_cell(), step, now)
         victim = _describe_step(current_cell(), other, now)
-        return bool(book.call(_policy_kind(step), "preempt", work, victim))
+        return bool(policies.call(_policy_kind(step), "preempt", work, victim))
 
     return SchedulingPolicy(rank, score, backoff_seconds, may_preempt)
 
--- a/tests/jobs_tools.py
+++ b/tests/jobs_tools.py
@@ -55,7 +55,7 @@
 
 POLICY = SchedulingPolicy(
     rank=lambda step, now: -step.job.submitted_at,
-    score=lambda step, worker, there: float(worker.free.cpu),
+    score=lambda step, worker, step_runs: float(worker.free.cpu),
     backoff_seconds=lambda step, failures: 0.0,
     may_preempt=lambda step, other, now: False,
 )
--- a/tests/test_jobs_capacity.py
+++ b/tests/test_jobs_capacity.py
@@ -93,7 +93,7 @@
 
     @staticmethod
     def run_emulation(seed: int):
-        source = random.Random(seed)
+        rng = random.Random(seed)
         workload = WorkloadOptions(SECONDS, 0.4, default_mixes(seed % 2 == 0))
         jobs = draw_workload(seed, workload)
         options = EmulatorOptions(workload)
@@ -101,15 +101,15 @@
         emulator.checks.is_calm = False
         at = 0.0
         while at < SECONDS:
-            at += source.uniform(0.1, 0.6)
+            at += rng.uniform(0.1, 0.6)
             emulator.run_until(at)
-            life = source.choice(list(emulator.workers))
-            share = source.choice((0.0, 0.1, 0.3, 0.6, 1.0))
+            life = rng.choice(list(emulator.workers))
+            share = rng.choice((0.0, 0.1, 0.3, 0.6, 1.0))
             emulator.fleet.resize(life, options.capacity.scaled(share))
-            emulator.faults.lost_answers = source.choice((0.0, 0.0, 0.2))
-            if source.random() < 0.05:
+            emulator.faults.lost_answers = rng.choice((0.0, 0.0, 0.2))
+            if rng.random() < 0.05:
                 emulator.kill_leader(0.5)
-            if source.random() < 0.05:
+            if rng.random() < 0.05:
                 # Placements are recorded long after the capacity of their workers has shrunk.
                 emulator.faults.store_down = True
                 emulator.timeline.after(6.0, lambda: _restore_store(emulator))
--- a/tests/test_jobs_placement.py
+++ b/tests/test_jobs_placement.py
@@ -32,9 +32,9 @@
         self.scored = 0
         usual = self.bench.cell.policy
 
-        def score(step, worker, there) -> float:
+        def score(step, worker, step_runs) -> float:
             self.scored += 1
-            return usual.score(step, worker, there)
+            return usual.score(step, worker, step_runs)
 
         self.ranked = 0
 
--- a/tests/test_jobs_preemption.py
+++ b/tests/test_jobs_preemption.py
@@ -114,7 +114,7 @@
         stops = self.submit_gang(count=2)
         self.assertEqual([stop.life for stop in stops], ["w2", "w2"])
 
-    def test_worker_on_trial_offers_no_room(self) -> None:
+    def test_worker_on_probation_offers_no_room(self) -> None:
         """Neither free room nor preemptible runs of a worker on probation are considered."""
         self.fill_workers(count=1)
         (busy,) = [w for w in self.bench.cell.workers.values() if w.runs]
@@ -130,6 +130,6 @@
             self.bench.cell.find_task(start.order.task).preemptions = 2
         self.assertEqual(self.submit_gang(), [])
 
-    def test_room_is_never_negative(self) -> None:
+    def test_negative_room_fits_no_task(self) -> None:
         """The number of fitting tasks is zero if the free room is negative."""
         self.assertEqual(count_fitting(Size(-1500, 100, 0), Size(1000, 10, 0)), 0)
--- a/tests/test_jobs_reducer.py
+++ b/tests/test_jobs_reducer.py
@@ -61,7 +61,7 @@
         bench.tick(0.1)
         self.assertEqual(bench.cell.batch_number, 2)
 
-    def test_end_is_forgotten_after_its_record(self) -> None:
+    def test_end_is_acknowledged_after_its_record(self) -> None:
         """An end is acknowledged to its worker, and published, once it is recorded."""
         bench = Bench()
         bench.add_worker()
@@ -157,7 +157,7 @@
         self.bench.report("w")
         return self.bench.report("w")
 
-    def test_missing_run_is_stopped_before_it_begins_again(self) -> None:
+    def test_missing_run_is_stopped_before_it_restarts(self) -> None:
         """An unreported run may still start, so it is stopped before it restarts elsewhere."""
         found = self.report_missing_run()
         self.assertEqual(len(filter_by_type(found, SendStop)), 1)
@@ -338,7 +338,7 @@
         bench.tick(1.0)
         self.assertEqual(bench.starts(bench.all_effects), [])
 
-    def test_entry_that_lapsed_with_the_store_may_return(self) -> None:
+    def test_entry_that_expired_in_a_store_outage_may_return(self) -> None:
         """A worker whose entry expired in a store outage is used for a grace period only."""
         bench = Bench()
         bench.add_worker("w")
@@ -486,7 +486,7 @@
         shown = [(e.job, e.status) for e in filter_by_type(effects, PublishStatus)]
         self.assertEqual(shown, [(job, JobStatus.RUNNING)])
 
-    def test_failure_on_record_is_not_counted_again(self) -> None:
+    def test_recorded_failure_is_not_counted_again(self) -> None:
         """A recorded failure that the worker reports again is counted once."""
         bench = Bench(token=9, attempts=2)
         job = "a" * 16
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -300,7 +300,7 @@
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def run_emulation(self, seed: int):
-        source = random.Random(seed)
+        rng = random.Random(seed)
         total = Size(24 * 16_000, 24 * 65_536, UNBOUNDED)
         teams = uneven_teams(5, total)
         workload = WorkloadOptions(
@@ -311,9 +311,9 @@
         emulator.checks.is_calm = False
         at = 0.0
         while at < self.SECONDS:
-            at += source.uniform(0.5, 2)
+            at += rng.uniform(0.5, 2)
             emulator.run_until(at)
-            self.inject_fault(emulator, source, total)
+            self.inject_fault(emulator, rng, total)
         emulator.faults.lost_answers = emulator.faults.late_orders = 0
         emulator.faults.cut.clear()
         emulator.change_teams(uneven_teams(5, total.times(4)))
@@ -321,14 +321,14 @@
         return emulator, jobs
 
     @staticmethod
-    def inject_fault(emulator: Emulator, source: random.Random, total: Size) -> None:
-        match source.randrange(8):
+    def inject_fault(emulator: Emulator, rng: random.Random, total: Size) -> None:
+        match rng.randrange(8):
             case 0:
                 emulator.faults.late_orders = 0.1
             case 1:
                 emulator.faults.lost_answers = 0.3
             case 2:
-                emulator.kill_leader(source.uniform(0.5, 2))
+                emulator.kill_leader(rng.uniform(0.5, 2))
             case 3:
                 emulator.depose_leader()
             case 4:
@@ -336,7 +336,7 @@
             case 5:
                 emulator.change_teams(uneven_teams(5, total))
             case 6:
-                emulator.faults.cut.add(source.choice(list(emulator.workers)))
+                emulator.faults.cut.add(rng.choice(list(emulator.workers)))
             case 7:
-                for job in source.sample(sorted(emulator.statuses), len(emulator.statuses) // 3):
+                for job in rng.sample(sorted(emulator.statuses), len(emulator.statuses) // 3):
                     emulator.cancel(job)
