--- a/src/snowdock/jobs/policy.py
+++ b/src/snowdock/jobs/policy.py
@@ -1,4 +1,4 @@
-"""The decisions that policy programs make about jobs."""
+"""Scheduling decisions about jobs that are made by policy programs."""
 
 import math
 from collections.abc import Callable
@@ -16,52 +16,52 @@
 _PROGRAM = "deadline_first.star"
 _HIGHEST_PRIORITY = 100
 _PRIORITY_STEP = 10
-"""A queue's priority 0 is shown to programs as 100, 1 as 90 and so on: there the highest
-number goes first."""
+"""Queue priority 0 is passed to programs as 100, 1 as 90 and so on: in programs, higher numbers
+have a higher priority."""
 
 _FREE_FRACTION_STEPS = 20
-"""Free fractions are rounded to this many steps, so that scores can be remembered."""
+"""Free fractions are rounded to multiples of 1/20, so that scores can be cached."""
 
 _SLOWNESS_STEPS = 5
-"""Slowness is rounded to a fifth, for the same reason."""
+"""Slowness is rounded to multiples of 1/5, so that scores can be cached."""
 
 
 def make_policy(
-    alarm: Callable[[PolicyFailure], None], current_cell: Callable[[], Cell]
+    on_failure: Callable[[PolicyFailure], None], current_cell: Callable[[], Cell]
 ) -> SchedulingPolicy:
-    """Make the decisions of a leader from the shipped programs.
+    """Create the scheduling policy of a leader from the shipped programs.
 
     Parameters
     ----------
-    alarm
-        Told of each failure of a program.
-    cell_of
-        Gives the leader's state, for the terms of queues.
+    on_failure
+        Called for each failure of a program.
+    current_cell
+        Returns the state of the leader.
     """
     choice = PolicyChoice(_PROGRAM)
-    book = PolicySet(alarm)
-    book.replace(Declarations(policies={"batch": choice, "gang": choice}))
+    policies = PolicySet(on_failure)
+    policies.replace(Declarations(policies={"batch": choice, "gang": choice}))
 
     def rank(step: Step, now: float) -> float:
-        return book.call(_policy_kind(step), "rank", _describe_step(current_cell(), step, now))
+        return policies.call(_policy_kind(step), "rank", _describe_step(current_cell(), step, now))
 
     def score(step: Step, worker: Worker, step_runs: int) -> float | None:
         if step.policy_view is None:
             step.policy_view = _describe_step_coarsely(current_cell(), step)
-        return book.score(
+        return policies.score(
             step.policy_view["kind"], step.policy_view, _describe_worker(worker, step_runs)
         )
 
     def backoff_seconds(step: Step, failures: int) -> float:
         work = _describe_step(current_cell(), step, step.job.submitted_at)
-        return book.call(_policy_kind(step), "backoff_seconds", work, failures)
+        return policies.call(_policy_kind(step), "backoff_seconds", work, failures)
 
-    def yields(step: Step, other: Step, now: float) -> bool:
+    def may_preempt(step: Step, other: Step, now: float) -> bool:
         work = _describe_step(current_cell(), step, now)
         victim = _describe_step(current_cell(), other, now)
-        return bool(book.call(_policy_kind(step), "preempt", work, victim))
+        return bool(policies.call(_policy_kind(step), "preempt", work, victim))
 
-    return SchedulingPolicy(rank, score, backoff_seconds, yields)
+    return SchedulingPolicy(rank, score, backoff_seconds, may_preempt)
 
 
 def _policy_kind(step: Step) -> str:
@@ -94,9 +94,9 @@
 
 
 def _describe_step_coarsely(cell: Cell, step: Step) -> dict[str, object]:
-    """Describe a step for scores: alike steps look equal, so that their scores are shared.
+    """Describe a step for scoring, such that similar steps share their cached scores.
 
-    Sizes and times are rounded up to powers of two, and the name tells them all.
+    Sizes and times are rounded up to powers of two and are part of the name.
     """
     work = _describe_step(cell, step, step.job.submitted_at)
     for field in ("tasks", "cpu", "memory_gb", "run_seconds"):
@@ -113,7 +113,7 @@
 
 
 def _describe_worker(worker: Worker, step_runs: int) -> dict[str, object]:
-    """Show a worker to a program, coarsely, so that equal ones look equal."""
+    """Describe a worker for scoring, such that similar workers share their cached scores."""
     capacity = worker.entry.capacity.cpu or 1
     fraction = worker.free.cpu / capacity
     return {
