--- a/src/snowdock/entry/election.py
+++ b/src/snowdock/entry/election.py
@@ -128,7 +128,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether this node has lost contact with the store and with all peers."""
+        """Whether this node has lost contact with the store and with all former peers."""
         if not self._peer_heard_at or self.renewed_s < ISOLATED_SECONDS:
             return False
         return steady_seconds() - self._peer_heard_at > ISOLATED_SECONDS
@@ -235,7 +235,7 @@
         self._stopped.set()
         self._nudged.set()
 
-    # -- the thread ------------------------------------------------------------------------
+    # -- election thread ------------------------------------------------------------------
 
     def _run(self) -> None:
         while not self._stopped.is_set():
