--- a/src/snowdock/entry/election.py
+++ b/src/snowdock/entry/election.py
@@ -23,9 +23,9 @@
 from ..platform.store import StoreClient
 from ..threads import ServiceThread
 from .known_leader import KnownLeader
+from .leader_liveness import find_end_evidence
 from .leader_log import LeaderLog
 from .leader_record import LeaderRecord, NodeIdentity
-from .leader_signs import find_end_evidence
 from .leader_watch import LeaderWatch
 from .messages import Heartbeat
 from .renewals import MAX_CALL_SECONDS, Renewals
@@ -96,8 +96,8 @@
         self._wake = threading.Event()
         self._may_claim = True
         self._renewals = Renewals()
-        self._known = KnownLeader()
-        self._watch = LeaderWatch(self._log, self._known, self._apply_records)
+        self._known_leader = KnownLeader()
+        self._watch = LeaderWatch(self._log, self._known_leader, self._apply_records)
         self._own_epoch = 0
         self._elected_at = 0.0
         self._turnover = 0
@@ -109,7 +109,7 @@
     @property
     def leader(self) -> LeaderRecord | None:
         """The newest known leader, this node or another."""
-        return self._known.record
+        return self._known_leader.record
 
     @property
     def own_epoch(self) -> int:
@@ -136,12 +136,12 @@
     @property
     def leader_finds_store_slow(self) -> bool:
         """Whether another node is the leader and has recently reported slow appends."""
-        return self._known.is_alive and self._known.liveness.store_is_slow
+        return self._known_leader.is_alive and self._known_leader.liveness.store_is_slow
 
     @property
     def leader_is_alive(self) -> bool:
         """Whether another node is the leader, and its heartbeats and renewals are on time."""
-        return self._known.is_alive
+        return self._known_leader.is_alive
 
     def make_heartbeat(self, due_s: float, heard_s: float | None) -> Heartbeat:
         """Return the heartbeat to send to a peer.
@@ -167,41 +167,45 @@
             heard_s,
         )
 
-    def handle_heartbeat(self, beat: Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Handle a heartbeat of a peer."""
         now = steady_seconds()
         self._last_peer_heartbeat_at = now
-        self._successors.record_heartbeat(beat, now)
-        if self._is_newer_leader(beat):
-            self._follow_unrecorded_leader(beat)
-        leader = self._known.record
-        if leader is None or beat.node != leader.node:
+        self._successors.record_heartbeat(heartbeat, now)
+        if self._is_newer_leader(heartbeat):
+            self._follow_unrecorded_leader(heartbeat)
+        leader = self._known_leader.record
+        if leader is None or heartbeat.node != leader.node:
             return
-        if beat.epoch >= leader.epoch:
-            self._known.liveness.record_heartbeat(beat)
-        elif beat.resigned:
-            self._known.liveness.mark_silent()
+        if heartbeat.epoch >= leader.epoch:
+            self._known_leader.liveness.record_heartbeat(heartbeat)
+        elif heartbeat.resigned:
+            self._known_leader.liveness.mark_silent()
             self._wake.set()
 
-    def _is_newer_leader(self, beat: Heartbeat) -> bool:
+    def _is_newer_leader(self, heartbeat: Heartbeat) -> bool:
         """Check whether a heartbeat comes from a newer leader whose record this node cannot read.
 
         A node that reaches the store reads the record instead, since it includes the turnover.
         """
-        known_epoch = self._known.record.epoch if self._known.record is not None else 0
-        is_newer = beat.epoch > max(known_epoch, self._own_epoch) and not beat.resigned
+        known_epoch = (
+            self._known_leader.record.epoch if self._known_leader.record is not None else 0
+        )
+        is_newer = heartbeat.epoch > max(known_epoch, self._own_epoch) and not heartbeat.resigned
         return is_newer and not self._reaches_store()
 
-    def _follow_unrecorded_leader(self, beat: Heartbeat) -> None:
+    def _follow_unrecorded_leader(self, heartbeat: Heartbeat) -> None:
         """Follow a leader known by its heartbeat, elected while this node cannot reach the store.
 
         Callers of this node would otherwise get the answer that there is no leader.
         """
-        log_event("leader_heard", leader=beat.node, epoch=beat.epoch)
-        self.step_down(f"{beat.node} leads in a later epoch")
-        record = LeaderRecord(beat.node, _UNKNOWN_INCARNATION, beat.address, beat.epoch)
-        self._known.update(record)
-        self._known.liveness.start_term()
+        log_event("leader_heard", leader=heartbeat.node, epoch=heartbeat.epoch)
+        self.step_down(f"{heartbeat.node} leads in a later epoch")
+        record = LeaderRecord(
+            heartbeat.node, _UNKNOWN_INCARNATION, heartbeat.address, heartbeat.epoch
+        )
+        self._known_leader.update(record)
+        self._known_leader.liveness.start_term()
         self._on_leader_changed(record)
 
     def start(self) -> None:
@@ -298,18 +302,18 @@
 
     def _follow_own_resignation(self, successor: str) -> None:
         """Update the known leader by this node's own resignation."""
-        own = self._known.record
-        self._known.update(msgspec.structs.replace(own, resigned=True, successor=successor))
-        self._known.liveness.mark_silent()
+        record = self._known_leader.record
+        self._known_leader.update(msgspec.structs.replace(record, resigned=True, successor=successor))
+        self._known_leader.liveness.mark_silent()
 
     def _still_leads(self, epoch: int) -> bool:
         """Check whether a conflict was caused only by a renewal whose answer was lost."""
-        found = self._log.read_new(0.0)
-        if found is None:
-            found = self._log.read_newest(MAX_CALL_SECONDS)
+        records = self._log.read_new(0.0)
+        if records is None:
+            records = self._log.read_newest(MAX_CALL_SECONDS)
         return all(
             record.epoch == epoch and record.incarnation == self._identity.incarnation
-            for record in found
+            for record in records
         )
 
     def _follow(self) -> float:
@@ -338,13 +342,13 @@
 
         Evidence only saves the wait for a renewal; the conditional append still decides the claim.
         """
-        leader = self._known.record
+        leader = self._known_leader.record
         if leader is None or leader.resigned:
             return False
         evidence = find_end_evidence(
-            leader, self._identity, self._known.liveness, self._reaches_store
+            leader, self._identity, self._known_leader.liveness, self._reaches_store
         )
-        self._known.is_evidently_gone = evidence is not None
+        self._known_leader.is_evidently_gone = evidence is not None
         if evidence is not None and self._gone_epoch_logged != leader.epoch:
             self._gone_epoch_logged = leader.epoch
             log_event("leader_gone", leader=leader.node, epoch=leader.epoch, reason=evidence)
@@ -352,16 +356,16 @@
 
     def _other_successor_is_named(self) -> bool:
         """Check whether the leader has resigned and named another node as its successor."""
-        leader = self._known.record
+        leader = self._known_leader.record
         if leader is None or not leader.resigned:
             return False
         return leader.successor not in ("", self._identity.node)
 
     def _apply_records(self, records: list[LeaderRecord]) -> None:
         leader = records[-1] if records else None
-        if leader is None or leader == self._known.record:
+        if leader is None or leader == self._known_leader.record:
             return
-        self._known.update(leader)
+        self._known_leader.update(leader)
         log_event(
             "leader_seen",
             leader=leader.node,
@@ -375,14 +379,14 @@
         elif leader.incarnation != self._identity.incarnation:
             self._resigned = self._resigned and not self._may_claim
             if leader.resigned:
-                self._known.liveness.mark_silent()
+                self._known_leader.liveness.mark_silent()
             else:
-                self._known.liveness.start_term()
+                self._known_leader.liveness.start_term()
             self._on_leader_changed(leader)
 
     def _claim(self) -> None:
         epoch = self._log.next_epoch
-        self._turnover = self._known.next_turnover()
+        self._turnover = self._known_leader.next_turnover()
         try:
             self._append(epoch, False)
         except AppendConflict:
@@ -393,7 +397,7 @@
         self._start_term(self._identity.make_record(epoch, turnover=self._turnover))
 
     def _start_term(self, record: LeaderRecord) -> None:
-        self._known.update(record)
+        self._known_leader.update(record)
         self._resigned = False
         self._turnover = record.turnover
         self._elected_at = steady_seconds()
--- a/src/snowdock/entry/known_leader.py
+++ b/src/snowdock/entry/known_leader.py
@@ -1,8 +1,8 @@
 """A node's view of the current leader: its newest record, its liveness and the timeouts for it."""
 
 from ..clocks import steady_seconds
+from .leader_liveness import LeaderLiveness
 from .leader_record import LeaderRecord
-from .leader_signs import LeaderLiveness
 from .turnover import next_turnover, timeout_factor
 
 __all__ = ["KnownLeader"]
@@ -41,7 +41,7 @@
         return self.liveness.is_alive(self.timeout_factor)
 
     @property
-    def watch_factor(self) -> float:
+    def renewal_wait_factor(self) -> float:
         """Factor by which the wait for a renewal in the store is extended."""
         return max(self.timeout_factor, self.liveness.delay_factor())
 
@@ -61,6 +61,6 @@
         """Return the number of consecutive short terms that the leader's successor records."""
         if self.record is None:
             return 0
-        led_s = steady_seconds() - self._first_seen_at if self._saw_term_start else None
+        term_s = steady_seconds() - self._first_seen_at if self._saw_term_start else None
         is_evident = self.record.resigned or self.is_evidently_gone
-        return next_turnover(self.record.turnover, led_s, is_evident)
+        return next_turnover(self.record.turnover, term_s, is_evident)
--- a/src/snowdock/entry/leader_signs.py
+++ b/src/snowdock/entry/leader_liveness.py
@@ -117,19 +117,19 @@
         """Whether the leader's next heartbeat is overdue."""
         return steady_seconds() - self._last_heartbeat_at > _MISSED_HEARTBEAT_FACTOR * self._due_s
 
-    def record_heartbeat(self, beat: Heartbeat) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Record a heartbeat of the leader."""
         now = steady_seconds()
         if self._last_heartbeat_at:
             self._longest_heartbeat_gap.record(now - self._last_heartbeat_at, now)
-        if beat.renewal_age_s < self._renewal_age_s and not self._renewals_rejected:
+        if heartbeat.renewal_age_s < self._renewal_age_s and not self._renewals_rejected:
             # A smaller age means a renewal in between; the last known age is its gap.
             self._longest_renewal_gap.record(self._renewal_age_s, now)
         self._last_heartbeat_at = now
-        self._due_s = beat.due_s
-        self._renewal_age_s = beat.renewal_age_s
-        self._renewals_rejected = beat.renewals_rejected
-        self._store_is_slow = beat.store_is_slow
+        self._due_s = heartbeat.due_s
+        self._renewal_age_s = heartbeat.renewal_age_s
+        self._renewals_rejected = heartbeat.renewals_rejected
+        self._store_is_slow = heartbeat.store_is_slow
 
     def start_term(self) -> None:
         """Reset all limits for a new leader, and start the wait for its first heartbeat."""
@@ -150,7 +150,7 @@
 def find_end_evidence(
     leader: LeaderRecord,
     identity: NodeIdentity,
-    signs: LeaderLiveness,
+    liveness: LeaderLiveness,
     reaches_store: Callable[[], bool],
 ) -> str | None:
     """Return the evidence that a leader is gone; None if there is none.
@@ -161,7 +161,7 @@
         The leader on record, which has not resigned.
     identity
         The identity of this node.
-    signs
+    liveness
         The heartbeats received from the leader.
     reaches_store
         Returns whether the store has answered this node recently.
@@ -175,9 +175,9 @@
         return None
     if leader.node == identity.node:
         return "its process on this node has been replaced"
-    if signs.renewals_rejected and reaches_store():
+    if liveness.renewals_rejected and reaches_store():
         return "the store rejects its renewals"
-    if signs.has_missed_heartbeat and _refuses_connections(leader):
+    if liveness.has_missed_heartbeat and _refuses_connections(leader):
         return "no process listens at its address"
     return None
 
--- a/src/snowdock/entry/leader_log.py
+++ b/src/snowdock/entry/leader_log.py
@@ -91,13 +91,13 @@
 
 
 def _decode_records(records: list[KeyedRecord]) -> list[LeaderRecord]:
-    found = []
+    leaders = []
     for record in records:
         if record.key != LEADER_KEY or not record.value:
             continue
         try:
-            found.append(decode_leader_record(record))
+            leaders.append(decode_leader_record(record))
         except PlatformError as error:
             # The record is skipped; the leader's next renewal conflicts, and a node claims.
             log_error("leader_record_unusable", error, offset=record.offset)
-    return found
+    return leaders
--- a/src/snowdock/entry/leader_queries.py
+++ b/src/snowdock/entry/leader_queries.py
@@ -54,23 +54,23 @@
         -------
         status : JobStatus or None
             None if the job is unknown or belongs to another team.
-        is_sure : bool
+        is_certain : bool
             Whether the status, or that the job is unknown, is certain.
         """
         handle = self._leadership.handle
         if handle is None:
             return None, False
-        asked_at = steady_seconds()
+        started_at = steady_seconds()
         status = handle.statuses.find_status(job, team)
         if status is not None:
             return status, True
         if handle.statuses.is_unreadable(job):
             return None, False
-        is_fresh = (
-            asked_at - handle.jobs_read_at < _MAX_READ_AGE_SECONDS
+        is_certain = (
+            started_at - handle.jobs_read_at < _MAX_READ_AGE_SECONDS
             and self._election.renewed_s < _MAX_RENEWAL_AGE_SECONDS
         )
-        return None, is_fresh
+        return None, is_certain
 
     def local_count(self, queue: str) -> int | None:
         """Return the number of a queue's waiting jobs; None if this node is not the leader."""
@@ -87,19 +87,19 @@
         Starting
             If the status cannot be determined now, or no leader answers in time.
         """
-        status, is_sure = self.local_status(job, team)
-        other = self._remote_leader()
-        if self._leadership.handle is None and other is not None:
+        status, is_certain = self.local_status(job, team)
+        leader = self._remote_leader()
+        if self._leadership.handle is None and leader is not None:
             try:
                 reply = self._peers.ask(
-                    other, lambda number: StatusRequest(number, job, team), seconds
+                    leader, lambda number: StatusRequest(number, job, team), seconds
                 )
             except PlatformError as error:
                 raise Starting(f"the leader does not answer: {error}") from error
-            status, is_sure = reply.status, reply.is_sure
+            status, is_certain = reply.status, reply.is_certain
         if status is not None:
             return status
-        if is_sure:
+        if is_certain:
             raise JobGone("no such job")
         raise Starting(_NO_LEADER)
 
@@ -111,17 +111,17 @@
         Starting
             If no leader answers in time.
         """
-        own = self.local_count(queue)
-        if own is not None:
-            return own
-        other = self._remote_leader()
-        if other is None:
+        waiting = self.local_count(queue)
+        if waiting is not None:
+            return waiting
+        leader = self._remote_leader()
+        if leader is None:
             raise Starting(_NO_LEADER)
         try:
-            reply = self._peers.ask(other, lambda number: CountRequest(number, queue), seconds)
+            reply = self._peers.ask(leader, lambda number: CountRequest(number, queue), seconds)
         except PlatformError as error:
             raise Starting(f"the leader does not answer: {error}") from error
-        if not reply.is_sure:
+        if not reply.is_certain:
             raise Starting(_NO_LEADER)
         return reply.waiting
 
@@ -135,19 +135,19 @@
         A leader that is not alive gets no request, since the outcome would be unknown if it did
         not answer.
         """
-        other = self._remote_leader()
-        if other is None or not self._election.leader_is_alive:
+        leader = self._remote_leader()
+        if leader is None or not self._election.leader_is_alive:
             return RecordOutcome.NOT_DONE
         try:
             reply = self._peers.ask(
-                other,
+                leader,
                 lambda number: RecordRequest(
                     number, job, record.key, record.value, seconds * _LEADER_TIME_SHARE
                 ),
                 seconds,
             )
         except PlatformError as error:
-            log_event("relay_unanswered", job=job, leader=other, reason=str(error))
+            log_event("relay_unanswered", job=job, leader=leader, reason=str(error))
             return RecordOutcome.UNKNOWN
         return reply.outcome
 
@@ -159,10 +159,10 @@
         if self._leadership.handle is not None:
             self.apply_record(record)
             return
-        other = self._remote_leader()
-        if other is not None:
+        leader = self._remote_leader()
+        if leader is not None:
             # Sent even if no heartbeats arrive: the leader may be working, and a copy does no harm.
-            self._peers.tell(other, RecordNotice(record.key, record.value))
+            self._peers.tell(leader, RecordNotice(record.key, record.value))
 
     def apply_record(self, record: KeyedRecord) -> None:
         """Apply a job's record from the store; ignored if this node is not the leader."""
--- a/src/snowdock/entry/messages.py
+++ b/src/snowdock/entry/messages.py
@@ -82,11 +82,11 @@
 
 
 class StatusReply(_EntryMessage, tag="S"):
-    """A job's status; None if it is unknown, and ``is_sure`` if that is certain."""
+    """A job's status; None if it is unknown, and ``is_certain`` if that is certain."""
 
     number: int
     status: JobStatus | None
-    is_sure: bool
+    is_certain: bool
 
 
 class CountRequest(_EntryMessage, tag="c"):
@@ -97,11 +97,11 @@
 
 
 class CountReply(_EntryMessage, tag="C"):
-    """The number of waiting jobs; ``is_sure`` unless the sender is not the leader."""
+    """The number of waiting jobs; ``is_certain`` unless the sender is not the leader."""
 
     number: int
     waiting: int
-    is_sure: bool
+    is_certain: bool
 
 
 class AdviceRelayRequest(_EntryMessage, tag="a"):
--- a/src/snowdock/entry/peer_directory.py
+++ b/src/snowdock/entry/peer_directory.py
@@ -20,7 +20,7 @@
 class _Peer:
     """The time of a peer's last heartbeat, its address and its claim delay in seconds."""
 
-    heard_at: float
+    last_heartbeat_at: float
     address: str
     claim_delay_s: float
 
@@ -32,19 +32,21 @@
         self._peers: dict[str, _Peer] = {}
         self._lock = threading.Lock()
 
-    def record_heartbeat(self, beat: Heartbeat) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat) -> bool:
         """Record a heartbeat; return whether the peer or its address is new."""
         with self._lock:
-            known = self._peers.get(beat.node)
-            self._peers[beat.node] = _Peer(steady_seconds(), beat.address, beat.claim_delay_s)
-        return known is None or known.address != beat.address
+            known = self._peers.get(heartbeat.node)
+            self._peers[heartbeat.node] = _Peer(
+                steady_seconds(), heartbeat.address, heartbeat.claim_delay_s
+            )
+        return known is None or known.address != heartbeat.address
 
     def addresses(self) -> dict[str, str]:
         """Return the addresses of all peers by name, without those silent for too long."""
         oldest = steady_seconds() - _FORGET_SECONDS
         with self._lock:
             for node, peer in list(self._peers.items()):
-                if peer.heard_at < oldest:
+                if peer.last_heartbeat_at < oldest:
                     del self._peers[node]
             return {node: peer.address for node, peer in self._peers.items()}
 
@@ -54,10 +56,10 @@
 
     def strongest_peers(self, max_count: int) -> set[str]:
         """Return up to ``max_count`` names of live peers, those with the shortest claim delays."""
-        found = heapq.nsmallest(
+        strongest = heapq.nsmallest(
             max_count, self._live_peer_delays(), key=lambda peer: (peer[1], peer[0])
         )
-        return {node for node, _ in found}
+        return {node for node, _ in strongest}
 
     def _live_peer_delays(self) -> list[tuple[str, float]]:
         oldest = steady_seconds() - _LIVE_SECONDS
@@ -65,5 +67,5 @@
             return [
                 (node, peer.claim_delay_s)
                 for node, peer in self._peers.items()
-                if peer.heard_at > oldest
+                if peer.last_heartbeat_at > oldest
             ]
--- a/src/snowdock/entry/renewals.py
+++ b/src/snowdock/entry/renewals.py
@@ -45,14 +45,14 @@
         self._renewed_at = steady_seconds()
         self._rejected_count = 0
 
-    def record_success(self, began: float) -> None:
+    def record_success(self, started_at: float) -> None:
         """Record a successful renewal that began at a time of the steady clock."""
-        self._renewed_at = began
+        self._renewed_at = started_at
         self._rejected_count = 0
-        self._timeout.record_answer(steady_seconds() - began)
+        self._timeout.record_answer(steady_seconds() - started_at)
 
-    def record_failure(self, began: float) -> None:
+    def record_failure(self, started_at: float) -> None:
         """Record a failed renewal that began at a time of the steady clock."""
         self._timeout.record_timeout()
-        if steady_seconds() - began < _REJECTION_SECONDS:
+        if steady_seconds() - started_at < _REJECTION_SECONDS:
             self._rejected_count += 1
--- a/src/snowdock/entry/successors.py
+++ b/src/snowdock/entry/successors.py
@@ -41,19 +41,21 @@
         self._stronger_peers: dict[str, _StrongerPeer] = {}
         self._lock = threading.Lock()
 
-    def record_heartbeat(self, beat: Heartbeat, now: float) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """Record a peer's heartbeat; ``now`` is the steady clock in seconds."""
-        is_stronger = beat.claim_delay_s + _MIN_DELAY_ADVANTAGE_SECONDS <= self._claim_delay_s
+        is_stronger = heartbeat.claim_delay_s + _MIN_DELAY_ADVANTAGE_SECONDS <= self._claim_delay_s
         with self._lock:
-            if not is_stronger or not beat.reaches_store:
-                self._stronger_peers.pop(beat.node, None)
+            if not is_stronger or not heartbeat.reaches_store:
+                self._stronger_peers.pop(heartbeat.node, None)
                 return
-            known = self._stronger_peers.get(beat.node)
+            known = self._stronger_peers.get(heartbeat.node)
             if known is None or now - known.last_heard_at > _MAX_GAP_SECONDS:
-                self._stronger_peers[beat.node] = _StrongerPeer(now, now, beat.claim_delay_s)
+                self._stronger_peers[heartbeat.node] = _StrongerPeer(
+                    now, now, heartbeat.claim_delay_s
+                )
                 return
             known.last_heard_at = now
-            known.claim_delay_s = beat.claim_delay_s
+            known.claim_delay_s = heartbeat.claim_delay_s
 
     def choose_successor(self, now: float) -> str | None:
         """Return the strongest peer without heartbeat gaps; None if there is none."""
--- a/src/snowdock/entry/takeover.py
+++ b/src/snowdock/entry/takeover.py
@@ -103,17 +103,17 @@
                 continue
             known = progress.get(job)
             try:
-                found = decode_accepted(record.value)
+                job_record = decode_accepted(record.value)
             except InvalidInput as error:
                 log_error("job_record_unusable", error, job=record.key)
                 unstartable.add(job)
                 continue
-            if known is not None and known.team != found.team:
-                log_event("job_of_another_team", job=job, team=known.team, by=found.team)
+            if known is not None and known.team != job_record.team:
+                log_event("job_of_another_team", job=job, team=known.team, by=job_record.team)
                 continue
-            other = accepted.get(job)
-            if other is None or found.accepted_ms < other.accepted_ms:
-                accepted[job] = found
+            earlier = accepted.get(job)
+            if earlier is None or job_record.accepted_ms < earlier.accepted_ms:
+                accepted[job] = job_record
     unstartable -= accepted.keys()
     return RecordedJobs(accepted, cancelled, progress, unreadable, frozenset(unstartable))
 
--- a/src/snowdock/entry/turnover.py
+++ b/src/snowdock/entry/turnover.py
@@ -17,35 +17,35 @@
 core needs 3.4 s from its claim to its first orders, with 350 jobs on record."""
 
 
-def timeout_factor(turnover: int, led_s: float) -> float:
+def timeout_factor(turnover: int, term_s: float) -> float:
     """Return the factor by which the timeout for a silent leader is extended.
 
     Parameters
     ----------
     turnover
         The number of consecutive short terms before this one.
-    led_s
+    term_s
         How long this node has observed the term, in seconds.
     """
     factor = 2.0 ** min(turnover, _MAX_DOUBLINGS)
-    return factor if led_s < _SETTLED_SECONDS * factor else 1.0
+    return factor if term_s < _SETTLED_SECONDS * factor else 1.0
 
 
-def next_turnover(turnover: int, led_s: float | None, is_evident: bool) -> int:
+def next_turnover(turnover: int, term_s: float | None, is_evident: bool) -> int:
     """Return the number of consecutive short terms that a claimant records.
 
     Parameters
     ----------
     turnover
         The number recorded by the leader that it replaces.
-    led_s
+    term_s
         How long it has observed that leader's term, in seconds; None if it did not see it start.
     is_evident
         Whether that leader has resigned, or there was evidence that it is gone.
     """
     if is_evident:
         return 0
-    if led_s is None:
+    if term_s is None:
         return turnover
-    is_short = led_s < _SETTLED_SECONDS * timeout_factor(turnover, 0.0)
+    is_short = term_s < _SETTLED_SECONDS * timeout_factor(turnover, 0.0)
     return turnover + 1 if is_short else 0
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -14,8 +14,8 @@
 from snowdock.entry.configuration_watcher import ConfigurationWatcher
 from snowdock.entry.job_status_table import JobStatusTable
 from snowdock.entry.leader_handle import LeaderHandle
+from snowdock.entry.leader_liveness import LeaderLiveness
 from snowdock.entry.leader_queries import LeaderQueries
-from snowdock.entry.leader_signs import LeaderLiveness
 from snowdock.entry.messages import Heartbeat
 from snowdock.entry.renewals import Renewals
 from snowdock.errors import CallUnanswered
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -64,14 +64,16 @@
             if not self.heartbeats_enabled:
                 continue
             candidates = list(self.candidates)
-            beats = [(c, c.election.make_heartbeat(0.2, None)) for c in candidates]
-            for sender, beat in beats:
+            heartbeats = [(c, c.election.make_heartbeat(0.2, None)) for c in candidates]
+            for sender, beat in heartbeats:
                 for other in candidates:
                     if other is not sender:
                         other.election.handle_heartbeat(beat)
 
-    def add_candidate(self, name: str, delay_s: float = 0.0, incarnation: str = "") -> Candidate:
-        candidate = Candidate(self.store, name, delay_s, incarnation)
+    def add_candidate(
+        self, name: str, claim_delay_s: float = 0.0, incarnation: str = ""
+    ) -> Candidate:
+        candidate = Candidate(self.store, name, claim_delay_s, incarnation)
         self.candidates.append(candidate)
         return candidate
 
@@ -138,7 +140,7 @@
         self.wait_for_leader()
         second = self.add_candidate("second")
         self.wait_until_followed(second)
-        with mock.patch.object(leader_watch_module, "_PROBE_SECONDS", 60.0):
+        with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
             self.kill(first)
             self.assertTrue(wait_until(lambda: second.leads))
 
@@ -149,7 +151,7 @@
         first.election.stop()
         self.candidates.remove(first)
         self.addCleanup(first.port.close)
-        with mock.patch.object(leader_watch_module, "_PROBE_SECONDS", 60.0):
+        with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
             again = self.add_candidate("first", incarnation="first-2")
             self.assertTrue(wait_until(lambda: again.leads))
         self.assertGreater(again.epochs[0], first.epochs[0])
@@ -160,7 +162,7 @@
         self.wait_for_leader()
         second = self.add_candidate("second")
         self.wait_until_followed(second)
-        with mock.patch.object(leader_watch_module, "_PROBE_SECONDS", 60.0):
+        with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
             first.election._log._store.move("127.0.0.1:1")
             self.assertTrue(wait_until(lambda: second.leads))
 
@@ -184,7 +186,7 @@
         second = self.add_candidate("second")
         second.reaches_store = False
         self.wait_until_followed(second)
-        with mock.patch.object(leader_watch_module, "_PROBE_SECONDS", 60.0):
+        with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
             first.election._log._store.move("127.0.0.1:1")
             self.assertTrue(wait_until(lambda: first.election.renewed_s > 1.5))
             self.assertEqual(second.epochs, [])
@@ -249,7 +251,7 @@
         self.assertEqual(last.election.leader.turnover, 2)
         fourth = self.add_candidate("fourth").election
         self.assertTrue(wait_until(lambda: fourth.leader is not None))
-        self.assertEqual(fourth._known.timeout_factor, 4.0)
+        self.assertEqual(fourth._known_leader.timeout_factor, 4.0)
 
     def silence_leader(self, candidate: Candidate) -> None:
         """Stop a leader once the others follow it, but keep its port open."""
--- a/tests/test_leader_settings.py
+++ b/tests/test_leader_settings.py
@@ -29,7 +29,7 @@
         return cell_settings(read_node_environment(str(path)))
 
 
-class TestTakeoverLapse(unittest.TestCase):
+class TestRunExpiry(unittest.TestCase):
     def test_lease_is_capped_at_requested_length(self) -> None:
         """A larger worker limit does not extend the lapse beyond the requested lease."""
         found = leader_settings(hold_max_ms=10_000)
@@ -48,7 +48,7 @@
         self.assertLess(found.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + 3.0)
 
 
-class TestLapseAfterClaim(unittest.TestCase):
+class TestRunExpiryAfterClaim(unittest.TestCase):
     def make_bench(self, claimed_before_s: float) -> Bench:
         """Return a leader that has read all records the given time after its claim."""
         bench = Bench(token=9)
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -6,50 +6,53 @@
 from snowdock.entry.successors import SuccessorTracker
 
 
-def beat(node: str, claim_delay_s: float = 0.0, reaches_store: bool = True) -> Heartbeat:
+def make_heartbeat(node: str, claim_delay_s: float = 0.0, reaches_store: bool = True) -> Heartbeat:
     return Heartbeat(node, "a:1", 0, 0.0, False, claim_delay_s, reaches_store)
 
 
 class TestSuccessorTracker(unittest.TestCase):
     def choose_successor(
-        self, *beats: Heartbeat, seconds: float = 3.0, own_delay_s: float = 0.36
+        self, *heartbeats: Heartbeat, seconds: float = 3.0, own_delay_s: float = 0.36
     ) -> str | None:
         """Return the successor after heartbeats of some peers every 0.2 s."""
         succession = SuccessorTracker(own_delay_s)
         now = 100.0
         for _ in range(round(seconds / 0.2)):
             now += 0.2
-            for each in beats:
-                succession.record_heartbeat(each, now)
+            for heartbeat in heartbeats:
+                succession.record_heartbeat(heartbeat, now)
         return succession.choose_successor(now)
 
     def test_strongest_peer_is_chosen(self) -> None:
         """The strongest of several stronger peers is chosen."""
         self.assertEqual(
-            self.choose_successor(beat("a", 0.2), beat("b", 0.05), beat("c", 0.3)), "b"
+            self.choose_successor(
+                make_heartbeat("a", 0.2), make_heartbeat("b", 0.05), make_heartbeat("c", 0.3)
+            ),
+            "b",
         )
 
     def test_similar_peer_is_not_chosen(self) -> None:
         """A slightly stronger peer does not justify a transfer."""
-        self.assertIsNone(self.choose_successor(beat("a", 0.3)))
+        self.assertIsNone(self.choose_successor(make_heartbeat("a", 0.3)))
 
     def test_strong_leader_has_no_successor(self) -> None:
         """A leader without a claim delay has no stronger peer."""
-        self.assertIsNone(self.choose_successor(beat("a", 0.0), own_delay_s=0.0))
+        self.assertIsNone(self.choose_successor(make_heartbeat("a", 0.0), own_delay_s=0.0))
 
     def test_peer_without_store_is_not_chosen(self) -> None:
         """A peer that cannot reach the store could not claim, and is not chosen."""
-        self.assertIsNone(self.choose_successor(beat("a", reaches_store=False)))
+        self.assertIsNone(self.choose_successor(make_heartbeat("a", reaches_store=False)))
 
     def test_recently_started_peer_is_not_chosen(self) -> None:
         """A peer that has sent heartbeats only for a short time is not chosen."""
-        self.assertIsNone(self.choose_successor(beat("a"), seconds=1.0))
+        self.assertIsNone(self.choose_successor(make_heartbeat("a"), seconds=1.0))
 
     def test_silent_peer_is_not_chosen(self) -> None:
         """A peer whose heartbeats have stopped is not chosen."""
         succession = SuccessorTracker(0.36)
         for step in range(20):
-            succession.record_heartbeat(beat("a"), 100.0 + step * 0.2)
+            succession.record_heartbeat(make_heartbeat("a"), 100.0 + step * 0.2)
         self.assertEqual(succession.choose_successor(104.0), "a")
         self.assertIsNone(succession.choose_successor(105.0))
 
@@ -57,5 +60,5 @@
         """A gap in a peer's heartbeats restarts the time for which it must be stable."""
         succession = SuccessorTracker(0.36)
         for step in range(10):
-            succession.record_heartbeat(beat("a"), 100.0 + step)
+            succession.record_heartbeat(make_heartbeat("a"), 100.0 + step)
         self.assertIsNone(succession.choose_successor(109.1))
--- a/tests/test_turnover.py
+++ b/tests/test_turnover.py
@@ -4,8 +4,8 @@
 import unittest
 import unittest.mock
 
+from snowdock.entry.leader_liveness import LeaderLiveness
 from snowdock.entry.leader_record import LeaderRecord, NodeIdentity
-from snowdock.entry.leader_signs import LeaderLiveness
 from snowdock.entry.messages import Heartbeat
 from snowdock.entry.turnover import MAX_TIMEOUT_FACTOR, next_turnover, timeout_factor
 
@@ -40,9 +40,9 @@
         wait_s = BASE_TIMEOUT_S * factor_of(turnover, 0.0)
         if silence_s <= wait_s:
             return now + silence_s
-        led_s = wait_s + rng.uniform(0, CLAIM_JITTER_S)
-        now += led_s
-        turnover = next_turnover(turnover, led_s, is_evident=False)
+        term_s = wait_s + rng.uniform(0, CLAIM_JITTER_S)
+        now += term_s
+        turnover = next_turnover(turnover, term_s, is_evident=False)
     return None
 
 
@@ -91,7 +91,9 @@
 
     def setUp(self) -> None:
         self.now = 1000.0
-        clock = unittest.mock.patch("snowdock.entry.leader_signs.steady_seconds", lambda: self.now)
+        clock = unittest.mock.patch(
+            "snowdock.entry.leader_liveness.steady_seconds", lambda: self.now
+        )
         self.enterContext(clock)
         self.liveness = LeaderLiveness()
         self.liveness.start_term()
