--- a/src/snowdock/entry/election.py
+++ b/src/snowdock/entry/election.py
@@ -239,7 +239,7 @@
         self._stopped.set()
         self._wake.set()
 
-    # -- election thread ------------------------------------------------------------------
+    # -- election thread -----------------------------------------------------------------
 
     def _run(self) -> None:
         while not self._stopped.is_set():
@@ -303,7 +303,9 @@
     def _follow_own_resignation(self, successor: str) -> None:
         """Update the known leader by this node's own resignation."""
         record = self._known_leader.record
-        self._known_leader.update(msgspec.structs.replace(record, resigned=True, successor=successor))
+        self._known_leader.update(
+            msgspec.structs.replace(record, resigned=True, successor=successor)
+        )
         self._known_leader.liveness.mark_silent()
 
     def _still_leads(self, epoch: int) -> bool:
--- a/src/snowdock/entry/leader.py
+++ b/src/snowdock/entry/leader.py
@@ -124,12 +124,12 @@
         self._cell.leadership_claimed_at = context.claimed_at
         self._cell.configuration = context.configuration()
         statuses.add_unreadable(recorded.unreadable | recorded.unstartable)
-        restored = restore(self._cell, recorded, now, _wall_ms())
+        effects = restore(self._cell, recorded, now, _wall_ms())
         self._handlers: dict[type, Callable] = {
             Persist: self._writer.write,
             SendStart: self._send_order,
             SendStop: self._send_order,
-            SendRenewal: self._send_renew,
+            SendRenewal: self._send_renewal,
             AskAdvice: self._advisers.ask,
             OpenWorker: self._open_worker,
             CloseWorker: self._close_worker,
@@ -139,8 +139,8 @@
             StepDown: lambda effect: self._step_down(effect.reason),
             LogDecision: self._record_decision,
         }
-        # All jobs on record are known before this node answers queries as the leader.
-        self._apply_effects(restored)
+        # Publish the jobs on record before this node answers queries as the leader.
+        self._apply_effects(effects)
 
     def on_start(self) -> None:
         """Start the threads that write progress, call workers and remove records."""
@@ -199,9 +199,12 @@
         with contextlib.suppress(pykka.ActorDeadError):
             self.actor_ref.tell(event)
 
-    def _log_policy_failure(self, alarm) -> None:
+    def _log_policy_failure(self, failure) -> None:
         log_event(
-            "policy_failed", program=alarm.program, function=alarm.function, problem=alarm.problem
+            "policy_failed",
+            program=failure.program,
+            function=failure.function,
+            problem=failure.problem,
         )
 
     def _record_decision(self, effect: LogDecision) -> None:
@@ -270,7 +273,7 @@
         else:
             self._post(StopAnswered(effect.life, order.task, order.run, False))
 
-    def _send_renew(self, effect: SendRenewal) -> None:
+    def _send_renewal(self, effect: SendRenewal) -> None:
         link = self._links.get(effect.life)
         if link is None:
             return
--- a/src/snowdock/entry/peer_requests.py
+++ b/src/snowdock/entry/peer_requests.py
@@ -73,9 +73,11 @@
 
 
 def _ask_advice(adviser: LocalAdviceClient, request: AdviceRelayRequest) -> AdviceReply:
-    wanted = AdviceRequest(request.job, request.repetition, request.step, tuple(request.workers))
+    advice_request = AdviceRequest(
+        request.job, request.repetition, request.step, tuple(request.workers)
+    )
     try:
-        advice = adviser.ask(wanted, request.timeout_s)
+        advice = adviser.ask(advice_request, request.timeout_s)
     except PlatformError as error:
         log_event("advice_unanswered", job=request.job, step=request.step, reason=str(error))
         return AdviceReply(request.number, None)
--- a/src/snowdock/entry/takeover.py
+++ b/src/snowdock/entry/takeover.py
@@ -53,9 +53,9 @@
             lambda part: store.newest(JOBS_TOPIC, part, _CALL_TIMEOUT_SECONDS), range(parts)
         )
         fence_progress(store, epoch, _CALL_TIMEOUT_SECONDS)
-        newest = store.newest(PROGRESS_TOPIC, DEFAULT_PARTITION, _CALL_TIMEOUT_SECONDS)
+        progress_page = store.newest(PROGRESS_TOPIC, DEFAULT_PARTITION, _CALL_TIMEOUT_SECONDS)
         pages = list(reads)
-    progress, unreadable = _read_progress(newest.records)
+    progress, unreadable = _read_progress(progress_page.records)
     records = [record for page in pages for record in page.records]
     recorded = classify_records(records, progress, unreadable)
     return recorded, [page.next_offset for page in pages]
@@ -101,15 +101,17 @@
             job = parse_job_id(record.key)
             if job in unreadable:
                 continue
-            known = progress.get(job)
+            job_progress = progress.get(job)
             try:
                 job_record = decode_accepted(record.value)
             except InvalidInput as error:
                 log_error("job_record_unusable", error, job=record.key)
                 unstartable.add(job)
                 continue
-            if known is not None and known.team != job_record.team:
-                log_event("job_of_another_team", job=job, team=known.team, by=job_record.team)
+            if job_progress is not None and job_progress.team != job_record.team:
+                log_event(
+                    "job_of_another_team", job=job, team=job_progress.team, by=job_record.team
+                )
                 continue
             earlier = accepted.get(job)
             if earlier is None or job_record.accepted_ms < earlier.accepted_ms:
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -77,20 +77,20 @@
 
     def test_heartbeat_is_missed_after_suspension(self) -> None:
         """A follower counts the leader's heartbeat as missed after a suspension."""
-        signs = LeaderLiveness()
-        signs.start_term()
-        signs.record_heartbeat(Heartbeat("n", "a:1", 1, 0.1))
-        self.assertFalse(signs.has_missed_heartbeat)
+        liveness = LeaderLiveness()
+        liveness.start_term()
+        liveness.record_heartbeat(Heartbeat("n", "a:1", 1, 0.1))
+        self.assertFalse(liveness.has_missed_heartbeat)
         self.suspend()
-        self.assertTrue(signs.has_missed_heartbeat)
+        self.assertTrue(liveness.has_missed_heartbeat)
 
     def test_request_deadline_counts_suspended_time(self) -> None:
         """A request whose deadline passed during a suspension has the least time left."""
         environ = {"HTTP_X_DEADLINE_MS": "3000"}
-        began = steady_seconds()
-        self.assertGreater(_remaining_seconds(environ, began), 1.0)
+        started_at = steady_seconds()
+        self.assertGreater(_remaining_seconds(environ, started_at), 1.0)
         self.suspend()
-        self.assertEqual(_remaining_seconds(environ, began), _MIN_WAIT_SECONDS)
+        self.assertEqual(_remaining_seconds(environ, started_at), _MIN_WAIT_SECONDS)
 
     def test_call_times_out_after_suspension(self) -> None:
         """A call in flight times out if its time limit passed during a suspension."""
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -65,10 +65,10 @@
                 continue
             candidates = list(self.candidates)
             heartbeats = [(c, c.election.make_heartbeat(0.2, None)) for c in candidates]
-            for sender, beat in heartbeats:
+            for sender, heartbeat in heartbeats:
                 for other in candidates:
                     if other is not sender:
-                        other.election.handle_heartbeat(beat)
+                        other.election.handle_heartbeat(heartbeat)
 
     def add_candidate(
         self, name: str, claim_delay_s: float = 0.0, incarnation: str = ""
@@ -78,14 +78,14 @@
         return candidate
 
     def wait_for_leader(self) -> Candidate:
-        found: list[Candidate] = []
+        leaders: list[Candidate] = []
 
         def one_leads() -> bool:
-            found[:] = [c for c in self.candidates if c.leads]
-            return len(found) == 1
+            leaders[:] = [c for c in self.candidates if c.leads]
+            return len(leaders) == 1
 
         self.assertTrue(wait_until(one_leads))
-        return found[0]
+        return leaders[0]
 
     def test_exactly_one_of_many_candidates_wins(self) -> None:
         """Exactly one of several nodes that start together leads, and remains the leader."""
@@ -152,9 +152,9 @@
         self.candidates.remove(first)
         self.addCleanup(first.port.close)
         with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
-            again = self.add_candidate("first", incarnation="first-2")
-            self.assertTrue(wait_until(lambda: again.leads))
-        self.assertGreater(again.epochs[0], first.epochs[0])
+            restarted = self.add_candidate("first", incarnation="first-2")
+            self.assertTrue(wait_until(lambda: restarted.leads))
+        self.assertGreater(restarted.epochs[0], first.epochs[0])
 
     def test_leader_rejected_by_store_is_replaced(self) -> None:
         """A follower that reaches the store claims at once if the leader reports rejections."""
@@ -269,15 +269,15 @@
         self.wait_until_followed(second)
         end = time.monotonic() + 3.0
 
-        def burn() -> None:
+        def keep_busy() -> None:
             while time.monotonic() < end:
                 sum(range(1000))
 
-        busy = [threading.Thread(target=burn) for _ in range(4)]
-        for each in busy:
-            each.start()
-        for each in busy:
-            each.join()
+        threads = [threading.Thread(target=keep_busy) for _ in range(4)]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
         self.assertTrue(first.leads)
         self.assertEqual(second.epochs, [])
 
--- a/tests/test_leader_settings.py
+++ b/tests/test_leader_settings.py
@@ -31,41 +31,41 @@
 
 class TestRunExpiry(unittest.TestCase):
     def test_lease_is_capped_at_requested_length(self) -> None:
-        """A larger worker limit does not extend the lapse beyond the requested lease."""
-        found = leader_settings(hold_max_ms=10_000)
-        self.assertEqual(found.lease_s, LEASE_SECONDS)
+        """A larger worker limit does not extend the expiry beyond the requested lease."""
+        settings = leader_settings(hold_max_ms=10_000)
+        self.assertEqual(settings.lease_s, LEASE_SECONDS)
         self.assertGreater(
-            found.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + LEASE_SECONDS / 0.98
+            settings.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + LEASE_SECONDS / 0.98
         )
         self.assertLess(
-            found.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + LEASE_SECONDS + 1.0
+            settings.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + LEASE_SECONDS + 1.0
         )
 
-    def test_shorter_worker_limit_shortens_lapse(self) -> None:
-        """A worker limit below the requested lease shortens the lapse."""
-        found = leader_settings(hold_max_ms=2000)
-        self.assertEqual(found.lease_s, 2.0)
-        self.assertLess(found.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + 3.0)
+    def test_shorter_worker_limit_shortens_expiry(self) -> None:
+        """A worker limit below the requested lease shortens the expiry."""
+        settings = leader_settings(hold_max_ms=2000)
+        self.assertEqual(settings.lease_s, 2.0)
+        self.assertLess(settings.unreached_run_expiry_s, ISOLATION_TIMEOUT_SECONDS + 3.0)
 
 
 class TestRunExpiryAfterClaim(unittest.TestCase):
-    def make_bench(self, claimed_before_s: float) -> Bench:
+    def make_bench(self, claim_age_s: float) -> Bench:
         """Return a leader that has read all records the given time after its claim."""
         bench = Bench(token=9)
-        bench.cell.leadership_claimed_at = bench.now - claimed_before_s
+        bench.cell.leadership_claimed_at = bench.now - claim_age_s
         progress = JobProgress(JobStatus.RUNNING, [TaskProgress(0, 0, 0, run=3, life="gone")])
         bench.restore(RecordedJobs({JOB: make_accepted_job()}, set(), {JOB: progress}))
         bench.add_worker("w")
         return bench
 
-    def test_lapse_starts_at_claim(self) -> None:
-        """The lapse is measured from the claim, not from when the records were read."""
+    def test_expiry_starts_at_claim(self) -> None:
+        """Runs expire at a time after the claim, not after the records were read."""
         bench = self.make_bench(4.0)
         self.assertEqual(bench.starts(bench.tick(5.5)), [])
         self.assertEqual(len(bench.starts(bench.tick(1.0))), 1)
 
     def test_runs_are_lost_only_after_worker_reports(self) -> None:
-        """Live workers can report their runs first, even after a takeover longer than the lapse."""
+        """Live workers can report their runs first, even if the takeover took longer."""
         bench = self.make_bench(30.0)
         self.assertEqual(bench.starts(bench.tick(1.5)), [])
         self.assertEqual(len(bench.starts(bench.tick(1.0))), 1)
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -55,12 +55,12 @@
         )
         proxy = Proxy(address)
         self.addCleanup(proxy.close)
-        asking, _ = self.start_peers()
-        asking.set_addresses({"other": proxy.address})
+        client, _ = self.start_peers()
+        client.set_addresses({"other": proxy.address})
 
         def is_answered() -> bool:
             try:
-                reply = asking.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
+                reply = client.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return reply.status is JobStatus.RUNNING
@@ -75,13 +75,13 @@
         _, address = self.start_peers(
             lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True)
         )
-        asking, _ = self.start_peers()
-        asking.set_addresses({"broken": "no address", "other": address})
-        asking.set_addresses({"other": address})
+        client, _ = self.start_peers()
+        client.set_addresses({"broken": "no address", "other": address})
+        client.set_addresses({"other": address})
 
         def is_answered() -> bool:
             try:
-                asking.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
+                client.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return True
@@ -90,28 +90,28 @@
 
     def test_silent_link_is_found_by_heartbeats(self) -> None:
         """A silent connection without ZMQ heartbeats is found by the peer's heartbeats."""
-        answering, address = self.start_peers(
+        server, address = self.start_peers(
             lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True),
             "answering",
             confirms_links=True,
         )
         proxy = Proxy(address)
         self.addCleanup(proxy.close)
-        asking, own_address = self.start_peers(name="asking", confirms_links=True)
-        asking.set_addresses({"answering": proxy.address})
-        answering.set_addresses({"asking": own_address})
+        client, client_address = self.start_peers(name="asking", confirms_links=True)
+        client.set_addresses({"answering": proxy.address})
+        server.set_addresses({"asking": client_address})
 
         def is_answered() -> bool:
             try:
-                asking.ask("answering", lambda number: StatusRequest(number, JOB), 0.3)
+                client.ask("answering", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return True
 
         self.assertTrue(wait_until(is_answered))
-        opened = proxy.accepted
+        accepted_before = proxy.accepted
         time.sleep(3.0)
-        self.assertEqual(proxy.accepted, opened, "a working connection was replaced")
+        self.assertEqual(proxy.accepted, accepted_before, "a working connection was replaced")
         proxy.swallow_open()
         self.assertFalse(is_answered())
         self.assertTrue(wait_until(is_answered))
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -15,13 +15,13 @@
         self, *heartbeats: Heartbeat, seconds: float = 3.0, own_delay_s: float = 0.36
     ) -> str | None:
         """Return the successor after heartbeats of some peers every 0.2 s."""
-        succession = SuccessorTracker(own_delay_s)
+        tracker = SuccessorTracker(own_delay_s)
         now = 100.0
         for _ in range(round(seconds / 0.2)):
             now += 0.2
             for heartbeat in heartbeats:
-                succession.record_heartbeat(heartbeat, now)
-        return succession.choose_successor(now)
+                tracker.record_heartbeat(heartbeat, now)
+        return tracker.choose_successor(now)
 
     def test_strongest_peer_is_chosen(self) -> None:
         """The strongest of several stronger peers is chosen."""
@@ -50,15 +50,15 @@
 
     def test_silent_peer_is_not_chosen(self) -> None:
         """A peer whose heartbeats have stopped is not chosen."""
-        succession = SuccessorTracker(0.36)
+        tracker = SuccessorTracker(0.36)
         for step in range(20):
-            succession.record_heartbeat(make_heartbeat("a"), 100.0 + step * 0.2)
-        self.assertEqual(succession.choose_successor(104.0), "a")
-        self.assertIsNone(succession.choose_successor(105.0))
+            tracker.record_heartbeat(make_heartbeat("a"), 100.0 + step * 0.2)
+        self.assertEqual(tracker.choose_successor(104.0), "a")
+        self.assertIsNone(tracker.choose_successor(105.0))
 
     def test_peer_with_heartbeat_gaps_is_not_chosen(self) -> None:
         """A gap in a peer's heartbeats restarts the time for which it must be stable."""
-        succession = SuccessorTracker(0.36)
+        tracker = SuccessorTracker(0.36)
         for step in range(10):
-            succession.record_heartbeat(make_heartbeat("a"), 100.0 + step)
-        self.assertIsNone(succession.choose_successor(109.1))
+            tracker.record_heartbeat(make_heartbeat("a"), 100.0 + step)
+        self.assertIsNone(tracker.choose_successor(109.1))
--- a/tests/test_turnover.py
+++ b/tests/test_turnover.py
@@ -51,15 +51,15 @@
         """A leader is established within four times the nodes' silence, from 0.3 s to 13 s."""
         for silence_s in (0.3, 0.9, 1.7, 3.4, 6.8, 13.0):
             with self.subTest(silence_s=silence_s):
-                took_s = simulate_election(silence_s)
-                self.assertIsNotNone(took_s)
-                self.assertLess(took_s, 4 * silence_s + BASE_TIMEOUT_S)
+                elapsed_s = simulate_election(silence_s)
+                self.assertIsNotNone(elapsed_s)
+                self.assertLess(elapsed_s, 4 * silence_s + BASE_TIMEOUT_S)
 
     def test_no_leader_with_constant_timeout(self) -> None:
         """Without backoff of the timeout, no leader is ever established."""
         for silence_s in (0.9, 1.7, 3.4):
             with self.subTest(silence_s=silence_s):
-                self.assertIsNone(simulate_election(silence_s, lambda turnover, led_s: 1.0))
+                self.assertIsNone(simulate_election(silence_s, lambda turnover, term_s: 1.0))
 
     def test_settled_leader_has_base_timeout(self) -> None:
         """The timeout is not extended once a leader has led for long enough."""
@@ -98,16 +98,16 @@
         self.liveness = LeaderLiveness()
         self.liveness.start_term()
 
-    def receive_heartbeat(self, after_s: float, renewed_s: float = 0.1) -> None:
+    def receive_heartbeat(self, after_s: float, renewal_age_s: float = 0.1) -> None:
         self.now += after_s
-        self.liveness.record_heartbeat(Heartbeat("n", "a:1", 1, renewed_s))
+        self.liveness.record_heartbeat(Heartbeat("n", "a:1", 1, renewal_age_s))
 
     def is_alive_after(self, seconds: float) -> bool:
         """Return whether the leader counts as alive after the given silence."""
-        before, self.now = self.now, self.now + seconds
-        heard = self.liveness.is_alive()
-        self.now = before
-        return heard
+        previous_now, self.now = self.now, self.now + seconds
+        is_alive = self.liveness.is_alive()
+        self.now = previous_now
+        return is_alive
 
     def test_punctual_leader_has_base_silence_limit(self) -> None:
         """A punctual leader is not alive after two missed heartbeats."""
@@ -128,11 +128,11 @@
 
     def test_renewal_age_limit_grows_after_late_renewal(self) -> None:
         """A late renewal extends the limit for renewals only after it has arrived."""
-        self.receive_heartbeat(0.2, renewed_s=0.1)
-        self.receive_heartbeat(0.2, renewed_s=2.0)
+        self.receive_heartbeat(0.2, renewal_age_s=0.1)
+        self.receive_heartbeat(0.2, renewal_age_s=2.0)
         self.assertFalse(self.liveness.is_alive())
-        self.receive_heartbeat(0.2, renewed_s=0.1)
-        self.receive_heartbeat(0.2, renewed_s=2.0)
+        self.receive_heartbeat(0.2, renewal_age_s=0.1)
+        self.receive_heartbeat(0.2, renewal_age_s=2.0)
         self.assertTrue(self.liveness.is_alive())
 
     def test_new_leader_starts_with_base_limits(self) -> None:
