--- a/src/snowdock/entry/election.py
+++ b/src/snowdock/entry/election.py
@@ -43,7 +43,7 @@
 """Upper bound of the random delay that spreads the claims of several nodes."""
 
 _MIN_TERM_SECONDS = 3.0
-"""A leader transfers its leadership only after this time, since each change of leader stops the
+"""A leader hands over only after this time, since each change of leader stops the
 placement of tasks for some tenths of a second."""
 
 _UNKNOWN_INCARNATION = ""
@@ -54,7 +54,7 @@
 
 
 class Election:
-    """Follows the leader, and claims, renews and transfers the leadership of this node.
+    """Follows the leader, and claims, renews and hands over the leadership of this node.
 
     Parameters
     ----------
@@ -283,13 +283,13 @@
                 self._stopped.wait(_POLL_SECONDS)
                 continue
             self._renewals.record_success(started_at)
-            if self._transfer_leadership():
+            if self._hand_over_leadership():
                 return 0.0
             return max(0.0, started_at + _RENEWAL_INTERVAL_SECONDS - steady_seconds())
         return 0.0
 
-    def _transfer_leadership(self) -> bool:
-        """Transfer the leadership to a stronger node, if there is one; return whether it did."""
+    def _hand_over_leadership(self) -> bool:
+        """Hand over to a stronger node, if there is one; return whether it did."""
         now = steady_seconds()
         successor = self._successors.choose_successor(now)
         if successor is None or now - self._elected_at < _MIN_TERM_SECONDS:
--- a/src/snowdock/entry/successors.py
+++ b/src/snowdock/entry/successors.py
@@ -1,4 +1,4 @@
-"""Choice of the peer to which a leader on a weak node transfers its leadership."""
+"""Choice of the peer to which a leader on a weak node hands over."""
 
 import dataclasses
 import threading
@@ -11,7 +11,7 @@
 """A peer is stronger if its claim delay is shorter by this much, a quarter of the longest delay."""
 
 _MIN_STABLE_SECONDS = 1.5
-"""How long a peer must have sent heartbeats without a gap. A transfer to a peer that restarts
+"""How long a peer must have sent heartbeats without a gap. A handover to a peer that restarts
 repeatedly would soon be followed by another change of leader."""
 
 _MAX_GAP_SECONDS = 0.95
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -101,8 +101,8 @@
         strong = self.add_candidate("strong")
         self.assertIs(self.wait_for_leader(), strong)
 
-    def test_weak_leader_transfers_leadership_to_strong_node(self) -> None:
-        """A weak leader transfers its leadership to a strong node that joins later."""
+    def test_weak_leader_hands_over_to_strong_node(self) -> None:
+        """A weak leader hands over to a strong node that joins later."""
         weak = self.add_candidate("weak", 0.4)
         self.assertIs(self.wait_for_leader(), weak)
         other = self.add_candidate("other-weak", 0.36)
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -30,7 +30,7 @@
 
 class TestPeerLinks(unittest.TestCase):
     def start_peers(
-        self, answer=lambda question: None, name: str = "n", **options
+        self, answer=lambda request: None, name: str = "n", **options
     ) -> tuple[Peers, str]:
         address = f"127.0.0.1:{free_port('127.0.0.1')}"
 
@@ -41,7 +41,7 @@
             PeerOptions(address, 0.1, **options),
             ENTRY_MESSAGES,
             answer,
-            lambda beat: None,
+            lambda heartbeat: None,
             make_heartbeat,
         )
         peers.start()
@@ -51,7 +51,7 @@
     def test_silent_link_is_replaced(self) -> None:
         """A peer behind a silent connection answers again over a new one."""
         _, address = self.start_peers(
-            lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True)
+            lambda request: StatusReply(request.number, JobStatus.RUNNING, True)
         )
         proxy = Proxy(address)
         self.addCleanup(proxy.close)
@@ -73,7 +73,7 @@
     def test_invalid_address_does_not_affect_other_peers(self) -> None:
         """Requests to other peers work despite a peer with an invalid address."""
         _, address = self.start_peers(
-            lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True)
+            lambda request: StatusReply(request.number, JobStatus.RUNNING, True)
         )
         client, _ = self.start_peers()
         client.set_addresses({"broken": "no address", "other": address})
@@ -91,7 +91,7 @@
     def test_silent_link_is_found_by_heartbeats(self) -> None:
         """A silent connection without ZMQ heartbeats is found by the peer's heartbeats."""
         server, address = self.start_peers(
-            lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True),
+            lambda request: StatusReply(request.number, JobStatus.RUNNING, True),
             "answering",
             confirms_links=True,
         )
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -33,7 +33,7 @@
         )
 
     def test_similar_peer_is_not_chosen(self) -> None:
-        """A slightly stronger peer does not justify a transfer."""
+        """A slightly stronger peer does not justify a handover."""
         self.assertIsNone(self.choose_successor(make_heartbeat("a", 0.3)))
 
     def test_strong_leader_has_no_successor(self) -> None:
