--- a/src/snowdock/entry/peer_directory.py
+++ b/src/snowdock/entry/peer_directory.py
@@ -1,4 +1,4 @@
-"""Which peers were heard of lately, and where they connect."""
+"""The peers that have sent heartbeats recently, and their addresses."""
 
 import dataclasses
 import heapq
@@ -10,54 +10,56 @@
 __all__ = ["PeerDirectory"]
 
 _LIVE_SECONDS = 1.3
-"""A peer without a heartbeat for this long is given nothing to do; two are due."""
+"""A peer without a heartbeat for this long is not live; two are due in this time."""
 
 _FORGET_SECONDS = 10.0
-"""A peer without a heartbeat for this long is not connected to any more."""
+"""A peer without a heartbeat for this long is removed from the directory."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Peer:
-    """When a peer was heard last, where it connects, and how long it leaves claims to others."""
+    """The time of a peer's last heartbeat, its address and its claim delay in seconds."""
 
-    heard_at: float
+    last_heartbeat_at: float
     address: str
     claim_delay_s: float
 
 
 class PeerDirectory:
-    """The last heartbeat of each peer; read and written by many threads."""
+    """The last heartbeat of each peer; thread-safe."""
 
     def __init__(self) -> None:
         self._peers: dict[str, _Peer] = {}
         self._lock = threading.Lock()
 
-    def record_heartbeat(self, beat: Heartbeat) -> bool:
-        """Take a heartbeat over; tell whether the peer or its address is new."""
+    def record_heartbeat(self, heartbeat: Heartbeat) -> bool:
+        """Record a heartbeat; return whether the peer or its address is new."""
         with self._lock:
-            known = self._peers.get(beat.node)
-            self._peers[beat.node] = _Peer(steady_seconds(), beat.address, beat.claim_delay_s)
-        return known is None or known.address != beat.address
+            known = self._peers.get(heartbeat.node)
+            self._peers[heartbeat.node] = _Peer(
+                steady_seconds(), heartbeat.address, heartbeat.claim_delay_s
+            )
+        return known is None or known.address != heartbeat.address
 
     def addresses(self) -> dict[str, str]:
-        """Give the addresses of all peers, by name."""
+        """Return the addresses of all peers by name, without those silent for too long."""
         oldest = steady_seconds() - _FORGET_SECONDS
         with self._lock:
             for node, peer in list(self._peers.items()):
-                if peer.heard_at < oldest:
+                if peer.last_heartbeat_at < oldest:
                     del self._peers[node]
             return {node: peer.address for node, peer in self._peers.items()}
 
     def live_peers(self) -> list[str]:
-        """Give the names of the peers that can be given something to do."""
+        """Return the names of the live peers."""
         return [node for node, _ in self._live_peer_delays()]
 
     def strongest_peers(self, max_count: int) -> set[str]:
-        """Give the names of the live peers that would claim the lead first, so many at most."""
-        found = heapq.nsmallest(
+        """Return up to ``max_count`` names of live peers, those with the shortest claim delays."""
+        strongest = heapq.nsmallest(
             max_count, self._live_peer_delays(), key=lambda peer: (peer[1], peer[0])
         )
-        return {node for node, _ in found}
+        return {node for node, _ in strongest}
 
     def _live_peer_delays(self) -> list[tuple[str, float]]:
         oldest = steady_seconds() - _LIVE_SECONDS
@@ -65,5 +67,5 @@
             return [
                 (node, peer.claim_delay_s)
                 for node, peer in self._peers.items()
-                if peer.heard_at > oldest
+                if peer.last_heartbeat_at > oldest
             ]
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,7 +1,6 @@
-"""Tests of a VM that is suspended: the usual monotonic clock stands still, belief must not.
+"""Tests that timeouts count the time in which a VM is suspended.
 
-Each test lets the clock that counts suspended time leap by some seconds, as it does where a VM
-wakes, while the usual one goes on as if nothing had been.
+Each test advances the clock that includes suspended time, but not `time.CLOCK_MONOTONIC`.
 """
 
 import queue
@@ -15,8 +14,8 @@
 from snowdock.entry.configuration_watcher import ConfigurationWatcher
 from snowdock.entry.job_status_table import JobStatusTable
 from snowdock.entry.leader_handle import LeaderHandle
+from snowdock.entry.leader_liveness import LeaderLiveness
 from snowdock.entry.leader_queries import LeaderQueries
-from snowdock.entry.leader_signs import LeaderLiveness
 from snowdock.entry.messages import Heartbeat
 from snowdock.entry.renewals import Renewals
 from snowdock.errors import CallUnanswered
@@ -34,7 +33,7 @@
         self.enterContext(unittest.mock.patch("snowdock.clocks.time", clock))
 
     def _clock_gettime(self, clock: int) -> float:
-        # Only the clock that counts suspended time leaps.
+        # Only the clock that includes suspended time is advanced.
         return time.clock_gettime(clock) + self.suspended_s * (clock != time.CLOCK_MONOTONIC)
 
     def suspend(self) -> None:
@@ -43,20 +42,20 @@
 
 class TestSuspension(SuspensionTestCase):
     def test_steady_clock_counts_suspended_time(self) -> None:
-        """The nodes' clock counts the time asleep."""
+        """The steady clock includes suspended time."""
         before = steady_seconds()
         self.suspend()
         self.assertGreaterEqual(steady_seconds() - before, SUSPENDED_SECONDS)
 
     def test_renewal_age_counts_suspended_time(self) -> None:
-        """A leader's renewal is as old as it is for everybody else."""
+        """The age of a leader's renewal includes suspended time."""
         renewals = Renewals()
         renewals.start_term()
         self.suspend()
         self.assertGreaterEqual(renewals.age_s, SUSPENDED_SECONDS)
 
     def test_configuration_age_counts_suspended_time(self) -> None:
-        """A configuration that was the newest may not be so any more."""
+        """The age of the configuration includes suspended time."""
         configurations = ConfigurationWatcher(None, lambda *_: None, lambda _: None)
         configurations._tail._read_at = steady_seconds()
         self.assertLess(configurations.age_s, 1.0)
@@ -64,7 +63,7 @@
         self.assertGreaterEqual(configurations.age_s, SUSPENDED_SECONDS)
 
     def test_unknown_job_is_uncertain_after_suspension(self) -> None:
-        """That there is no such job can be told no more: one may have been taken in."""
+        """An unknown job is uncertain after a suspension, since it may have been accepted."""
         context = types.SimpleNamespace(store=types.SimpleNamespace(), parts=2)
         handle = LeaderHandle(context, None, JobStatusTable())
         for tail in handle._job_tails:
@@ -77,24 +76,24 @@
         self.assertEqual(queries.local_status("0" * 16), (None, False))
 
     def test_heartbeat_is_missed_after_suspension(self) -> None:
-        """A follower that slept takes the leader's last heartbeat as old, and looks anew."""
-        signs = LeaderLiveness()
-        signs.start_term()
-        signs.record_heartbeat(Heartbeat("n", "a:1", 1, 0.1))
-        self.assertFalse(signs.has_missed_heartbeat)
+        """A follower counts the leader's heartbeat as missed after a suspension."""
+        liveness = LeaderLiveness()
+        liveness.start_term()
+        liveness.record_heartbeat(Heartbeat("n", "a:1", 1, 0.1))
+        self.assertFalse(liveness.has_missed_heartbeat)
         self.suspend()
-        self.assertTrue(signs.has_missed_heartbeat)
+        self.assertTrue(liveness.has_missed_heartbeat)
 
     def test_request_deadline_counts_suspended_time(self) -> None:
-        """A caller whose time went by has only the least of it left: it is answered at once."""
+        """A request whose deadline passed during a suspension has the least time left."""
         environ = {"HTTP_X_DEADLINE_MS": "3000"}
-        began = steady_seconds()
-        self.assertGreater(_remaining_seconds(environ, began), 1.0)
+        started_at = steady_seconds()
+        self.assertGreater(_remaining_seconds(environ, started_at), 1.0)
         self.suspend()
-        self.assertEqual(_remaining_seconds(environ, began), _MIN_WAIT_SECONDS)
+        self.assertEqual(_remaining_seconds(environ, started_at), _MIN_WAIT_SECONDS)
 
     def test_call_times_out_after_suspension(self) -> None:
-        """A call that was on its way is given up, however long it might still have taken."""
+        """A call in flight times out if its time limit passed during a suspension."""
         swallower = Swallower()
         self.addCleanup(swallower.close)
         swallower.held.clear()
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -1,4 +1,4 @@
-"""Tests of kept connections that go silent for good, without a reset, while new ones work."""
+"""Tests that kept connections are replaced if they go silent without a reset."""
 
 import queue
 import time
@@ -30,37 +30,37 @@
 
 class TestPeerLinks(unittest.TestCase):
     def start_peers(
-        self, answer=lambda question: None, name: str = "n", **options
+        self, answer=lambda request: None, name: str = "n", **options
     ) -> tuple[Peers, str]:
         address = f"127.0.0.1:{free_port('127.0.0.1')}"
 
-        def make_beat(due_s: float, heard_s: float | None) -> Heartbeat:
+        def make_heartbeat(due_s: float, heard_s: float | None) -> Heartbeat:
             return Heartbeat(name, address, 0, 0.0, due_s=due_s, heard_s=heard_s)
 
         peers = Peers(
             PeerOptions(address, 0.1, **options),
             ENTRY_MESSAGES,
             answer,
-            lambda beat: None,
-            make_beat,
+            lambda heartbeat: None,
+            make_heartbeat,
         )
         peers.start()
         self.addCleanup(peers.stop)
         return peers, address
 
     def test_silent_link_is_replaced(self) -> None:
-        """A peer behind a link that has gone silent answers again, over a new connection."""
+        """A peer behind a silent connection answers again over a new one."""
         _, address = self.start_peers(
-            lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True)
+            lambda request: StatusReply(request.number, JobStatus.RUNNING, True)
         )
         proxy = Proxy(address)
         self.addCleanup(proxy.close)
-        asking, _ = self.start_peers()
-        asking.set_addresses({"other": proxy.address})
+        client, _ = self.start_peers()
+        client.set_addresses({"other": proxy.address})
 
         def is_answered() -> bool:
             try:
-                reply = asking.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
+                reply = client.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return reply.status is JobStatus.RUNNING
@@ -71,17 +71,17 @@
         self.assertTrue(wait_until(is_answered))
 
     def test_invalid_address_does_not_affect_other_peers(self) -> None:
-        """It costs nothing but itself: other peers are asked as before."""
+        """Requests to other peers work despite a peer with an invalid address."""
         _, address = self.start_peers(
-            lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True)
+            lambda request: StatusReply(request.number, JobStatus.RUNNING, True)
         )
-        asking, _ = self.start_peers()
-        asking.set_addresses({"broken": "no address", "other": address})
-        asking.set_addresses({"other": address})
+        client, _ = self.start_peers()
+        client.set_addresses({"broken": "no address", "other": address})
+        client.set_addresses({"other": address})
 
         def is_answered() -> bool:
             try:
-                asking.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
+                client.ask("other", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return True
@@ -89,29 +89,29 @@
         self.assertTrue(wait_until(is_answered))
 
     def test_silent_link_is_found_by_heartbeats(self) -> None:
-        """Without signs of life of its own, a silent link is found by what the peer has heard."""
-        answering, address = self.start_peers(
-            lambda asked: StatusReply(asked.number, JobStatus.RUNNING, True),
+        """A silent connection without ZMQ heartbeats is found by the peer's heartbeats."""
+        server, address = self.start_peers(
+            lambda request: StatusReply(request.number, JobStatus.RUNNING, True),
             "answering",
             confirms_links=True,
         )
         proxy = Proxy(address)
         self.addCleanup(proxy.close)
-        asking, own_address = self.start_peers(name="asking", confirms_links=True)
-        asking.set_addresses({"answering": proxy.address})
-        answering.set_addresses({"asking": own_address})
+        client, client_address = self.start_peers(name="asking", confirms_links=True)
+        client.set_addresses({"answering": proxy.address})
+        server.set_addresses({"asking": client_address})
 
         def is_answered() -> bool:
             try:
-                asking.ask("answering", lambda number: StatusRequest(number, JOB), 0.3)
+                client.ask("answering", lambda number: StatusRequest(number, JOB), 0.3)
             except PlatformError:
                 return False
             return True
 
         self.assertTrue(wait_until(is_answered))
-        opened = proxy.accepted
+        accepted_before = proxy.accepted
         time.sleep(3.0)
-        self.assertEqual(proxy.accepted, opened, "a link that works was made anew")
+        self.assertEqual(proxy.accepted, accepted_before, "a working connection was replaced")
         proxy.swallow_open()
         self.assertFalse(is_answered())
         self.assertTrue(wait_until(is_answered))
@@ -119,7 +119,7 @@
 
 class TestStoreLinks(unittest.TestCase):
     def test_append_succeeds_on_retry(self) -> None:
-        """One time-out, and what was sent on the silent connection is not on record twice."""
+        """An append succeeds after one timeout, and its record is stored only once."""
         store = StoreStandin()
         self.addCleanup(store.close)
         proxy = Proxy(store.address)
@@ -135,14 +135,14 @@
 
 
 class TestHttpLinks(unittest.TestCase):
-    """Workers and the advice service: the second call is made over a new connection."""
+    """Calls to workers and the advice service use a new connection after a timeout."""
 
     def setUp(self) -> None:
         self.server = Swallower()
         self.addCleanup(self.server.close)
 
     def check_reconnect(self, call) -> None:
-        """Make a call that is answered, one on a silent connection, and one more."""
+        """Check a call that is answered, one on a silent connection, and one on a new one."""
         self.assertTrue(self.is_answered(call, 5.0))
         self.server.swallow()
         self.assertFalse(self.is_answered(call, 0.2))
@@ -158,18 +158,18 @@
         return True
 
     def test_start_order_reconnects(self) -> None:
-        """A start is repeated under its run, which to the worker is the same."""
+        """A start order is answered over a new connection."""
         order = StartOrder(TaskId(JOB, 0, 0, 0), 1, "payload", 3, 1000)
         self.check_reconnect(self.make_call(START_PATH, encode_start(order)))
 
     def test_renewal_reconnects(self) -> None:
-        """A renewal is repeated."""
+        """A renewal is answered over a new connection."""
         self.check_reconnect(
             self.make_call(RENEWAL_PATH, encode_renewal(RenewOrder(3, 0, 1000, 0, 0.0)))
         )
 
     def make_call(self, path: str, body: bytes):
-        """Make the function that makes a call to a worker and waits for its outcome."""
+        """Return a function that calls a worker and waits for the outcome."""
         loop = CallLoop("worker-calls")
         loop.start()
         self.addCleanup(loop.stop)
@@ -186,7 +186,7 @@
         return call
 
     def test_advice_request_reconnects(self) -> None:
-        """A question is asked again."""
+        """A request for advice is answered over a new connection."""
         client = AdviceClient(self.server.address)
         self.check_reconnect(
             lambda seconds: client.ask(AdviceRequest(JOB, 0, 0, ("w-1",)), seconds)
