--- a/src/snowdock/emulator/worker_calls.py
+++ b/src/snowdock/emulator/worker_calls.py
@@ -6,13 +6,13 @@
 from ..jobs.events import (
     Event,
     RenewAnswered,
-    SendRenew,
+    SendRenewal,
     SendStart,
     SendStop,
     StartAnswered,
     StopAnswered,
 )
-from ..jobs.lives import worker_of
+from ..jobs.lives import worker_id_of
 from ..jobs.model import StepSpec
 from ..jobs.orders import Refusal, StartOrder, StartResult
 from .options import Faults
@@ -88,7 +88,7 @@
             last = self._workers[last.successor]
         if last.entry.life == life or self._reach(last.entry.life) is None:
             return None
-        is_next = last.entry.worker == worker_of(life)
+        is_next = last.entry.worker == worker_id_of(life)
         return Refusal.NEXT_LIFE if is_next else Refusal.OTHER_LIFE
 
     def send_start(self, post: Post, effect: SendStart) -> None:
@@ -159,7 +159,7 @@
 
         self._timeline.after(seconds, arrive)
 
-    def send_renew(self, post: Post, effect: SendRenew) -> None:
+    def send_renew(self, post: Post, effect: SendRenewal) -> None:
         """Send a renewal; its answer, or the lack of one, is posted."""
         order = effect.order
         finished = False
