--- a/src/snowdock/entry/caller_api.py
+++ b/src/snowdock/entry/caller_api.py
@@ -221,7 +221,9 @@
         if team is None and age_s <= _MAX_CONFIGURATION_AGE_SECONDS:
             raise Unauthorized(f"no such key (configuration {configuration.version})")
         if team is None or age_s > self._dependencies.key_trust_s:
-            raise Starting("the key cannot be verified now; the request was not accepted")
+            raise Starting(
+                "whether this key is good cannot be told now; the request was not accepted"
+            )
         return team.name
 
     def _submit(
--- a/src/snowdock/entry/configuration_watcher.py
+++ b/src/snowdock/entry/configuration_watcher.py
@@ -1,8 +1,8 @@
 """The configuration in force at a node, and for how long it is not confirmed as the newest.
 
 The configuration is read from the store. Nodes that cannot reach the store receive newer versions
-from their peers: heartbeats carry the version in force, and a node that receives an older version
-than its own sends its configuration to that peer. Without this, revoked keys would stay valid and
+from their peers: heartbeats carry the version in force, and a node sends its configuration to a
+peer whose heartbeat reports an older version. Without this, revoked keys would stay valid and
 new keys would be refused at a node without the store.
 """
 
@@ -98,7 +98,7 @@
         self._tail.start()
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Compare a peer's version with the own one; send the peer the own one if newer."""
+        """Send this node's configuration to a peer whose heartbeat reports an older version."""
         now = steady_seconds()
         if heartbeat.configuration == self.version and heartbeat.reaches_store:
             self._confirmed_at = now
--- a/src/snowdock/entry/daemon.py
+++ b/src/snowdock/entry/daemon.py
@@ -211,10 +211,10 @@
             claimed_at=steady_seconds(),
             epoch=epoch,
             settings=cell_settings(environment),
-            make_advisers=lambda post: AdviceDispatcher(
+            make_advice_dispatcher=lambda post: AdviceDispatcher(
                 environment.node, self._advice_client, self._peers, live_peers, post, self._metrics
             ),
-            count_advisers=lambda: len(live_peers()) + 1,
+            count_advice_nodes=lambda: len(live_peers()) + 1,
             configuration=lambda: self._configuration_watcher.current,
             may_send_orders=lambda: (
                 self._leadership.leads_in(epoch) and not self._election.is_isolated
--- a/src/snowdock/entry/leader.py
+++ b/src/snowdock/entry/leader.py
@@ -62,9 +62,9 @@
         The leader's epoch, which is also its fencing token at the workers.
     settings
         The leader's time limits and other settings.
-    make_advisers
-        Returns the distributor of requests to the advice service, given the callback for answers.
-    count_advisers
+    make_advice_dispatcher
+        Returns the dispatcher of requests to the advice service, given the callback for answers.
+    count_advice_nodes
         Returns the number of nodes that can query the advice service.
     configuration
         Returns the configuration in force.
@@ -81,8 +81,8 @@
     claimed_at: float
     epoch: int
     settings: CellSettings
-    make_advisers: Callable[[Callable[[Event], None]], AdviceDispatcher]
-    count_advisers: Callable[[], int]
+    make_advice_dispatcher: Callable[[Callable[[Event], None]], AdviceDispatcher]
+    count_advice_nodes: Callable[[], int]
     configuration: Callable[[], Configuration]
     may_send_orders: Callable[[], bool]
     step_down: Callable[[str], None]
@@ -117,7 +117,7 @@
             context.store, context.epoch, post, self._step_down, context.metrics
         )
         self._cleaner = RecordCleaner(context.store, context.parts)
-        self._advisers = context.make_advisers(post)
+        self._advice_dispatcher = context.make_advice_dispatcher(post)
         now = steady_seconds()
         policy = make_policy(self._log_policy_failure, lambda: self._cell)
         self._cell = Cell(context.settings, context.epoch, policy, now)
@@ -130,7 +130,7 @@
             SendStart: self._send_order,
             SendStop: self._send_order,
             SendRenewal: self._send_renewal,
-            AskAdvice: self._advisers.ask,
+            AskAdvice: self._advice_dispatcher.ask,
             OpenWorker: self._open_worker,
             CloseWorker: self._close_worker,
             PublishStatus: self._statuses.publish,
@@ -151,7 +151,7 @@
     def on_stop(self) -> None:
         """Stop all threads, and close the links to workers."""
         self._writer.stop()
-        self._advisers.stop()
+        self._advice_dispatcher.stop()
         for link in self._links.values():
             link.close()
         self._cleaner.stop()
--- a/src/snowdock/entry/leader_handle.py
+++ b/src/snowdock/entry/leader_handle.py
@@ -146,7 +146,7 @@
 
     def _tick(self) -> None:
         while not self._stopped.wait(TICK_SECONDS):
-            self._post(Ticked(self._context.count_advisers(), steady_seconds()))
+            self._post(Ticked(self._context.count_advice_nodes(), steady_seconds()))
 
     def _apply_job_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
--- a/src/snowdock/entry/leader_queries.py
+++ b/src/snowdock/entry/leader_queries.py
@@ -34,7 +34,7 @@
     node
         This node's name.
     election
-        The election, which knows the leader.
+        The election, with the newest known leader.
     leadership
         The leadership of this node.
     peers
@@ -132,8 +132,8 @@
     def relay_record(self, job: JobId, record: KeyedRecord, seconds: float) -> RecordOutcome:
         """Send a record to the leader, which appends it to the store within a time limit.
 
-        A leader that is not alive gets no request, since the outcome would be unknown if it did
-        not answer.
+        No request is sent to a leader that is not alive, since the outcome would be unknown without
+        an answer.
         """
         leader = self._remote_leader()
         if leader is None or not self._election.leader_is_alive:
--- a/src/snowdock/entry/leader_watch.py
+++ b/src/snowdock/entry/leader_watch.py
@@ -75,7 +75,7 @@
         return False
 
     def wait_for_renewal(self) -> bool:
-        """Wait for a renewal by a leader that has not resigned; return whether one leads."""
+        """Wait for a renewal unless the leader has resigned; return whether there is a leader."""
         leader = self._known_leader.record
         if leader is None or leader.resigned:
             return False
--- a/src/snowdock/entry/leadership.py
+++ b/src/snowdock/entry/leadership.py
@@ -26,7 +26,7 @@
     Parameters
     ----------
     election
-        The election, which knows the epoch in which this node leads.
+        The election, with the epoch in which this node leads.
     configuration
         Returns the configuration in force, or None before the first.
     make_context
--- a/src/snowdock/entry/peer_directory.py
+++ b/src/snowdock/entry/peer_directory.py
@@ -42,7 +42,7 @@
         return known is None or known.address != heartbeat.address
 
     def addresses(self) -> dict[str, str]:
-        """Return the addresses of all peers by name, without those silent for too long."""
+        """Return the addresses of all peers by name, except those without recent heartbeats."""
         oldest = steady_seconds() - _FORGET_SECONDS
         with self._lock:
             for node, peer in list(self._peers.items()):
--- a/src/snowdock/entry/peer_requests.py
+++ b/src/snowdock/entry/peer_requests.py
@@ -29,7 +29,7 @@
 
 def make_request_handler(
     queries: LeaderQueries,
-    adviser: LocalAdviceClient,
+    advice_client: LocalAdviceClient,
     record_locally: Callable[[JobId, KeyedRecord, float], RecordOutcome],
     apply_configuration: Callable[[bytes], None],
 ) -> Callable[[EntryMessage], EntryMessage | None]:
@@ -39,8 +39,8 @@
     ----------
     queries
         Answers requests that only the leader can answer.
-    adviser
-        Queries the advice service from this node.
+    advice_client
+        Client of the advice service for this node.
     record_locally
         Appends a job's record to the store from this node.
     apply_configuration
@@ -60,7 +60,7 @@
                 waiting = queries.local_count(queue)
                 return CountReply(number, waiting or 0, waiting is not None)
             case AdviceRelayRequest():
-                return _ask_advice(adviser, request)
+                return _ask_advice(advice_client, request)
             case RecordRequest(number, job, key, value, seconds):
                 return RecordReply(number, record_locally(job, KeyedRecord(key, value), seconds))
             case RecordNotice(key, value):
@@ -72,12 +72,12 @@
     return handle_request
 
 
-def _ask_advice(adviser: LocalAdviceClient, request: AdviceRelayRequest) -> AdviceReply:
+def _ask_advice(advice_client: LocalAdviceClient, request: AdviceRelayRequest) -> AdviceReply:
     advice_request = AdviceRequest(
         request.job, request.repetition, request.step, tuple(request.workers)
     )
     try:
-        advice = adviser.ask(advice_request, request.timeout_s)
+        advice = advice_client.ask(advice_request, request.timeout_s)
     except PlatformError as error:
         log_event("advice_unanswered", job=request.job, step=request.step, reason=str(error))
         return AdviceReply(request.number, None)
--- a/src/snowdock/entry/recorder.py
+++ b/src/snowdock/entry/recorder.py
@@ -173,7 +173,7 @@
     record
         The record.
     wake
-        Set when the record's append has ended, or when its thread is to append all that wait.
+        Set when the record's append has ended, or when its thread is to append the waiting records.
     outcome
         Result of the append; None while it is not known.
     """
@@ -257,7 +257,7 @@
     def _record_once(
         self, partition_number: int, record: KeyedRecord, seconds: float
     ) -> RecordOutcome:
-        """Send a record once: in another thread's append, or in an own one for all that wait."""
+        """Send a record once, in another thread's append or in one for all waiting records."""
         partition = self._partitions[partition_number]
         pending = _PendingRecord(record)
         with partition.lock:
--- a/src/snowdock/entry/successors.py
+++ b/src/snowdock/entry/successors.py
@@ -20,10 +20,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _StrongerPeer:
-    """A stronger peer: the start of its heartbeats without a gap, the last one, its claim delay."""
+    """A stronger peer: start of its heartbeats without a gap, last one, and claim delay."""
 
     stable_since: float
-    last_heard_at: float
+    last_heartbeat_at: float
     claim_delay_s: float
 
 
@@ -49,12 +49,12 @@
                 self._stronger_peers.pop(heartbeat.node, None)
                 return
             known = self._stronger_peers.get(heartbeat.node)
-            if known is None or now - known.last_heard_at > _MAX_GAP_SECONDS:
+            if known is None or now - known.last_heartbeat_at > _MAX_GAP_SECONDS:
                 self._stronger_peers[heartbeat.node] = _StrongerPeer(
                     now, now, heartbeat.claim_delay_s
                 )
                 return
-            known.last_heard_at = now
+            known.last_heartbeat_at = now
             known.claim_delay_s = heartbeat.claim_delay_s
 
     def choose_successor(self, now: float) -> str | None:
@@ -63,7 +63,7 @@
             stable = [
                 (peer.claim_delay_s, node)
                 for node, peer in self._stronger_peers.items()
-                if now - peer.last_heard_at <= _MAX_GAP_SECONDS
-                and peer.last_heard_at - peer.stable_since >= _MIN_STABLE_SECONDS
+                if now - peer.last_heartbeat_at <= _MAX_GAP_SECONDS
+                and peer.last_heartbeat_at - peer.stable_since >= _MIN_STABLE_SECONDS
             ]
         return min(stable)[1] if stable else None
--- a/src/snowdock/entry/turnover.py
+++ b/src/snowdock/entry/turnover.py
@@ -7,8 +7,8 @@
 
 __all__ = ["MAX_TIMEOUT_FACTOR", "next_turnover", "timeout_factor"]
 
-_SETTLED_SECONDS = 10.0
-"""A longer term is not short; a takeover takes 0.3 to 3.4 s, depending on the node."""
+_MIN_STABLE_TERM_SECONDS = 10.0
+"""A term of at least this length is not short; a takeover takes 0.3 to 3.4 s on different nodes."""
 
 _MAX_DOUBLINGS = 4
 
@@ -28,7 +28,7 @@
         How long this node has observed the term, in seconds.
     """
     factor = 2.0 ** min(turnover, _MAX_DOUBLINGS)
-    return factor if term_s < _SETTLED_SECONDS * factor else 1.0
+    return factor if term_s < _MIN_STABLE_TERM_SECONDS * factor else 1.0
 
 
 def next_turnover(turnover: int, term_s: float | None, is_evident: bool) -> int:
@@ -47,5 +47,5 @@
         return 0
     if term_s is None:
         return turnover
-    is_short = term_s < _SETTLED_SECONDS * timeout_factor(turnover, 0.0)
+    is_short = term_s < _MIN_STABLE_TERM_SECONDS * timeout_factor(turnover, 0.0)
     return turnover + 1 if is_short else 0
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -316,7 +316,7 @@
             node.start()
         for path in paths:
             self.assertTrue(self.cluster.wait_state(path, "completed"))
-        # Advice is asked for through all nodes, so they must be connected to the new leader.
+        # All nodes send advice requests for the leader, so they must be connected to it.
         path, body = self.cluster.job([SMALL], "/jobs/advised/")
         self.assertTrue(
             wait_until(lambda: self.cluster.nodes[0].call("POST", path, body)[0] == 200)
--- a/tests/test_turnover.py
+++ b/tests/test_turnover.py
@@ -61,7 +61,7 @@
             with self.subTest(silence_s=silence_s):
                 self.assertIsNone(simulate_election(silence_s, lambda turnover, term_s: 1.0))
 
-    def test_settled_leader_has_base_timeout(self) -> None:
+    def test_stable_leader_has_base_timeout(self) -> None:
         """The timeout is not extended once a leader has led for long enough."""
         for turnover in range(6):
             self.assertEqual(timeout_factor(turnover, 10.0 * MAX_TIMEOUT_FACTOR), 1.0)
