--- a/src/snowdock/jobs/candidates.py
+++ b/src/snowdock/jobs/candidates.py
@@ -26,7 +26,6 @@
 _UNBOUNDED_TASKS = 1_000
 """Number of fitting tasks if a task needs no resources."""
 
-
 _BULKY_TASKS_PER_WORKER = 3
 """A task is bulky if fewer than this many fit on an empty large worker. On a worker that is shared
 by several runs, that much rarely becomes free at once by chance."""
@@ -37,7 +36,7 @@
 
 _MAX_CAUTION_SECONDS = 2.0
 """Maximum time for which a step that runs nothing avoids workers quarantined for failures. Users
-accept 3 s beside free room, of which a ticket and the recording take up to one. A last
+accept 3 s while room is free, of which a ticket and the recording take up to one. A last
 attempt waits 0.5 s longer."""
 
 
--- a/src/snowdock/jobs/cell.py
+++ b/src/snowdock/jobs/cell.py
@@ -27,7 +27,7 @@
 
 
 _MAX_SILENCES = 64
-"""Bound on the times kept for detecting workers that fell silent at the same moment."""
+"""Number of times kept to detect workers that stopped answering at the same moment."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/snowdock/jobs/charges.py
+++ b/src/snowdock/jobs/charges.py
@@ -74,6 +74,6 @@
 def may_have_ended_early(worker: Worker, task: Task) -> bool:
     """Check whether a task's run, or its worker, may have ended just after the run started."""
     # Uses the worker's last report: a leader that stalled does not know when the worker ended, and
-    # a new leader does not know when a recovered run started. Either would take the run for old
-    # and would not charge it.
+    # a new leader does not know when a recovered run started. In either case the run would be
+    # treated as old and would not be charged.
     return not task.is_confirmed or worker.last_report_at - task.ordered_at <= _EARLY_END_SECONDS
--- a/src/snowdock/jobs/job_state.py
+++ b/src/snowdock/jobs/job_state.py
@@ -85,8 +85,8 @@
     phase_since
         Time at which the task entered its phase.
     ordered_at
-        Time at which the newest run was placed, ordered, or taken over from an earlier leader,
-        whichever was last.
+        Time at which the newest run was placed, ordered, or restored from the records of an earlier
+        leader, whichever was last.
     percent
         Progress of the run in the last report.
     measured_percent, measured_at
--- a/src/snowdock/jobs/lost_runs.py
+++ b/src/snowdock/jobs/lost_runs.py
@@ -6,9 +6,9 @@
 and the worker had confirmed the run. Otherwise it stays a *loss*: the worker may be partitioned and
 still running, or may have ended before the start arrived. If the worker was draining, only runs
 that may have just begun are charged, as losses; confirmed long-running ones are not, since they
-meet many draining workers during a rolling replacement. Every start ends as a crash, a loss, a
-reported end or a refusal, so a task that crashes every worker is started at most `MAX_LOSSES`
-times.
+are lost with many draining workers during a rolling replacement. Every start ends as a crash, a
+loss, a reported end or a refusal, so a task that crashes every worker is started at most
+`MAX_LOSSES` times.
 """
 
 import dataclasses
@@ -32,16 +32,16 @@
 ]
 
 MAX_INDEPENDENT_FAILURES = 2
-"""If more workers fall silent at the same moment, the cause is taken to be a rack or data hall, and
-their runs are charged as losses only: otherwise healthy jobs would fail."""
+"""If more workers stop answering at the same moment, the cause is taken to be a rack or data hall,
+and their runs are charged as losses only: otherwise healthy jobs would fail."""
 
 _CORRELATION_WINDOW_SECONDS = 0.1
-"""Workers that fall silent within this time count as simultaneous: a worker that ends closes its
+"""Workers that stop answering within this time count as simultaneous: a worker that ends closes its
 connections, which is detected at once."""
 
 _STABLE_RUN_SECONDS = 30.0
-"""A long-running task is cleared of its losses once a run of it has worked for this long: over
-hours it meets many workers that end for unrelated reasons."""
+"""A long-running task is cleared of its losses once a run of it has lasted this long: over
+hours it runs on many workers that end for unrelated reasons."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -123,7 +123,7 @@
 
 
 def clear_losses(cell: Cell, task: Task, now: float) -> None:
-    """Clear a long-running task's losses once a run of it has worked for long enough."""
+    """Clear a long-running task's losses once a run of it has lasted long enough."""
     if not task.lost_runs or not task.step.spec.long_running:
         return
     if task.phase is Phase.RUNNING and now - task.phase_since >= _STABLE_RUN_SECONDS:
@@ -208,7 +208,7 @@
 
 
 def _is_correlated_failure(cell: Cell, worker: Worker) -> bool:
-    """Check whether a worker fell silent together with others: a rack, a switch or an operator."""
+    """Check whether others stopped answering with a worker: a rack, a switch or an operator."""
     since = worker.silent_since
     if since is None:
         return False
--- a/src/snowdock/jobs/model.py
+++ b/src/snowdock/jobs/model.py
@@ -99,7 +99,7 @@
     fills
         Whether the tasks use only processors that other tasks leave idle.
     may_miss
-        Maximum number of long-running tasks that the scheduler may keep down at the same time.
+        Maximum number of long-running tasks that the scheduler may keep stopped at a time.
     """
 
     count: int
--- a/src/snowdock/jobs/placement.py
+++ b/src/snowdock/jobs/placement.py
@@ -17,7 +17,7 @@
 from .reservations import reserve_room
 from .suspects import (
     IsolationLevel,
-    limit_suspect_seats,
+    limit_suspect_candidates,
     may_share_worker,
     next_tasks,
     record_suspect,
@@ -44,7 +44,7 @@
 _MAX_BLOCKED_SECONDS = 1.5
 """Time after which a step that runs nothing, and that only reservations block, may place one task
 on reserved room. Together with up to 0.5 s for tickets this stays below the 3 s that users
-accept for a small job beside free room."""
+accept for a small job while room is free."""
 
 _CROWDED_STEP_COUNT = 50
 _SEARCH_RETRY_SECONDS = 0.05
@@ -249,7 +249,7 @@
     """
     candidates = list(find_candidates(cell, step, workers))
     if isolation is not IsolationLevel.NONE:
-        candidates = limit_suspect_seats(cell, step, candidates, isolation)
+        candidates = limit_suspect_candidates(cell, step, candidates, isolation)
     if candidates or step.spec.gang or not fit:
         return candidates
     if any(task.is_placed for task in step.tasks) or not _is_blocked_by_reservations(
--- a/src/snowdock/jobs/quotas.py
+++ b/src/snowdock/jobs/quotas.py
@@ -17,8 +17,8 @@
 of its team."""
 
 _MAX_IDLE_RESERVATION_SECONDS = 1.5
-"""Time for which quota that suffices for a gang is reserved for it. A gang that cannot be placed
-for another reason would block the other gangs of its team otherwise."""
+"""Time for which quota that suffices for a gang is reserved for it. Without this limit, a gang that
+cannot be placed for another reason would block the other gangs of its team."""
 
 
 def tasks_within_quota(cell: Cell, step: Step, wanted: int) -> int:
@@ -49,13 +49,13 @@
     if not step.spec.gang:
         # A task that is larger than the quota may run alone.
         return max(1, count) if used == ZERO else count
-    # So may a gang, if all but one of its tasks fit within the quota and its overage.
+    # A gang may run alone if all but one of its tasks fit within the quota and its overage.
     overage_quota = team.quota.scaled(1 + cell.settings.quota_overage)
     return wanted if used == ZERO and count_fitting(overage_quota, size) >= wanted - 1 else 0
 
 
 def reserve_quotas(cell: Cell) -> None:
-    """Reserve of each team's quota what the team's highest-ranked waiting gang needs.
+    """Reserve quota for the highest-ranked waiting gang of each team.
 
     Otherwise smaller tasks of the team would use all quota that becomes free, and the gang would
     never be admitted. Steps with a higher rank may still use the reserved quota.
--- a/src/snowdock/jobs/reducer.py
+++ b/src/snowdock/jobs/reducer.py
@@ -115,8 +115,8 @@
         cell.log_decision("job_record_unreadable", event.job)
         return
     if event.job in cell.job_ended_at:
-        # A resubmission. The submission record is deleted only once the job's end is recorded: a
-        # successor leader knows the job from this record alone until then.
+        # A resubmission. The submission record is deleted only once the end of the job is recorded:
+        # until then a new leader can restore the job from this record alone.
         cell.deferred.append(ForgetAccepted((record_name(event.job, event.accepted.team),)))
         return
     known = cell.jobs.get(event.job)
--- a/src/snowdock/jobs/reservations.py
+++ b/src/snowdock/jobs/reservations.py
@@ -117,7 +117,7 @@
 def hold_room(
     cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float, seconds: float
 ) -> None:
-    """Hold free room against lower-ranked steps while a step waits for tickets.
+    """Keep free room from lower-ranked steps while a step waits for tickets.
 
     Parameters
     ----------
--- a/src/snowdock/jobs/shares.py
+++ b/src/snowdock/jobs/shares.py
@@ -1,7 +1,7 @@
 """Resource usage of teams relative to their fair shares.
 
 A share is not a limit: idle resources may be used by any team. Policy programs use the shares to
-decide which team goes first when resources are scarce.
+decide which team's steps are placed first when resources are scarce.
 """
 
 import collections
--- a/src/snowdock/jobs/suspects.py
+++ b/src/snowdock/jobs/suspects.py
@@ -20,7 +20,7 @@
 
 __all__ = [
     "IsolationLevel",
-    "limit_suspect_seats",
+    "limit_suspect_candidates",
     "may_share_worker",
     "next_tasks",
     "record_crash",
@@ -85,7 +85,7 @@
     return isolation is IsolationLevel.NONE or not worker.suspects
 
 
-def limit_suspect_seats(
+def limit_suspect_candidates(
     cell: Cell, step: Step, candidates: Iterable[Candidate], isolation: IsolationLevel
 ) -> list[Candidate]:
     """Limit suspects to one task per worker, and penalize addresses with a recent crash."""
--- a/src/snowdock/jobs/takeover.py
+++ b/src/snowdock/jobs/takeover.py
@@ -112,7 +112,7 @@
     task.crashed_runs = frozenset(record.crashed_runs)
     task.checkpoint = record.checkpoint
     # The start of the phase is not recorded. If it were left at 0, the first report would clear a
-    # long-running task of its losses, as if it had run since this machine booted.
+    # long-running task's losses, as if the task had run since this machine booted.
     task.phase_since = task.ordered_at = cell.now
     if record.done:
         task.phase = Phase.DONE
--- a/src/snowdock/jobs/workers.py
+++ b/src/snowdock/jobs/workers.py
@@ -254,7 +254,7 @@
         return free
 
     def unreserved_room(self, step: StepKey) -> Size:
-        """Return the free room that may be reserved, without that being freed by preemption."""
+        """Return the free room, reserved or not, except room claimed by preemption for others."""
         return self.free_for(step, rank=math.inf)
 
     def occupy(self, task: TaskId, run: int, size: Size, is_preemptible: bool = False) -> None:
--- a/tests/jobs_tools.py
+++ b/tests/jobs_tools.py
@@ -108,12 +108,12 @@
         return effects
 
     def add_worker(
-        self, life: str = "w", cpu: int = 4000, is_settled: bool = True, address: str = "a:1"
+        self, life: str = "w", cpu: int = 4000, is_synced: bool = True, address: str = "a:1"
     ) -> None:
         size = Size(cpu, 9000, 0)
         entry = WorkerEntry(life, "pool", address, "hall", "r1", frozenset(), size)
         self.feed(WorkerListed(entry))
-        if is_settled:
+        if is_synced:
             self.report(life)
 
     def await_renewal(self, life: str) -> RenewOrder:
@@ -219,7 +219,7 @@
 
     def list_worker(self, life: str, draining: bool = False) -> None:
         """List a worker that has not answered a renewal of this leader."""
-        self.bench.add_worker(life, is_settled=False)
+        self.bench.add_worker(life, is_synced=False)
         if draining:
             self.bench.drain(life)
 
--- a/tests/test_jobs_capacity.py
+++ b/tests/test_jobs_capacity.py
@@ -36,7 +36,7 @@
         (batch,) = filter_by_type(self.bench.effects, Persist)
         return batch
 
-    def test_room_that_shrinks_before_a_start_goes_out(self) -> None:
+    def test_room_that_shrinks_before_a_start_is_sent(self) -> None:
         """If the capacity shrinks after the placement of two tasks, only those that fit start."""
         batch = self.place_with_paused_store()
         self.resize(Size(1000, 9000))
--- a/tests/test_jobs_chaos.py
+++ b/tests/test_jobs_chaos.py
@@ -126,7 +126,7 @@
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def test_workers_that_restart_under_their_ids(self) -> None:
-        """Runs, ends and leases of a worker's lives are not mixed up, beside all other faults."""
+        """Runs, ends and leases of a worker's lives are not confused under all other faults."""
         for seed in RESTARTING_SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = run_with_faults(seed, kind_count=RESTART + 1)
--- a/tests/test_jobs_crashes.py
+++ b/tests/test_jobs_crashes.py
@@ -38,9 +38,9 @@
     Each crashed worker is replaced by a new one.
     """
 
-    def __init__(self, guilty: int = 0) -> None:
+    def __init__(self, crashing_task: int = 0) -> None:
         self.bench = Bench()
-        self.crashing_task = guilty
+        self.crashing_task = crashing_task
         self.starts = 0
         self._lives = 0
         for _ in range(6):
@@ -83,33 +83,33 @@
 
     def test_crashing_task_is_given_up(self) -> None:
         """A task that crashes every worker is given up, and its job fails."""
-        crashes = CrashingWorkers()
-        job = crashes.bench.submit(SMALL)
-        crashes.run_rounds()
-        self.assertLessEqual(crashes.starts, MAX_STARTS)
-        self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
+        workers = CrashingWorkers()
+        job = workers.bench.submit(SMALL)
+        workers.run_rounds()
+        self.assertLessEqual(workers.starts, MAX_STARTS)
+        self.assertEqual(self.status(workers.bench, job), JobStatus.FAILED)
 
     def test_counts_survive_leader_changes(self) -> None:
         """The limit also holds if the leader changes after each crash."""
-        crashes = CrashingWorkers()
-        spec = make_accepted_job(SMALL)
-        job = crashes.bench.submit(SMALL)
+        workers = CrashingWorkers()
+        accepted = make_accepted_job(SMALL)
+        job = workers.bench.submit(SMALL)
         token = 1
 
-        def take_over() -> None:
+        def replace_leader() -> None:
             nonlocal token
             token += 1
-            cell = crashes.bench.cell
-            progress = _recorded(crashes.bench, job)
-            crashes.bench = Bench(token)
-            crashes.bench.now = cell.now
-            crashes.bench.restore(RecordedJobs({job: spec}, set(), {job: progress}))
+            cell = workers.bench.cell
+            progress = _recorded(workers.bench, job)
+            workers.bench = Bench(token)
+            workers.bench.now = cell.now
+            workers.bench.restore(RecordedJobs({job: accepted}, set(), {job: progress}))
             for life in cell.workers:
-                crashes.bench.add_worker(life)
+                workers.bench.add_worker(life)
 
-        crashes.run_rounds(take_over)
-        self.assertLessEqual(crashes.starts, MAX_STARTS)
-        self.assertEqual(self.status(crashes.bench, job), JobStatus.FAILED)
+        workers.run_rounds(replace_leader)
+        self.assertLessEqual(workers.starts, MAX_STARTS)
+        self.assertEqual(self.status(workers.bench, job), JobStatus.FAILED)
 
 
 class TestCharges(unittest.TestCase):
@@ -128,7 +128,7 @@
     def counts(self) -> tuple[int, int]:
         return len(self.task.crashed_runs), len(self.task.lost_runs)
 
-    def pass_time(self, seconds: float, running=()) -> None:
+    def advance(self, seconds: float, running=()) -> None:
         """Advance time while the worker reports its runs."""
         for _ in range(round(seconds * 10)):
             self.bench.tick(0.1)
@@ -142,7 +142,7 @@
         (again,) = [each for each in self.bench.starts(self.bench.all_effects) if each.life == "v"]
         return again
 
-    def fall_silent(self, seconds: float) -> None:
+    def leave_unanswered_for(self, seconds: float) -> None:
         disconnect_worker(self.bench, "w", seconds)
 
     def test_another_life_is_a_crash(self) -> None:
@@ -160,7 +160,7 @@
         """A run of some seconds is not charged if its worker was draining."""
         self.bench.confirm(self.start)
         self.bench.drain("w")
-        self.pass_time(3.0, running=[(self.task.id, 1, 1.0)])
+        self.advance(3.0, running=[(self.task.id, 1, 1.0)])
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 0))
 
@@ -168,7 +168,7 @@
         """Stopping a run on a draining worker does not make it count as just begun."""
         self.bench.confirm(self.start)
         self.bench.drain("w")
-        self.pass_time(3.0, running=[(self.task.id, 1, 1.0)])
+        self.advance(3.0, running=[(self.task.id, 1, 1.0)])
         stop_run(self.bench.cell, self.task, self.bench.now)
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 0))
@@ -200,7 +200,7 @@
     def test_silence_is_a_loss_until_another_life_answers(self) -> None:
         """Expired leases count as a loss, a later answer of another life as a crash."""
         self.bench.confirm(self.start)
-        self.fall_silent(9.0)
+        self.leave_unanswered_for(9.0)
         self.assertEqual(self.counts(), (0, 1))
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (1, 1))
@@ -208,7 +208,7 @@
     def test_partitioned_worker_has_not_crashed(self) -> None:
         """A run is not charged as a crash if its worker answered after its leases expired."""
         self.bench.confirm(self.start)
-        self.fall_silent(9.0)
+        self.leave_unanswered_for(9.0)
         self.bench.report("w")
         self.bench.report("w")
         self.bench.end_life("w")
@@ -257,7 +257,7 @@
     def test_late_crash_is_recorded(self) -> None:
         """A crash that is detected after the leases expired is recorded for later leaders."""
         self.bench.confirm(self.start)
-        self.fall_silent(9.0)
+        self.leave_unanswered_for(9.0)
         self.bench.end_life("w")
         self.bench.tick(0.1)
         (task,) = _recorded(self.bench, self.job).tasks
@@ -282,7 +282,7 @@
         self.bench.drain("w")
         order = self.start.order
         self.bench.feed(StartAnswered("w", order.task, order.run, None))
-        self.pass_time(3.0)
+        self.advance(3.0)
         self.bench.end_life("w")
         self.assertEqual(self.counts(), (0, 1))
 
@@ -293,7 +293,7 @@
         bench.is_store_paused = True
         self.job = bench.submit(SMALL)
         (batch,) = filter_by_type(bench.effects, Persist)
-        self.pass_time(3.0)
+        self.advance(3.0)
         bench.feed(Persisted(batch.number))
         (self.start,) = bench.starts()
         bench.confirm(self.start)
@@ -322,7 +322,7 @@
         self.assertEqual(self.bench.cell.jobs[self.job].status, JobStatus.RUNNING)
 
     def test_long_running_task_is_cleared_of_losses(self) -> None:
-        """Losses of a long-running task are cleared once a run of it has worked for long enough."""
+        """Losses of a long-running task are cleared once a run of it has lasted long enough."""
         bench = self.bench = Bench()
         bench.add_worker("w")
         bench.submit(msgspec.structs.replace(SMALL, long_running=True))
--- a/tests/test_jobs_failed_runs.py
+++ b/tests/test_jobs_failed_runs.py
@@ -20,7 +20,7 @@
     return create_repetition(job, 0)[0]
 
 
-class FailedRuns(unittest.TestCase):
+class FailedRunsTestCase(unittest.TestCase):
     def setUp(self) -> None:
         self.bench = Bench(attempts=9)
         for number in range(4):
@@ -50,7 +50,7 @@
         return [life for life, w in self.cell.workers.items() if w.quarantined_until > self.now]
 
 
-class TestWeights(FailedRuns):
+class TestWeights(FailedRunsTestCase):
     def test_one_failure_is_tolerated(self) -> None:
         """One failed run does not quarantine its worker."""
         self.fail_runs("w0", self.step())
@@ -104,7 +104,7 @@
         self.assertLessEqual(len(self.cell.workers["w0"].failures_by_step), 32)
 
 
-class TestQuarantine(FailedRuns):
+class TestQuarantine(FailedRunsTestCase):
     def test_at_most_half_of_a_service(self) -> None:
         """At most half of a service's workers are quarantined, however many fail."""
         for life in ("w0", "w1", "w2", "w3"):
@@ -123,9 +123,9 @@
         self.assertEqual(self.quarantined, [])
         for number in range(6, 10):
             self.succeed(f"w{number}", good)
-        told = [each for each in self.cell.effects if isinstance(each, LogDecision)]
-        aside = [each.subject for each in told if each.decision == "worker_set_aside"]
-        self.assertEqual(aside, failing)
+        decisions = [each for each in self.cell.effects if isinstance(each, LogDecision)]
+        quarantined = [each.subject for each in decisions if each.decision == "worker_set_aside"]
+        self.assertEqual(quarantined, failing)
 
     def test_quarantine_time_doubles(self) -> None:
         """The quarantine time doubles up to its maximum, until a run succeeds."""
--- a/tests/test_jobs_failing.py
+++ b/tests/test_jobs_failing.py
@@ -1,4 +1,4 @@
-"""Tests of failing jobs and of workers that fail every run: other jobs are not held up."""
+"""Tests of failing jobs and of workers that fail every run: other jobs are not delayed."""
 
 import dataclasses
 import unittest
@@ -44,7 +44,7 @@
                 self.assertEqual(list(emulator.starvation.found.values()), [])
 
     def test_no_starvation_beside_faulty_workers(self) -> None:
-        """With some workers failing every run too, no job starves and good jobs complete."""
+        """With some workers failing every run too, no job starves and other jobs complete."""
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
                 emulator, jobs = run_emulator(seed, 0.2, faulty_workers=4)
--- a/tests/test_jobs_lives.py
+++ b/tests/test_jobs_lives.py
@@ -50,7 +50,7 @@
     "labels": ["a", "r1-3"],
     "seq": 1,
 }
-BAD_BORN = (-1, 1.5, "100", None, True, [100])
+INVALID_BORN = (-1, 1.5, "100", None, True, [100])
 
 
 def entry(**fields: object) -> bytes:
@@ -77,7 +77,7 @@
 
     def test_invalid_start(self) -> None:
         """An entry or report whose start is not a non-negative integer is rejected."""
-        for born in BAD_BORN:
+        for born in INVALID_BORN:
             with self.subTest(born=born):
                 with self.assertRaises(PlatformError):
                     decode_worker_entry("i-1", entry(born=born))
@@ -107,21 +107,21 @@
         self.assertEqual(given.tickets, {SECOND: "t-i-1"})
 
 
-class TestList(unittest.TestCase):
+class TestWorkerList(unittest.TestCase):
     def setUp(self) -> None:
         self.events: list = []
         actor = types.SimpleNamespace(tell=self.events.append)
         context = types.SimpleNamespace(store=types.SimpleNamespace(), parts=1, metrics=None)
         self.handle = LeaderHandle(context, actor, JobStatusTable())
 
-    def take(self, value: bytes | None, offset: int) -> None:
+    def apply_entry(self, value: bytes | None, offset: int) -> None:
         self.handle._apply_worker_record(KeyedRecord("i-1", value, offset))
 
     def test_removed_entry_delists_the_listed_life(self) -> None:
         """A removed entry, whose key has only the worker's id, ends the life listed last."""
-        self.take(entry(born=100), 0)
-        self.take(entry(born=200), 1)
-        self.take(None, 2)
+        self.apply_entry(entry(born=100), 0)
+        self.apply_entry(entry(born=200), 1)
+        self.apply_entry(None, 2)
         lives = [event.entry.life for event in filter_by_type(self.events, WorkerListed)]
         self.assertEqual(lives, [FIRST, SECOND])
         self.assertEqual(
@@ -131,9 +131,9 @@
     def test_older_entry_read_again_is_ignored(self) -> None:
         """Older entries that are read again after a newer page are ignored."""
         self.handle._replace_workers([KeyedRecord("i-1", entry(born=200), 7)])
-        self.take(entry(born=100), 5)
-        self.take(None, 6)
-        self.take(entry(born=200), 7)
+        self.apply_entry(entry(born=100), 5)
+        self.apply_entry(None, 6)
+        self.apply_entry(entry(born=200), 7)
         lives = [event.entry.life for event in filter_by_type(self.events, WorkerListed)]
         self.assertEqual((lives, len(self.events)), ([SECOND, SECOND], 2))
 
@@ -143,9 +143,9 @@
         self.bench = Bench()
         self.bench.add_worker(FIRST)
 
-    def start_next_life(self, life: str = SECOND, settled: bool = True) -> None:
+    def start_next_life(self, life: str = SECOND, is_synced: bool = True) -> None:
         self.bench._ends = itertools.count(1)
-        self.bench.add_worker(life, is_settled=settled)
+        self.bench.add_worker(life, is_synced=is_synced)
 
     def start(self):
         self.job = self.bench.submit()
@@ -194,14 +194,14 @@
     def test_ended_life_stays_ended(self) -> None:
         """An entry of an ended life does not bring it back; the next life's entry is accepted."""
         self.bench.feed(RenewAnswered(FIRST, self.bench.await_renewal(FIRST), Refusal.NEXT_LIFE))
-        self.bench.add_worker(FIRST, is_settled=False)
+        self.bench.add_worker(FIRST, is_synced=False)
         self.assertEqual(list(self.bench.cell.workers), [])
         self.start_next_life()
         self.assertEqual(list(self.bench.cell.workers), [SECOND])
         self.assertEqual(self.bench.cell.ended_lives, set())
 
     def test_state_of_removed_workers_is_dropped(self) -> None:
-        """No state is kept of a worker that is gone."""
+        """No state is kept of a removed worker that has ended."""
         self.start_next_life()
         self.bench.feed(WorkerDelisted(SECOND, False))
         self.bench.tick(16.0)
@@ -221,9 +221,9 @@
         self.bench.feed(refused)
         self.bench.tick(0.5)
         self.assertEqual(self.bench.new_starts(), [])
-        self.bench.add_worker(SECOND, is_settled=False)
+        self.bench.add_worker(SECOND, is_synced=False)
 
-    def test_next_life_runs_it(self) -> None:
+    def test_run_continues_in_the_next_life(self) -> None:
         """If the next life executes the start, the run continues and no other one begins."""
         order = self.first.order
         self.bench.report(SECOND, running=[(order.task, order.run, 10)])
@@ -273,7 +273,7 @@
 class TestTakeover(unittest.TestCase):
     """A new leader that restores recorded runs."""
 
-    def take_over(self, recorded_life: str) -> Bench:
+    def restore_bench(self, recorded_life: str) -> Bench:
         before = Bench()
         before.add_worker(recorded_life)
         job = before.submit()
@@ -288,7 +288,7 @@
 
     def test_run_of_a_previous_life(self) -> None:
         """A run of a previous life ends when the next life refuses it, and is charged once."""
-        bench = self.take_over(FIRST)
+        bench = self.restore_bench(FIRST)
         bench.add_worker(SECOND)
         (stop,) = filter_by_type(bench.all_effects, SendStop)
         bench.feed(StopAnswered(SECOND, stop.order.task, stop.order.run, True))
@@ -301,8 +301,8 @@
 
     def test_record_without_a_start(self) -> None:
         """A run recorded for a worker id without a start continues in the life that has it."""
-        bench = self.take_over("i-1")
-        bench.add_worker(FIRST, is_settled=False)
+        bench = self.restore_bench("i-1")
+        bench.add_worker(FIRST, is_synced=False)
         bench.report(FIRST, running=[(self.task.id, 1, 30)])
         self.assertEqual((self.task.life, self.task.phase), (FIRST, Phase.RUNNING))
         self.assertEqual(self.task.lost_runs, set())
--- a/tests/test_jobs_reducer.py
+++ b/tests/test_jobs_reducer.py
@@ -102,7 +102,7 @@
             found += self.bench.tick(0.1)
         return found
 
-    def test_lease_of_a_silent_worker_is_not_renewed(self) -> None:
+    def test_lease_of_an_unresponsive_worker_is_not_renewed(self) -> None:
         """Renewals to a worker that does not answer carry no lease, so its leases expire."""
         found = self.leave_unanswered_for(3.0)
         lease_ends = [effect.order.lease_until_ms for effect in filter_by_type(found, SendRenewal)]
@@ -141,7 +141,7 @@
     def leave_start_unanswered(self) -> list:
         return self.bench.feed(StartAnswered("w", self.order.task, 1, None))
 
-    def test_listed_run_is_adopted(self) -> None:
+    def test_reported_run_is_adopted(self) -> None:
         """An unanswered start has succeeded if the worker reports the run."""
         self.bench.report("w", running=[(self.order.task, 1, 0.0)])
         self.leave_start_unanswered()
@@ -329,7 +329,7 @@
         self.assertIn("w", bench.renewals)
         self.assertEqual(len(bench.cell.workers["w"].runs), 1)
 
-    def test_worker_delisted_without_draining_gets_nothing_new(self) -> None:
+    def test_nothing_is_placed_on_a_worker_delisted_without_draining(self) -> None:
         """Nothing is placed on a worker whose entry was removed while the store was available."""
         bench = Bench()
         bench.add_worker("w")
@@ -350,7 +350,7 @@
         bench.tick(0.2)
         self.assertEqual(len(bench.starts(bench.all_effects)), 1)
 
-    def test_failed_run_goes_elsewhere(self) -> None:
+    def test_next_attempt_avoids_the_worker_of_a_failed_run(self) -> None:
         """The next attempt after a failed run avoids the worker that it failed on."""
         bench = Bench()
         bench.add_worker("w", cpu=8000)
@@ -473,7 +473,7 @@
     def test_running_run_is_adopted(self) -> None:
         """A run that the worker reports continues; nothing is started or stopped."""
         bench, job = self.restore_bench()
-        bench.add_worker("w", is_settled=False)
+        bench.add_worker("w", is_synced=False)
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
         found = bench.report("w", running=[(task.id, 3, 50.0)]) + bench.tick(1.0)
         self.assertEqual(filter_by_type(found, SendStart) + filter_by_type(found, SendStop), [])
@@ -492,7 +492,7 @@
         job = "a" * 16
         bench.restore(self.make_recorded_jobs(job, "", failed_runs=[3]))
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
-        bench.add_worker("w", is_settled=False)
+        bench.add_worker("w", is_synced=False)
         bench.report("w", ended=[(task.id, 3, FAILED)])
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
         bench.tick(0.3)
@@ -501,7 +501,7 @@
     def test_run_that_never_arrived_is_restarted(self) -> None:
         """A run missing from the first report to the new leader is restarted."""
         bench, _ = self.restore_bench()
-        bench.add_worker("w", is_settled=False)
+        bench.add_worker("w", is_synced=False)
         found = bench.report("w") + bench.tick(0.2)
         self.assertEqual([start.order.run for start in bench.starts(found)], [4])
 
@@ -519,7 +519,7 @@
         progress = JobProgress(JobStatus.PENDING, [TaskProgress(0, 0, 0, run=1, life="w")])
         bench.restore(RecordedJobs({job: make_accepted_job()}, set(), {job: progress}))
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.PENDING)
-        bench.add_worker("w", is_settled=False)
+        bench.add_worker("w", is_synced=False)
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0].id
         bench.report("w", running=[(task, 1, 5.0)])
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
@@ -531,7 +531,7 @@
         recorded = self.make_recorded_jobs(job, "w")
         bench.restore(RecordedJobs(recorded.accepted, {job}, recorded.progress))
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
-        bench.add_worker("w", is_settled=False)
+        bench.add_worker("w", is_synced=False)
         found = bench.report("w", running=[(task.id, 3, 50.0)]) + bench.tick(0.6)
         self.assertTrue(filter_by_type(found, SendStop))
         self.assertEqual(filter_by_type(found, SendStart), [])
@@ -540,7 +540,7 @@
         """A reported run without a record is stopped, and uses resources until it has ended."""
         bench, job = self.restore_bench(life="elsewhere")
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
-        bench.add_worker("w", is_settled=False)
+        bench.add_worker("w", is_synced=False)
         found = bench.report("w", running=[(task.id, 2, 50.0)])
         self.assertEqual([e.order.run for e in filter_by_type(found, SendStop)], [2])
         self.assertEqual(bench.cell.workers["w"].used.cpu, 1000)
@@ -565,7 +565,7 @@
         bench = Bench(token=9)
         job = "a" * 16
         bench.restore(RecordedJobs({}, set(), {job: JobProgress(JobStatus.COMPLETED, [])}))
-        bench.add_worker("w", is_settled=False)
+        bench.add_worker("w", is_synced=False)
         stray = TaskId(job, 0, 0, 0)
         found = bench.report("w", running=[(stray, 2, 50.0)])
         self.assertEqual([e.order.task for e in filter_by_type(found, SendStop)], [stray])
--- a/tests/test_jobs_reservations.py
+++ b/tests/test_jobs_reservations.py
@@ -43,7 +43,7 @@
         self.bench.report("w", ended=ends)
 
     def test_smaller_work_does_not_take_reserved_room(self) -> None:
-        """A task that would end after a reservation starts waits; the bulky task goes first."""
+        """A task that would end after the start of a reservation waits for the bulky task."""
         self.assertEqual(self.submit(BULKY), [])
         self.assertEqual(self.submit(SMALL), [])
         self.end_running()
@@ -149,7 +149,7 @@
         (asked,) = self.asked()
         self.assertEqual(set(asked.request.workers), {"w1", "w2"})
 
-    def test_ticket_is_renewed_before_room_comes_free(self) -> None:
+    def test_ticket_is_renewed_before_room_becomes_free(self) -> None:
         """The ticket for a reserved worker is renewed before its resources become free."""
         running = self.fill_worker("w1")
         self.bench.now += 0.01
@@ -165,7 +165,7 @@
 
 
 class TestRankWithTickets(unittest.TestCase):
-    """A higher-ranked step goes first even if another step has its ticket earlier."""
+    """A higher-ranked step is placed first even if another step gets its ticket earlier."""
 
     CHECK = msgspec.structs.replace(SMALL, size=Size(1000, 100), estimate_ms=1000)
     LONG = msgspec.structs.replace(BULKY, estimate_ms=60_000)
--- a/tests/test_jobs_starving.py
+++ b/tests/test_jobs_starving.py
@@ -10,7 +10,7 @@
 from tests.jobs_tools import Bench, filter_by_type
 
 
-def logged(effects, decision: str) -> list[dict]:
+def decision_fields(effects, decision: str) -> list[dict]:
     found = filter_by_type(effects, LogDecision)
     return [dict(each.fields) for each in found if each.decision == decision]
 
@@ -25,18 +25,18 @@
         worker = self.bench.cell.workers["w"]
         quarantine(self.bench.cell, worker, QuarantineCause.REFUSED, 1.0, self.bench.now)
         self.bench.tick(0.1)
-        (aside,) = logged(self.bench.all_effects, "worker_set_aside")
+        (aside,) = decision_fields(self.bench.all_effects, "worker_set_aside")
         self.assertEqual((aside["cause"], aside["aside"], aside["workers"]), ("refused", 1, 1))
-        self.assertEqual(logged(self.bench.all_effects, "worker_back"), [])
-        (back,) = logged(self.bench.tick(1.5), "worker_back")
+        self.assertEqual(decision_fields(self.bench.all_effects, "worker_back"), [])
+        (back,) = decision_fields(self.bench.tick(1.5), "worker_back")
         self.assertEqual((back["cause"], back["aside"]), ("refused", 0))
 
     def test_starving_job_is_logged(self) -> None:
         """A starving job is logged after a second, with the reasons that exclude workers."""
         self.bench.cell.workers["w"].quarantined_until = self.bench.now + 60
         job = self.bench.submit()
-        self.assertEqual(logged(self.bench.tick(0.9), "job_starves"), [])
-        first = logged(self.bench.tick(2.0), "job_starves")[0]
+        self.assertEqual(decision_fields(self.bench.tick(0.9), "job_starves"), [])
+        first = decision_fields(self.bench.tick(2.0), "job_starves")[0]
         self.assertEqual((first["open"], first["aside"], first["idle_steps"]), (0, 1, 1))
         self.assertEqual(self.bench.cell.jobs[job].status.name, "PENDING")
 
@@ -47,15 +47,15 @@
             self.bench.cell.workers[life].quarantined_until = self.bench.now + 60
         self.bench.cell.workers["w"].used = self.bench.cell.workers["w"].entry.capacity
         self.bench.submit()
-        self.assertEqual(logged(self.bench.tick(3.0), "job_starves"), [])
+        self.assertEqual(decision_fields(self.bench.tick(3.0), "job_starves"), [])
 
     def test_overdue_run_is_logged(self) -> None:
         """An overdue run is logged with its phase, its age and that of the last report."""
         self.bench.submit()
         (start,) = self.bench.new_starts()
         self.bench.confirm(start)
-        self.assertEqual(logged(self.bench.tick(9.0), "run_overdue"), [])
-        found = logged(self.bench.tick(6.0), "run_overdue")[0]
+        self.assertEqual(decision_fields(self.bench.tick(9.0), "run_overdue"), [])
+        found = decision_fields(self.bench.tick(6.0), "run_overdue")[0]
         self.assertEqual((found["phase"], found["worker"], found["overdue"]), ("running", "w", 1))
         self.assertGreater(found["since_s"], 10.0)
         self.assertGreater(found["heard_s"], 9.0)
@@ -68,7 +68,7 @@
         self.bench.cell.workers["w"].last_processed_end = 7
         order = start.order
         self.bench.report("w", ended=[(order.task, order.run, EndKind.DONE)])
-        (found,) = logged(self.bench.effects, "end_passed_over")
+        (found,) = decision_fields(self.bench.effects, "end_passed_over")
         self.assertEqual((found["run"], found["number"], found["known_ends"]), (1, 1, 7))
         self.assertIs(self.bench.cell.jobs[job].status, JobStatus.COMPLETED)
 
--- a/tests/test_jobs_suspects.py
+++ b/tests/test_jobs_suspects.py
@@ -112,7 +112,7 @@
         before, self.bench = self.bench, Bench(2)
         self.bench.now = before.now
         self.bench.restore(RecordedJobs(jobs, set(), recorded))
-        self.bench.add_worker(one, is_settled=False)
+        self.bench.add_worker(one, is_synced=False)
         self.bench.report(one, running=[(start.order.task, start.order.run, 1.0)])
         self.bench.tick(1.0)
         self.assertEqual(self.bench.new_starts(), [])
@@ -159,11 +159,11 @@
 
     def test_waiting_step_always_has_next_tasks(self) -> None:
         """A waiting step has a task to place next, for all losses and waiting times."""
-        pasts = list(itertools.product((0, 1, 2, 4), (0.0, 0.5, 1.0, 3.0)))
+        cases = list(itertools.product((0, 1, 2, 4), (0.0, 0.5, 1.0, 3.0)))
         job = self.bench.submit(PAIR)
         ((step,),) = self.bench.cell.jobs[job].repetitions
         now = self.bench.now
-        for chosen in itertools.product(pasts, repeat=2):
+        for chosen in itertools.product(cases, repeat=2):
             for task, (losses, waited) in zip(step.tasks, chosen, strict=True):
                 task.lost_runs = frozenset(range(losses))
                 task.phase_since = now - waited
@@ -173,7 +173,7 @@
 
 class TestCommonCauses(SuspectsTestCase):
     def charges(self, count: int) -> list[tuple[int, int]]:
-        """Return crashes and losses of tasks whose workers, one each, fall silent at once."""
+        """Return crashes and losses of tasks whose workers, one each, stop answering together."""
         lives = self.add_workers(count, cpu=1000)
         job = self.bench.submit(msgspec.structs.replace(SMALL, count=count))
         for start in self.bench.new_starts():
@@ -186,11 +186,11 @@
         return [(len(task.crashed_runs), len(task.lost_runs)) for task in tasks]
 
     def test_simultaneous_failures_are_no_crashes(self) -> None:
-        """If three workers fall silent at once, their runs are charged as losses only."""
+        """If three workers stop answering together, their runs are charged as losses only."""
         self.assertEqual(self.charges(3), [(0, 1)] * 3)
 
     def test_two_simultaneous_failures_are_crashes(self) -> None:
-        """If two workers fall silent at once, their runs are charged as crashes."""
+        """If two workers stop answering together, their runs are charged as crashes."""
         self.assertEqual(self.charges(2), [(1, 1)] * 2)
 
     def test_simultaneous_failures_after_lease_expiry(self) -> None:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -38,10 +38,10 @@
 
 
 class QuotaBench(Bench):
-    """A harness with teams."""
+    """A reducer harness with teams and quotas."""
 
-    def __init__(self, *teams: Team, **more) -> None:
-        super().__init__(**more)
+    def __init__(self, *teams: Team, **options) -> None:
+        super().__init__(**options)
         self.set_teams(*teams)
         self.orders = []
 
@@ -65,7 +65,7 @@
 
 
 class TestWaves(unittest.TestCase):
-    def test_wide_step_goes_in_waves(self) -> None:
+    def test_wide_step_stays_within_the_quota(self) -> None:
         """No more tasks run than the quota admits; each end lets the next task start."""
         bench = QuotaBench(make_team(3000))
         bench.add_worker(cpu=20_000)
@@ -96,7 +96,7 @@
         owners = [start.order.task.job[-1] for start in bench.started]
         self.assertEqual(sorted(owners), ["1", "2", "2", "2", "2", "2"])
 
-    def test_jobs_of_no_team_are_not_bound(self) -> None:
+    def test_jobs_without_a_team_are_not_limited(self) -> None:
         """Jobs that were submitted without a key have no quota."""
         bench = QuotaBench(make_team(1000))
         bench.add_worker(cpu=20_000)
@@ -246,7 +246,7 @@
         bench.add_worker("w", cpu=20_000)
         bench.tick(0.5)
         self.assertEqual(bench.started, [])
-        bench.add_worker("u", is_settled=False)
+        bench.add_worker("u", is_synced=False)
         self.assertEqual(bench.used_cpu, 1000)
         bench.report("u")
         bench.tick(0.2)
--- a/tests/test_room_use.py
+++ b/tests/test_room_use.py
@@ -44,7 +44,7 @@
         self.assertIn(len(logged_fields(bench.tick(6.0))), (5, 6))
 
     def test_lack_of_tickets(self) -> None:
-        """Steps that lack a ticket, room and ticket, and room only are told apart."""
+        """Steps that lack a ticket, room and ticket, and room only are distinguished."""
         bench = Bench(advice=AdviceTerms(10.0, 0.1, 60_000))
         bench.add_worker("w", cpu=4000)
         bench.submit(WHOLE)
@@ -57,9 +57,9 @@
         bench.submit(WHOLE)
         (fields,) = logged_fields(bench.tick(1.0))
         self.assertEqual((fields["ticket"], fields["both"]), (0, 1))
-        question = next(iter(bench.cell.advice_requests), None)
-        if question is not None:
-            bench.feed(AdviceAnswered(AdviceResult(question, {"w": "t"})))
+        request = next(iter(bench.cell.advice_requests), None)
+        if request is not None:
+            bench.feed(AdviceAnswered(AdviceResult(request, {"w": "t"})))
         (fields,) = logged_fields(bench.tick(1.0))
         self.assertEqual((fields["room"], fields["both"]), (1, 0))
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of fair shares: which team goes first when resources are scarce."""
+"""Tests of fair shares: which team's steps are placed first when resources are scarce."""
 
 import unittest
 
@@ -17,8 +17,8 @@
 FREE = Size(UNBOUNDED, UNBOUNDED, UNBOUNDED)
 
 
-def fail_on_alarm(alarm) -> None:
-    raise AssertionError(alarm)
+def fail_on_policy_failure(failure) -> None:
+    raise AssertionError(failure)
 
 
 class ShareBench(Bench):
@@ -27,7 +27,9 @@
     def __init__(self) -> None:
         super().__init__()
         queue = Queue("q", "", "/q/", "pool", stretch=3.0, target_latency_ms=60_000.0)
-        self.cell = Cell(SETTINGS, 1, make_policy(fail_on_alarm, lambda: self.cell), self.now)
+        self.cell = Cell(
+            SETTINGS, 1, make_policy(fail_on_policy_failure, lambda: self.cell), self.now
+        )
         teams = TeamBook([Team("large", 3.0, FREE), Team("small", 1.0, FREE)])
         self.cell.configuration = Configuration(1, (queue,), (Service("pool"),), teams=teams)
 
@@ -71,7 +73,7 @@
         self.assertEqual(len(self.bench.starts(self.bench.all_effects)), 4)
 
     def test_free_room_goes_to_the_team_below_its_share(self) -> None:
-        """On a full worker, a team below its share goes first, although it submitted last."""
+        """On a full worker, a team below its share is placed first, although it submitted last."""
         self.start_jobs("small", 4)
         for _ in range(36):
             self.bench.submit_as("small")
