--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -68,9 +68,9 @@
     mixes = [dataclasses.replace(mix, crashing_share=share) for mix in default_mixes()]
     workload = WorkloadOptions(SECONDS, LOAD, tuple(mixes))
     jobs = draw_workload(seed, workload)
-    options = EmulatorOptions(workload, entries_linger=changes)
+    options = EmulatorOptions(workload, lists_crashed_workers=changes)
     emulator = Emulator(seed, options, jobs)
-    emulator.checks.is_calm = False
+    emulator.checks.is_undisturbed = False
     if flaps:
         _plan_flap(emulator, random.Random(f"flaps of {seed}"))
     if changes:
@@ -90,7 +90,7 @@
             emulator.fleet.crash(life, RETURN_SECONDS)
         _plan_flap(emulator, source)
 
-    emulator.timeline.after(FLAP_EVERY_SECONDS, flap)
+    emulator.timeline.call_after(FLAP_EVERY_SECONDS, flap)
 
 
 def _plan_change(emulator: Emulator, source: random.Random) -> None:
@@ -99,7 +99,7 @@
     def change() -> None:
         if emulator.timeline.now > SECONDS:
             return
-        lives = [life for life, model in emulator.workers.items() if model.takes_work]
+        lives = [life for life, model in emulator.workers.items() if model.accepts_runs]
         if source.random() < DRAIN_SHARE:
             if len(lives) > LEAST_WORKERS:
                 emulator.fleet.drain(source.choice(lives))
@@ -108,7 +108,7 @@
             emulator.kill_leader(source.uniform(*LEADERLESS_SECONDS))
         _plan_change(emulator, source)
 
-    emulator.timeline.after(source.uniform(*CHANGE_EVERY_SECONDS), change)
+    emulator.timeline.call_after(source.uniform(*CHANGE_EVERY_SECONDS), change)
 
 
 def _judge(emulator: Emulator, jobs: list[DrawnJob]) -> Outcome:
@@ -120,9 +120,9 @@
         bad=len(bad),
         bad_ended=sum(job.job in failed for job in bad),
         innocent=sum(
-            job.job in failed and emulator.checks.may_be_given_up(job.job) for job in good
+            job.job in failed and emulator.checks.may_fail_after_crashes(job.job) for job in good
         ),
-        crashes=sum(emulator.checks.crashes_under(job.crashing) for job in bad),
+        crashes=sum(emulator.checks.count_crashes(job.crashing) for job in bad),
         heard_s=statistics.median(waits) if waits else 0.0,
         worth=make_report(emulator, good).worth,
         broken=len(emulator.checks.violations),
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -10,7 +10,7 @@
 from bench.tools import fill, percentile
 from snowdock.decisions.capacity_index import CapacityIndex
 from snowdock.decisions.placements import place_tasks
-from snowdock.declarations import ZERO, Size, WorkSpec
+from snowdock.declarations import ZERO_SIZE, Size, WorkSpec
 from snowdock.policies import PolicySet
 from snowdock.records import TasksPlaced
 from snowdock.state import State, Task, Work
@@ -46,7 +46,7 @@
         size = SHAPES[number % len(SHAPES)]
         work = make_work(number, size, kind, tasks)
         started = time.perf_counter()
-        result = place_tasks(work, state, index, policies, ZERO)
+        result = place_tasks(work, state, index, policies, ZERO_SIZE)
         seconds.append(time.perf_counter() - started)
         if isinstance(result, TasksPlaced):
             placed += 1
--- a/bench/failures.py
+++ b/bench/failures.py
@@ -66,7 +66,7 @@
         workload = WorkloadOptions(SECONDS, LOAD, tuple(mixes))
         self.jobs = draw_workload(seed, workload)
         self.emulator = Emulator(seed, EmulatorOptions(workload), self.jobs)
-        self.emulator.listen(LogDecision, self._note)
+        self.emulator.set_effect_handler(LogDecision, self._note)
         lives = list(self.emulator.workers)
         self.spoiling = set(lives[: round(spoiling * len(lives))])
         self.aside: dict[str, float] = dict.fromkeys(lives, 0.0)
@@ -88,7 +88,7 @@
             at = round(at + 0.1, 1)
             spoils = SPOILS_FROM <= at < SPOILS_UNTIL
             for life in self.spoiling:
-                emulator.workers[life].fails_all = spoils
+                emulator.workers[life].fails_all_runs = spoils
             emulator.run_until(at)
             for life, worker in emulator.leader_cell.workers.items():
                 if worker.quarantined_until > at and (spoils or life not in self.spoiling):
@@ -108,7 +108,7 @@
     bad = [job for job in day.jobs if job.is_hopeless]
     good = [job for job in day.jobs if not job.is_hopeless]
     failed = {job for job, status in emulator.statuses.items() if status is JobStatus.FAILED}
-    starved = emulator.starvation.found.values()
+    starved = emulator.starvation.starved_jobs.values()
     sound = [seconds for life, seconds in day.aside.items() if life not in day.spoiling]
     spoiling = [day.aside[life] for life in day.spoiling]
     return Outcome(
--- a/bench/packing.py
+++ b/bench/packing.py
@@ -10,7 +10,7 @@
 from bench.tools import fill
 from snowdock.decisions.capacity_index import CapacityIndex
 from snowdock.decisions.placements import place_tasks
-from snowdock.declarations import ZERO, Declarations, Policy, Size, WorkSpec
+from snowdock.declarations import ZERO_SIZE, Declarations, Policy, Size, WorkSpec
 from snowdock.policies import PolicySet
 from snowdock.records import TasksPlaced
 from snowdock.state import Task, Work
@@ -43,7 +43,7 @@
     used = set()
     for number, size in enumerate(sizes):
         spec = WorkSpec("batch", f"shape-{size.cpu}", "team-1", 1, size)
-        result = place_tasks(Work(number, "", spec, [Task()], 0), state, index, policies, ZERO)
+        result = place_tasks(Work(number, "", spec, [Task()], 0), state, index, policies, ZERO_SIZE)
         if isinstance(result, TasksPlaced):
             used.update(placement.worker for placement in result.placements)
     return len(used)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -17,8 +17,8 @@
 from snowdock.decisions.orders import build_order
 from snowdock.declarations import Declarations, Endpoint, Service, Size, Team, WorkSpec
 from snowdock.node.peer_messages import Heartbeat, encode_peer_message
-from snowdock.platform._http import Client
-from snowdock.platform.workers import AttemptReport, SyncAnswer, SyncOrder, WorkerClient
+from snowdock.platform._http import HttpClient
+from snowdock.platform.worker_client import AttemptReport, SyncOrder, SyncReport, WorkerClient
 from snowdock.programs import builtin_programs
 from snowdock.records import (
     AttemptEnded,
@@ -156,7 +156,7 @@
     seconds = timed(lambda: [build_order(state, name, reports, 0) for name in names]) / len(names)
     order = build_order(state, names[0], reports, 0).order
     body = msgspec.json.encode(order)
-    answer = SyncAnswer(names[0], "0123abcd", CPU, MEMORY, ACCELERATORS)
+    answer = SyncReport(names[0], "0123abcd", CPU, MEMORY, ACCELERATORS)
     total = len(body) + len(msgspec.json.encode(answer)) + HEADER_BYTES
     line("build the order", seconds * 1e6, "us")
     line("bytes of order and answer with heads", total, "bytes")
@@ -166,7 +166,7 @@
 def measure_call() -> float:
     """Print the processor time of one call to a worker's stand-in; give it in seconds."""
     with Cluster(workers=1, minions=1) as cluster:
-        client = WorkerClient(Client("bench", timeout=5))
+        client = WorkerClient(HttpClient("bench", timeout=5))
         address = f"{cluster.workers}/{cluster.worker_names[0]}"
         boot = client.status(address).boot
         order = SyncOrder(boot, 30_000, 2**52, [], [], [], [])
--- a/bench/waiting.py
+++ b/bench/waiting.py
@@ -20,7 +20,7 @@
 def play(seed: int) -> float:
     """Play a day, print what it was worth and how full the workers were; give its worth."""
     workload = WorkloadOptions(SECONDS, 1.0, crowded_mixes(), BURSTS)
-    options = EmulatorOptions(workload, workers=270, racks=23, askers=97)
+    options = EmulatorOptions(workload, workers=270, racks=23, advice_node_count=97)
     jobs = draw_workload(seed, workload)
     began = time.perf_counter()
     emulator = Emulator(seed, options, jobs)
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -79,7 +79,7 @@
     whole = CAPACITY.times(WORKERS)
     teams = uneven_teams(TEAMS, whole.scaled(QUOTA_FACTOR))
     workload = WorkloadOptions(SECONDS, load, wide_mixes(), BURSTS, teams, HOT_TEAM)
-    options = EmulatorOptions(workload, WORKERS, CAPACITY, racks=15, askers=45)
+    options = EmulatorOptions(workload, WORKERS, CAPACITY, racks=15, advice_node_count=45)
     jobs = draw_workload(seed, workload)
     began = time.perf_counter()
     emulator = Emulator(seed, options, jobs)
--- a/src/snowdock/cli/client.py
+++ b/src/snowdock/cli/client.py
@@ -8,20 +8,20 @@
 from ..errors import SnowdockError
 from ..node.http_models import Problem
 
-__all__ = ["NODES_VARIABLE", "ApiClient", "ApiFailure", "NoNodeAnswers"]
+__all__ = ["NODES_VARIABLE", "ApiClient", "ApiError", "NoNodeAvailable"]
 
 NODES_VARIABLE = "SNOWDOCK_NODES"
 TOKEN_VARIABLE = "SNOWDOCK_TOKEN"
-_TIMEOUT_SECONDS = 10.0
+_REQUEST_TIMEOUT_SECONDS = 10.0
 
 
-class NoNodeAnswers(SnowdockError):
+class NoNodeAvailable(SnowdockError):
     """None of the named nodes answered."""
 
     code = "no_node_answers"
 
 
-class ApiFailure(SnowdockError):
+class ApiError(SnowdockError):
     """A node answered with a failure."""
 
     def __init__(self, status: int, problem: Problem) -> None:
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, nodes: str) -> None:
-        self._nodes = [node.strip() for node in nodes.split(",") if node.strip()]
+        self._addresses = [node.strip() for node in nodes.split(",") if node.strip()]
         token = os.environ.get(TOKEN_VARIABLE)
         headers = {"Authorization": f"Bearer {token}"} if token else {}
         self._headers = headers
@@ -58,7 +58,7 @@
         path: str,
         body: bytes = b"",
         headers: dict[str, str] | None = None,
-        may_repeat: bool = True,
+        is_repeatable: bool = True,
     ) -> urllib3.BaseHTTPResponse:
         """Send a request and give the answer, whatever its status.
 
@@ -69,25 +69,25 @@
         NoNodeAnswers
             If no node answered.
         """
-        problems = []
-        for node in self._nodes:
+        failures = []
+        for node in self._addresses:
             try:
                 return self._pool.request(
                     method,
                     f"http://{node}{path}",
                     body=body or None,
                     headers={**self._headers, **(headers or {})},
-                    timeout=_TIMEOUT_SECONDS,
+                    timeout=_REQUEST_TIMEOUT_SECONDS,
                 )
             except urllib3.exceptions.NewConnectionError as error:
-                problems.append(f"{node}: {type(error).__name__}")
+                failures.append(f"{node}: {type(error).__name__}")
             except urllib3.exceptions.HTTPError as error:
-                problems.append(f"{node}: {type(error).__name__}")
-                if not may_repeat:
+                failures.append(f"{node}: {type(error).__name__}")
+                if not is_repeatable:
                     break
-        raise NoNodeAnswers(f"no node answers ({'; '.join(problems)})")
+        raise NoNodeAvailable(f"no node answers ({'; '.join(failures)})")
 
-    def read(self, path: str, kind: type):
+    def read(self, path: str, model: type):
         """Read a model from the API.
 
         Raises
@@ -97,11 +97,9 @@
         NoNodeAnswers
             If no node answered.
         """
-        return self._decode(self.send("GET", path), kind)
+        return self._decode(self.send("GET", path), model)
 
-    def change(
-        self, path: str, body: bytes, content_type: str, kind: type, key: str = ""
-    ) -> object:
+    def post(self, path: str, body: bytes, content_type: str, model: type, key: str = "") -> object:
         """Send a change; one with a key, or made from a version, may be sent twice.
 
         Raises
@@ -114,13 +112,13 @@
         headers = {"Content-Type": content_type}
         if key:
             headers["Snowdock-Key"] = key
-        return self._decode(self.send("POST", path, body, headers), kind)
+        return self._decode(self.send("POST", path, body, headers), model)
 
     @staticmethod
-    def _decode(response: urllib3.BaseHTTPResponse, kind: type):
+    def _decode(response: urllib3.BaseHTTPResponse, model: type):
         if response.status >= 400:
-            raise ApiFailure(response.status, _read_problem(response))
-        return msgspec.json.decode(response.data, type=kind)
+            raise ApiError(response.status, _read_problem(response))
+        return msgspec.json.decode(response.data, type=model)
 
 
 def _read_problem(response: urllib3.BaseHTTPResponse) -> Problem:
--- a/src/snowdock/cli/commands.py
+++ b/src/snowdock/cli/commands.py
@@ -15,8 +15,8 @@
 from ..errors import DeclarationErrors, InvalidInput, SnowdockError
 from ..node import report_models as models
 from ..request_ids import new_request_id
-from .client import ApiClient, ApiFailure
-from .tables import show
+from .client import ApiClient, ApiError
+from .tables import print_table
 
 __all__ = ["COMMANDS"]
 
@@ -26,17 +26,19 @@
 EXIT_UNKNOWN = 5
 EXIT_WORK_FAILED = 6
 
-_JSON = "application/json"
-_WAIT_SECONDS = 0.2
-_NODES = option("nodes", None, "Nodes to talk to, ADDRESS:PORT separated by commas.", flag=False)
-_AS_JSON = option("json", None, "Print JSON for scripts.")
+_JSON_CONTENT_TYPE = "application/json"
+_POLL_INTERVAL_SECONDS = 0.2
+_NODES_OPTION = option(
+    "nodes", None, "Nodes to talk to, ADDRESS:PORT separated by commas.", flag=False
+)
+_JSON_OPTION = option("json", None, "Print JSON for scripts.")
 
 
-class _Change(msgspec.Struct):
+class _AppliedChange(msgspec.Struct):
     version: int
 
 
-class _Submitted(msgspec.Struct):
+class _SubmittedWork(msgspec.Struct):
     work: int
     name: str
 
@@ -52,7 +54,7 @@
             for error in errors.exceptions:
                 self.line_error(f"<error>{error}</error>")
             return EXIT_USAGE
-        except ApiFailure as error:
+        except ApiError as error:
             self.line_error(f"<error>{error.code}: {error}</error>")
             for detail in error.details:
                 self.line_error(f"  {detail}")
@@ -78,7 +80,7 @@
         if self.option("json"):
             self.line(msgspec.json.format(msgspec.json.encode(rows)).decode())
         else:
-            show(self, rows)
+            print_table(self, rows)
 
 
 def _read_folder(folder: str) -> dict[str, str]:
@@ -125,7 +127,7 @@
     description = "Publish a folder of declarations; prints the new version."
     arguments = [argument("folder", "The folder with *.ini and *.star files.")]  # noqa: RUF012
     options = [  # noqa: RUF012
-        _NODES,
+        _NODES_OPTION,
         option("base", None, "The version that the change was made from.", flag=False),
         option("author", None, "Who makes the change.", flag=False),
         option("wait", None, "Wait until the version is in force on every node."),
@@ -143,12 +145,12 @@
         body = msgspec.json.encode(
             {"base": int(base), "files": files, "author": self.option("author") or ""}
         )
-        made = self.api.change("/v1/configuration", body, _JSON, _Change)
-        self.line(f"version {made.version}")
+        response = self.api.post("/v1/configuration", body, _JSON_CONTENT_TYPE, _AppliedChange)
+        self.line(f"version {response.version}")
         if self.option("wait"):
-            self._wait(made.version)
+            self._wait_for_version(response.version)
 
-    def _wait(self, version: int) -> None:
+    def _wait_for_version(self, version: int) -> None:
         nodes = self.api.read("/v1/nodes", list[models.NodeReport])
         for node in nodes:
             if not node.seems_alive:
@@ -156,7 +158,7 @@
                 continue
             client = ApiClient(node.api_address)
             while client.read("/v1/version", models.VersionReport).version < version:
-                time.sleep(_WAIT_SECONDS)
+                time.sleep(_POLL_INTERVAL_SECONDS)
         self.line(f"version {version} is in force on {len(nodes)} nodes")
 
 
@@ -165,12 +167,12 @@
 
     name = "get"
     description = "Show the declarations in force."
-    options = [_NODES]  # noqa: RUF012
+    options = [_NODES_OPTION]  # noqa: RUF012
 
     def run_command(self) -> int | None:
         """Show."""
-        found = self.api.read("/v1/configuration", Declarations)
-        self.line(msgspec.json.format(msgspec.json.encode(found)).decode())
+        declarations = self.api.read("/v1/configuration", Declarations)
+        self.line(msgspec.json.format(msgspec.json.encode(declarations)).decode())
 
 
 class VersionCommand(_SnowdockCommand):
@@ -178,7 +180,7 @@
 
     name = "version"
     description = "Show the version of the configuration in force on each node."
-    options = [_NODES, _AS_JSON]  # noqa: RUF012
+    options = [_NODES_OPTION, _JSON_OPTION]  # noqa: RUF012
 
     def run_command(self) -> int | None:
         """Ask each node for itself."""
@@ -198,7 +200,7 @@
     description = "Submit the batches and gangs of a work file."
     arguments = [argument("file", "The work file.")]  # noqa: RUF012
     options = [  # noqa: RUF012
-        _NODES,
+        _NODES_OPTION,
         option("key", None, "Names this submission; sent again, it is the same work.", flag=False),
         option("wait", None, "Wait for the work's end; the exit status tells how it went."),
     ]
@@ -209,14 +211,16 @@
         text = _read_text(file)
         parse_work(file.name, text)
         key = self.option("key") or uuid.uuid4().hex
-        made = self.api.change("/v1/work", text.encode(), "text/plain", list[_Submitted], key)
-        for work in made:
+        submitted = self.api.post(
+            "/v1/work", text.encode(), "text/plain", list[_SubmittedWork], key
+        )
+        for work in submitted:
             self.line(f"{work.work} {work.name}")
-        return self._wait(made) if self.option("wait") else None
+        return self._wait_for_all(submitted) if self.option("wait") else None
 
-    def _wait(self, made: list[_Submitted]) -> int:
+    def _wait_for_all(self, submitted: list[_SubmittedWork]) -> int:
         status = 0
-        for work in made:
+        for work in submitted:
             report = _wait_for_work(self, work.work)
             self.line(f"{work.name}: {report.state}")
             if report.state != "succeeded":
@@ -225,16 +229,16 @@
 
 
 def _wait_for_work(command: _SnowdockCommand, number: int) -> models.WorkReport:
-    shown = ""
+    last_line = ""
     while True:
         report = command.api.read(f"/v1/work/{number}", models.WorkReport)
         line = ", ".join(f"{count} {state}" for state, count in sorted(report.counts.items()))
-        if line != shown:
+        if line != last_line:
             command.line(f"{report.name}: {line} {report.waiting_reason}".rstrip())
-            shown = line
+            last_line = line
         if report.finished_ms:
             return report
-        time.sleep(_WAIT_SECONDS)
+        time.sleep(_POLL_INTERVAL_SECONDS)
 
 
 class StatusCommand(_SnowdockCommand):
@@ -244,8 +248,8 @@
     description = "Show the cluster at a glance, or one work and its tasks."
     arguments = [argument("work", "A work's number.", optional=True)]  # noqa: RUF012
     options = [  # noqa: RUF012
-        _NODES,
-        _AS_JSON,
+        _NODES_OPTION,
+        _JSON_OPTION,
         option("why", None, "Show only why the work waits."),
     ]
 
@@ -257,7 +261,7 @@
             return
         if not number.isdigit():
             raise InvalidInput("a work is named by its number")
-        report = self._find(number)
+        report = self._read_report(number)
         if self.option("why"):
             self.line(report.waiting_reason or f"it does not wait: {report.state}")
             return
@@ -266,7 +270,7 @@
         if not self.option("json"):
             self.print_rows(tasks)
 
-    def _find(self, number: str) -> models.WorkReport:
+    def _read_report(self, number: str) -> models.WorkReport:
         """Read a work from the node that places it, since only that one knows why it waits."""
         report = self.api.read(f"/v1/work/{number}", models.WorkReport)
         for node in self.api.read("/v1/nodes", list[models.NodeReport]):
@@ -283,14 +287,14 @@
     name = "cancel"
     description = "Cancel works by number; cancelling twice is harmless."
     arguments = [argument("works", "The works' numbers.", multiple=True)]  # noqa: RUF012
-    options = [_NODES]  # noqa: RUF012
+    options = [_NODES_OPTION]  # noqa: RUF012
 
     def run_command(self) -> int | None:
         """Cancel each."""
         for number in self.argument("works"):
             if not number.isdigit():
                 raise InvalidInput("a work is named by its number")
-            self.api.change(f"/v1/work/{number}/cancel", b"", _JSON, dict[str, int])
+            self.api.post(f"/v1/work/{number}/cancel", b"", _JSON_CONTENT_TYPE, dict[str, int])
             self.line(f"{number} cancelled")
 
 
@@ -304,7 +308,7 @@
         argument("path", "The path at the minion.", optional=True, default="/"),
     ]
     options = [  # noqa: RUF012
-        _NODES,
+        _NODES_OPTION,
         option("data", "d", "The body.", flag=False),
         option("id", None, "The request's id, to ask again.", flag=False),
         option("once", None, "The request must not be repeated."),
@@ -328,7 +332,7 @@
             f"/call/{self.argument('endpoint')}{path}",
             (self.option("data") or "").encode(),
             headers,
-            may_repeat=not once,
+            is_repeatable=not once,
         )
         outcome = response.headers.get("Snowdock-Outcome", "unknown")
         self.line_error(f"request {request_id}: {outcome}")
@@ -339,15 +343,17 @@
         return {"ran": 0, "not-run": EXIT_REFUSED}.get(outcome, EXIT_UNKNOWN)
 
 
-def _list_command(command_name: str, path: str, model: type, what: str) -> type[_SnowdockCommand]:
+def _make_list_command(
+    command_name: str, path: str, model: type, plural: str
+) -> type[_SnowdockCommand]:
     """Make a command that lists models of one kind."""
 
     class ListCommand(_SnowdockCommand):
         """List models."""
 
         name = command_name
-        description = f"List {what}."
-        options = [_NODES, _AS_JSON]  # noqa: RUF012
+        description = f"List {plural}."
+        options = [_NODES_OPTION, _JSON_OPTION]  # noqa: RUF012
 
         def run_command(self) -> int | None:
             """List."""
@@ -362,17 +368,19 @@
     name = "drain"
     description = "Ask one node to end what it has in flight, give back what it holds, and stop."
     arguments = [argument("node", "The node's name.")]  # noqa: RUF012
-    options = [_NODES]  # noqa: RUF012
+    options = [_NODES_OPTION]  # noqa: RUF012
 
     def run_command(self) -> int | None:
         """Find the node and ask it."""
-        wanted = self.argument("node")
+        node_name = self.argument("node")
         for node in self.api.read("/v1/nodes", list[models.NodeReport]):
-            if node.name == wanted:
-                ApiClient(node.api_address).change("/v1/drain", b"", _JSON, dict[str, bool])
-                self.line(f"{wanted} drains")
+            if node.name == node_name:
+                ApiClient(node.api_address).post(
+                    "/v1/drain", b"", _JSON_CONTENT_TYPE, dict[str, bool]
+                )
+                self.line(f"{node_name} drains")
                 return
-        raise InvalidInput(f"no node {wanted}")
+        raise InvalidInput(f"no node {node_name}")
 
 
 class KeysCommand(_SnowdockCommand):
@@ -402,8 +410,8 @@
     CancelCommand,
     CallCommand,
     DrainCommand,
-    _list_command("nodes", "/v1/nodes", models.NodeReport, "the nodes"),
-    _list_command("workers", "/v1/workers", models.WorkerReport, "the workers"),
-    _list_command("minions", "/v1/minions", models.MinionReport, "the minions"),
-    _list_command("work", "/v1/work", models.WorkReport, "all work"),
+    _make_list_command("nodes", "/v1/nodes", models.NodeReport, "the nodes"),
+    _make_list_command("workers", "/v1/workers", models.WorkerReport, "the workers"),
+    _make_list_command("minions", "/v1/minions", models.MinionReport, "the minions"),
+    _make_list_command("work", "/v1/work", models.WorkReport, "all work"),
 )
--- a/src/snowdock/cli/explain.py
+++ b/src/snowdock/cli/explain.py
@@ -9,15 +9,15 @@
 
 from ..jobs.availability import ExclusionReason
 
-__all__ = ["LogLine", "Story", "format_story", "parse_line", "tell_story"]
+__all__ = ["JobTimeline", "LogLine", "build_timeline", "format_timeline", "parse_line"]
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-_NEAR_SECONDS = 5.0
+_RELATED_SECONDS = 5.0
 """How long before a line a lost dependency of its node may explain it."""
 
-_DEPENDENCIES = ("dependency_lost", "renewal_failed", "election_call_failed", "deposed")
-_CLOSED = ("open", *(reason.value for reason in ExclusionReason))
-_ABOUT = ("job", "subject", "task", "path")
+_DEPENDENCY_EVENTS = ("dependency_lost", "renewal_failed", "election_call_failed", "deposed")
+_WORKER_COUNT_KEYS = ("open", *(reason.value for reason in ExclusionReason))
+_JOB_KEYS = ("job", "subject", "task", "path")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,18 +29,18 @@
     node: str
     fields: dict[str, str]
 
-    def is_about(self, job: str) -> bool:
+    def mentions(self, job: str) -> bool:
         """Whether the line names a job or one of its tasks."""
-        return any(job in self.fields.get(key, "") for key in _ABOUT)
+        return any(job in self.fields.get(key, "") for key in _JOB_KEYS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Story:
+class JobTimeline:
     """What the logs tell of a job: its lines in order, those near them, and the cause."""
 
     job: str
     lines: list[LogLine]
-    nearby: list[LogLine]
+    related: list[LogLine]
     cause: str
 
 
@@ -51,10 +51,10 @@
         return None
     fields = {key: _unquote(value) for key, value in _PAIR.findall(text[start:])}
     try:
-        at = float(fields.pop("time"))
+        time = float(fields.pop("time"))
     except ValueError:
         return None
-    return LogLine(at, fields.pop("event", ""), fields.pop("node", ""), fields)
+    return LogLine(time, fields.pop("event", ""), fields.pop("node", ""), fields)
 
 
 def _unquote(value: str) -> str:
@@ -66,7 +66,7 @@
         return value
 
 
-def tell_story(job: str, texts: Iterable[str]) -> Story:
+def build_timeline(job: str, texts: Iterable[str]) -> JobTimeline:
     """Put together what the logs of all nodes tell of a job.
 
     Parameters
@@ -77,59 +77,64 @@
         Lines of all nodes' logs, in any order.
     """
     parsed = [line for line in map(parse_line, texts) if line is not None]
-    about = sorted((line for line in parsed if line.is_about(job)), key=lambda line: line.time)
-    troubles = [line for line in parsed if line.event in _DEPENDENCIES]
-    nearby = [line for line in troubles if _explains(line, about)]
-    return Story(job, about, sorted(nearby, key=lambda line: line.time), _find_cause(about, nearby))
+    job_lines = sorted((line for line in parsed if line.mentions(job)), key=lambda line: line.time)
+    dependency_lines = [line for line in parsed if line.event in _DEPENDENCY_EVENTS]
+    related = [line for line in dependency_lines if _is_related(line, job_lines)]
+    return JobTimeline(
+        job, job_lines, sorted(related, key=lambda line: line.time), _find_cause(job_lines, related)
+    )
 
 
-def _explains(trouble: LogLine, about: list[LogLine]) -> bool:
+def _is_related(dependency_line: LogLine, job_lines: list[LogLine]) -> bool:
     return any(
-        line.node == trouble.node and 0 <= line.time - trouble.time <= _NEAR_SECONDS
-        for line in about
+        line.node == dependency_line.node
+        and 0 <= line.time - dependency_line.time <= _RELATED_SECONDS
+        for line in job_lines
     )
 
 
-def _find_cause(lines: list[LogLine], nearby: list[LogLine]) -> str:
+def _find_cause(lines: list[LogLine], related: list[LogLine]) -> str:
     if not lines:
         return "no log names it: it reached no node, or its lines were left out"
-    taken = any(line.event in ("job_accepted", "job_taken") for line in lines)
-    refused = [line for line in lines if line.event in ("request_refused", "request_failed")]
+    was_accepted = any(line.event in ("job_accepted", "job_taken") for line in lines)
+    refusals = [line for line in lines if line.event in ("request_refused", "request_failed")]
     ended = [line for line in lines if line.event == "job_ended"]
-    starved = _explain_starving(lines)
-    if not taken and refused:
-        return _explain_refusal(refused[-1], nearby)
+    starvation = _explain_starvation(lines)
+    if not was_accepted and refusals:
+        return _explain_refusal(refusals[-1], related)
     if not ended:
         last = f"it has not ended; the last decision was {lines[-1].event} on {lines[-1].node}"
-        return last + starved
+        return last + starvation
     status = ended[-1].fields.get("status", "")
     if status == "failed":
         return _explain_failure(lines)
     if status == "cancelled":
         return "it was cancelled"
-    return _explain_time(lines, ended[-1]) + starved
+    return _explain_duration(lines, ended[-1]) + starvation
 
 
-def _explain_starving(lines: list[LogLine]) -> str:
+def _explain_starvation(lines: list[LogLine]) -> str:
     """Tell what closed the workers to a job that ran nothing beside free room, at its worst."""
     starving = [line for line in lines if line.event == "job_starves"]
     if not starving:
         return ""
-    worst = max(starving, key=lambda line: float(line.fields.get("waiting_s", 0)))
-    counts = {reason: worst.fields[reason] for reason in _CLOSED if reason in worst.fields}
+    longest = max(starving, key=lambda line: float(line.fields.get("waiting_s", 0)))
+    counts = {
+        reason: longest.fields[reason] for reason in _WORKER_COUNT_KEYS if reason in longest.fields
+    }
     workers = ", ".join(f"{count} {reason}" for reason, count in counts.items())
-    waited_s = float(worst.fields.get("waiting_s", 0))
+    waited_s = float(longest.fields.get("waiting_s", 0))
     return f"; it ran nothing beside free room for {waited_s:.1f} s, the workers being: {workers}"
 
 
-def _explain_refusal(line: LogLine, nearby: list[LogLine]) -> str:
+def _explain_refusal(line: LogLine, related: list[LogLine]) -> str:
     if line.event == "request_failed":
         return f"a fault of snowdock on {line.node}: {line.fields.get('problem', '')}"
     cause = f"refused by {line.node}: {line.fields.get('reason', '')}"
     lost = [
-        trouble
-        for trouble in sorted(nearby, key=lambda trouble: trouble.time)
-        if trouble.node == line.node and trouble.time <= line.time
+        loss
+        for loss in sorted(related, key=lambda loss: loss.time)
+        if loss.node == line.node and loss.time <= line.time
     ]
     if lost:
         ago = line.time - lost[-1].time
@@ -140,17 +145,17 @@
 def _explain_failure(lines: list[LogLine]) -> str:
     given_up = [line for line in lines if line.event == "task_given_up"]
     if given_up:
-        return _explain_giving_up(given_up[-1], lines)
+        return _explain_abandoned_task(given_up[-1], lines)
     failed = [
         line for line in lines if line.event == "run_ended" and line.fields.get("how") == "failed"
     ]
-    where = [line.fields.get("worker", "") for line in failed]
-    once = "one worker" if len(set(where)) == 1 else f"{len(set(where))} workers"
-    return f"{len(failed)} runs failed, on {once} ({', '.join(where)}): its attempts are used up"
+    workers = [line.fields.get("worker", "") for line in failed]
+    count = "one worker" if len(set(workers)) == 1 else f"{len(set(workers))} workers"
+    return f"{len(failed)} runs failed, on {count} ({', '.join(workers)}): its attempts are used up"
 
 
-def _explain_giving_up(decision: LogLine, lines: list[LogLine]) -> str:
-    task = decision.fields.get("task", "")
+def _explain_abandoned_task(given_up: LogLine, lines: list[LogLine]) -> str:
+    task = given_up.fields.get("task", "")
     workers: dict[str, None] = {}
     for line in lines:
         if line.fields.get("task", "") != task:
@@ -160,7 +165,7 @@
             workers[worker] = None
         elif line.event == "charge_taken_back":
             workers.pop(worker, None)
-    crashes, losses = decision.fields.get("crashes", "?"), decision.fields.get("losses", "?")
+    crashes, losses = given_up.fields.get("crashes", "?"), given_up.fields.get("losses", "?")
     return (
         f"task {task} was given up after {losses} of its starts went with their workers, or ended"
         f" at once after three that did; {crashes} of these workers surely crashed"
@@ -168,29 +173,31 @@
     )
 
 
-def _explain_time(lines: list[LogLine], ended: LogLine) -> str:
+def _explain_duration(lines: list[LogLine], ended: LogLine) -> str:
     """Name the longest wait between two decisions on the way to the end."""
-    way = [line for line in lines if line.time <= ended.time]
-    steps = itertools.pairwise(way)
-    gaps = [(after.time - before.time, before, after) for before, after in steps]
+    until_end = [line for line in lines if line.time <= ended.time]
+    pairs = itertools.pairwise(until_end)
+    gaps = [(after.time - before.time, before, after) for before, after in pairs]
     if not gaps:
         return f"completed in {ended.fields.get('seconds', '?')} s"
     longest, before, after = max(gaps, key=lambda gap: gap[0])
-    repeats = sum(line.event == "run_ended" and line.fields.get("how") != "done" for line in way)
+    unsuccessful_runs = sum(
+        line.event == "run_ended" and line.fields.get("how") != "done" for line in until_end
+    )
     return (
         f"completed in {ended.fields.get('seconds', '?')} s; the longest wait, {longest:.2f} s,"
-        f" was from {before.event} to {after.event}; {repeats} runs did not end well"
+        f" was from {before.event} to {after.event}; {unsuccessful_runs} runs did not end well"
     )
 
 
-def format_story(story: Story) -> list[str]:
+def format_timeline(timeline: JobTimeline) -> list[str]:
     """Write a story, a line for each decision."""
-    if not story.lines:
-        return [f"cause: {story.cause}"]
-    began = story.lines[0].time
-    told = []
-    for line in sorted([*story.lines, *story.nearby], key=lambda line: line.time):
+    if not timeline.lines:
+        return [f"cause: {timeline.cause}"]
+    start = timeline.lines[0].time
+    rows = []
+    for line in sorted([*timeline.lines, *timeline.related], key=lambda line: line.time):
         fields = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "level")
-        told.append(f"{line.time - began:+9.3f} s  {line.node:<24} {line.event:<20} {fields}")
-    told.append(f"cause: {story.cause}")
-    return told
+        rows.append(f"{line.time - start:+9.3f} s  {line.node:<24} {line.event:<20} {fields}")
+    rows.append(f"cause: {timeline.cause}")
+    return rows
--- a/src/snowdock/cli/job_commands.py
+++ b/src/snowdock/cli/job_commands.py
@@ -14,9 +14,9 @@
     make_report,
 )
 from ..emulator.workload import default_mixes
-from .explain import format_story, tell_story
+from .explain import build_timeline, format_timeline
 from .losses import format_losses, sum_losses, trace_jobs
-from .room_table import format_room, read_room
+from .room_table import format_room, read_room_samples
 
 __all__ = ["JOB_COMMANDS"]
 
@@ -37,10 +37,10 @@
     def handle(self) -> int:
         """Read the logs and tell the story."""
         with fileinput.input(self.argument("logs"), encoding="utf-8", errors="replace") as lines:
-            story = tell_story(self.argument("job"), lines)
-        for line in format_story(story):
+            timeline = build_timeline(self.argument("job"), lines)
+        for line in format_timeline(timeline):
             self.line(line)
-        return 0 if story.lines else 1
+        return 0 if timeline.lines else 1
 
 
 class LossesCommand(Command):
@@ -58,7 +58,7 @@
             texts = list(lines)
         for line in format_losses(sum_losses(trace_jobs(texts))):
             self.line(line)
-        for line in format_room(read_room(texts)):
+        for line in format_room(read_room_samples(texts)):
             self.line(line)
         return 0
 
@@ -79,16 +79,16 @@
         """Play the days and print a table for each."""
         seconds = float(self.option("seconds"))
         workload = WorkloadOptions(seconds, float(self.option("load")), default_mixes())
-        broken = 0
+        violations = 0
         for seed in range(int(self.option("seed")), int(self.option("seed")) + self._days()):
             jobs = draw_workload(seed, workload)
             emulator = Emulator(seed, EmulatorOptions(workload), jobs)
             emulator.run_until(seconds + _SETTLE_SECONDS)
             report = make_report(emulator, jobs)
-            broken += report.violations
+            violations += report.violations
             self.line(f"day {seed}")
             self.line(format_report(report))
-        return 1 if broken else 0
+        return 1 if violations else 0
 
     def _days(self) -> int:
         return int(self.option("days"))
--- a/src/snowdock/cli/losses.py
+++ b/src/snowdock/cli/losses.py
@@ -14,9 +14,9 @@
 
 from .explain import LogLine, parse_line
 
-__all__ = ["JobWay", "QueueLosses", "format_losses", "sum_losses", "trace_jobs"]
+__all__ = ["JobTrace", "QueueLosses", "format_losses", "sum_losses", "trace_jobs"]
 
-_REASONS = {
+_REASON_BY_EVENT = {
     "job_accepted": "put on record",
     "job_taken": "no leader knows it",
     "advised": "advice",
@@ -41,14 +41,14 @@
 _WORK = "work"
 _FAILED_RUN = "failed run"
 _UNEXPLAINED = "not explained"
-_USED_UP = "attempts used up"
-_GIVEN_UP = "workers crashed"
-_AFTER_A_RUN = ("run_ended", "run_lost", "task_given_up", "job_ended")
+_ATTEMPTS_USED_UP = "attempts used up"
+_WORKERS_CRASHED = "workers crashed"
+_RUN_END_EVENTS = ("run_ended", "run_lost", "task_given_up", "job_ended")
 """What a job's end follows, unless lines were left out."""
 
 
 @dataclasses.dataclass(slots=True)
-class JobWay:
+class JobTrace:
     """One job's way from its being taken in to its end.
 
     Attributes
@@ -71,19 +71,19 @@
 
     job: str
     queue: str = ""
-    began: float = 0.0
-    ended: float | None = None
+    started_at: float = 0.0
+    ended_at: float | None = None
     status: str = ""
     stretch: float = 0.0
     target_s: float = 0.0
-    lasts: bool = False
+    is_long_running: bool = False
     is_given_up: bool = False
-    spent: dict[str, float] = dataclasses.field(default_factory=dict)
+    seconds_by_reason: dict[str, float] = dataclasses.field(default_factory=dict)
 
     @property
     def allowed_s(self) -> float:
         """Within how many seconds it was to be done, by the work that was seen."""
-        work = self.spent.get(_WORK, 0.0) + self.spent.get(_FAILED_RUN, 0.0)
+        work = self.seconds_by_reason.get(_WORK, 0.0) + self.seconds_by_reason.get(_FAILED_RUN, 0.0)
         return self.stretch * work + self.target_s
 
     @property
@@ -91,18 +91,20 @@
         """Whether it did not end well in time; a cancelled job is not lost."""
         if self.status == "cancelled":
             return False
-        if self.lasts:
-            return "room" not in self.spent
-        if self.ended is None or self.status != "completed":
+        if self.is_long_running:
+            return "room" not in self.seconds_by_reason
+        if self.ended_at is None or self.status != "completed":
             return True
-        return self.ended - self.began > self.allowed_s
+        return self.ended_at - self.started_at > self.allowed_s
 
     @property
     def main_reason(self) -> str:
         """What it spent most time on besides its work."""
         if self.status == "failed":
-            return _GIVEN_UP if self.is_given_up else _USED_UP
-        waits = {reason: spent for reason, spent in self.spent.items() if reason != _WORK}
+            return _WORKERS_CRASHED if self.is_given_up else _ATTEMPTS_USED_UP
+        waits = {
+            reason: seconds for reason, seconds in self.seconds_by_reason.items() if reason != _WORK
+        }
         return max(waits, key=waits.get) if waits else _UNEXPLAINED
 
 
@@ -115,27 +117,27 @@
     in_time: int = 0
     late: int = 0
     failed: int = 0
-    unended: int = 0
-    reasons: collections.Counter = dataclasses.field(default_factory=collections.Counter)
-    spent: collections.Counter = dataclasses.field(default_factory=collections.Counter)
+    unfinished: int = 0
+    main_reasons: collections.Counter = dataclasses.field(default_factory=collections.Counter)
+    lost_seconds: collections.Counter = dataclasses.field(default_factory=collections.Counter)
 
-    def add(self, way: JobWay) -> None:
+    def add(self, trace: JobTrace) -> None:
         """Count one job in."""
         self.jobs += 1
-        if not way.is_lost:
+        if not trace.is_lost:
             self.in_time += 1
             return
-        if way.ended is None:
-            self.unended += 1
-        elif way.status == "failed":
+        if trace.ended_at is None:
+            self.unfinished += 1
+        elif trace.status == "failed":
             self.failed += 1
         else:
             self.late += 1
-        self.reasons[way.main_reason] += 1
-        self.spent.update(way.spent)
+        self.main_reasons[trace.main_reason] += 1
+        self.lost_seconds.update(trace.seconds_by_reason)
 
 
-def trace_jobs(texts: Iterable[str]) -> list[JobWay]:
+def trace_jobs(texts: Iterable[str]) -> list[JobTrace]:
     """Put together the ways of all jobs that were taken in.
 
     Parameters
@@ -144,90 +146,90 @@
         Lines of all nodes' logs, in any order.
     """
     by_job: dict[str, list[LogLine]] = collections.defaultdict(list)
-    last = 0.0
+    last_time = 0.0
     for line in map(parse_line, texts):
         if line is None:
             continue
-        last = max(last, line.time)
-        job = _job_of(line)
+        last_time = max(last_time, line.time)
+        job = _find_job_id(line)
         if job:
             by_job[job].append(line)
-    ways = [_trace(job, lines, last) for job, lines in by_job.items()]
-    return [way for way in ways if way.queue]
+    traces = [_trace_job(job, lines, last_time) for job, lines in by_job.items()]
+    return [trace for trace in traces if trace.queue]
 
 
-def _job_of(line: LogLine) -> str:
-    if line.event not in _REASONS and line.event != "run_ended":
+def _find_job_id(line: LogLine) -> str:
+    if line.event not in _REASON_BY_EVENT and line.event != "run_ended":
         return ""
     return line.fields.get("job") or line.fields.get("subject", "")
 
 
-def _trace(job: str, lines: list[LogLine], last: float) -> JobWay:
+def _trace_job(job: str, lines: list[LogLine], last_time: float) -> JobTrace:
     lines.sort(key=lambda line: line.time)
-    way = JobWay(job, began=lines[0].time - _number(lines[0], "ms") / 1000)
-    before = way.began
-    event_before = ""
+    trace = JobTrace(job, started_at=lines[0].time - _parse_number(lines[0], "ms") / 1000)
+    previous_time = trace.started_at
+    previous_event = ""
     for line in lines:
-        way.queue = line.fields.get("queue", way.queue)
-        way.stretch = _number(line, "stretch") or way.stretch
-        way.target_s = _number(line, "target_s") or way.target_s
-        way.lasts = way.lasts or line.fields.get("lasts") == "True"
-        if way.ended is not None:
+        trace.queue = line.fields.get("queue", trace.queue)
+        trace.stretch = _parse_number(line, "stretch") or trace.stretch
+        trace.target_s = _parse_number(line, "target_s") or trace.target_s
+        trace.is_long_running = trace.is_long_running or line.fields.get("lasts") == "True"
+        if trace.ended_at is not None:
             break
-        _spend(way, _reason(line, event_before), line.time - before)
-        before = line.time
-        event_before = line.event
-        way.is_given_up = way.is_given_up or line.event == "task_given_up"
+        _add_seconds(trace, _find_reason(line, previous_event), line.time - previous_time)
+        previous_time = line.time
+        previous_event = line.event
+        trace.is_given_up = trace.is_given_up or line.event == "task_given_up"
         if line.event == "job_ended":
-            way.ended = line.time
-            way.status = line.fields.get("status", "")
-    if way.ended is None:
-        _spend(way, _UNEXPLAINED, last - before)
-    return way
+            trace.ended_at = line.time
+            trace.status = line.fields.get("status", "")
+    if trace.ended_at is None:
+        _add_seconds(trace, _UNEXPLAINED, last_time - previous_time)
+    return trace
 
 
-def _reason(line: LogLine, event_before: str) -> str:
+def _find_reason(line: LogLine, previous_event: str) -> str:
     if line.event == "run_ended":
         reasons = {"done": _WORK, "failed": _FAILED_RUN, "stopped": "moved or yielded"}
         return reasons.get(line.fields.get("how", ""), _LOST_RUN)
-    if line.event == "job_ended" and event_before not in _AFTER_A_RUN:
+    if line.event == "job_ended" and previous_event not in _RUN_END_EVENTS:
         return _UNEXPLAINED
-    return _REASONS[line.event]
+    return _REASON_BY_EVENT[line.event]
 
 
-def _spend(way: JobWay, reason: str, seconds: float) -> None:
-    way.spent[reason] = way.spent.get(reason, 0.0) + seconds
+def _add_seconds(trace: JobTrace, reason: str, seconds: float) -> None:
+    trace.seconds_by_reason[reason] = trace.seconds_by_reason.get(reason, 0.0) + seconds
 
 
-def _number(line: LogLine, field: str) -> float:
+def _parse_number(line: LogLine, field: str) -> float:
     try:
         return float(line.fields.get(field, ""))
     except ValueError:
         return 0.0
 
 
-def sum_losses(ways: Iterable[JobWay]) -> list[QueueLosses]:
+def sum_losses(traces: Iterable[JobTrace]) -> list[QueueLosses]:
     """Sum jobs up by queue, the queue with most jobs first."""
     queues: dict[str, QueueLosses] = {}
-    for way in ways:
-        queues.setdefault(way.queue, QueueLosses(way.queue)).add(way)
+    for trace in traces:
+        queues.setdefault(trace.queue, QueueLosses(trace.queue)).add(trace)
     return sorted(queues.values(), key=lambda losses: -losses.jobs)
 
 
 def format_losses(losses: list[QueueLosses]) -> list[str]:
     """Write a table: a line for each queue, and below it one for each reason."""
-    told = [f"{'queue':<24} {'jobs':>6} {'in time':>8} {'late':>6} {'failed':>7} {'unended':>8}"]
+    rows = [f"{'queue':<24} {'jobs':>6} {'in time':>8} {'late':>6} {'failed':>7} {'unended':>8}"]
     for queue in losses:
-        told.append(
+        rows.append(
             f"{queue.queue:<24} {queue.jobs:>6} {queue.in_time:>8} {queue.late:>6}"
-            f" {queue.failed:>7} {queue.unended:>8}"
+            f" {queue.failed:>7} {queue.unfinished:>8}"
         )
-        for reason in sorted(queue.spent, key=lambda reason: -queue.spent[reason]):
-            told.append(
-                f"    {reason:<20} {queue.reasons[reason]:>6} jobs mainly,"
-                f" {queue.spent[reason]:8.1f} s of all lost jobs"
+        for reason in sorted(queue.lost_seconds, key=lambda reason: -queue.lost_seconds[reason]):
+            rows.append(
+                f"    {reason:<20} {queue.main_reasons[reason]:>6} jobs mainly,"
+                f" {queue.lost_seconds[reason]:8.1f} s of all lost jobs"
             )
-        for reason in (_USED_UP, _GIVEN_UP):
-            if queue.reasons[reason]:
-                told.append(f"    {reason:<20} {queue.reasons[reason]:>6} jobs")
-    return told
+        for reason in (_ATTEMPTS_USED_UP, _WORKERS_CRASHED):
+            if queue.main_reasons[reason]:
+                rows.append(f"    {reason:<20} {queue.main_reasons[reason]:>6} jobs")
+    return rows
--- a/src/snowdock/cli/tables.py
+++ b/src/snowdock/cli/tables.py
@@ -3,12 +3,12 @@
 import msgspec
 from cleo.commands.command import Command
 
-__all__ = ["show"]
+__all__ = ["print_table"]
 
-_LEFT_OUT = ("tasks",)
+_HIDDEN_FIELDS = ("tasks",)
 
 
-def _text(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, dict):
         return " ".join(f"{key}={count}" for key, count in value.items())
     if isinstance(value, msgspec.Struct):
@@ -16,13 +16,13 @@
     return str(value)
 
 
-def show(command: Command, rows: list) -> None:
+def print_table(command: Command, rows: list) -> None:
     """Print models of one kind as a table, a column for each field."""
     if not rows:
         command.line("none")
         return
-    names = [f.name for f in msgspec.structs.fields(rows[0]) if f.name not in _LEFT_OUT]
-    lines = [names] + [[_text(getattr(row, name)) for name in names] for row in rows]
+    names = [f.name for f in msgspec.structs.fields(rows[0]) if f.name not in _HIDDEN_FIELDS]
+    lines = [names] + [[_format_cell(getattr(row, name)) for name in names] for row in rows]
     widths = [max(len(line[column]) for line in lines) for column in range(len(names))]
     for line in lines:
         cells = (cell.ljust(width) for cell, width in zip(line, widths, strict=True))
--- a/src/snowdock/clocks.py
+++ b/src/snowdock/clocks.py
@@ -6,7 +6,7 @@
 
 # The usual monotonic clock stands still while a VM is suspended: what a node believed before would
 # be as fresh after it. Only Linux has the other one.
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def steady_seconds() -> float:
@@ -17,4 +17,4 @@
     float
         Seconds since some moment before the process began.
     """
-    return time.clock_gettime(_CLOCK)
+    return time.clock_gettime(_CLOCK_ID)
--- a/src/snowdock/decisions/capacity_index.py
+++ b/src/snowdock/decisions/capacity_index.py
@@ -6,7 +6,7 @@
 
 from sortedcontainers import SortedKeyList
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from ..state import VmState, Worker
 
 __all__ = ["CapacityIndex"]
@@ -59,13 +59,13 @@
 
     def reserve(self, name: str, size: Size) -> None:
         """Count capacity on a worker as used until `release`."""
-        self._reserved[name] = self._reserved.get(name, ZERO).plus(size)
+        self._reserved[name] = self._reserved.get(name, ZERO_SIZE).plus(size)
         self._refresh(name)
 
     def release(self, name: str, size: Size) -> None:
         """Undo a `reserve` of the same size on the same worker."""
         left = self._reserved[name].minus(size)
-        if left == ZERO:
+        if left == ZERO_SIZE:
             del self._reserved[name]
         else:
             self._reserved[name] = left
@@ -76,7 +76,7 @@
         if entry is not None:
             self._buckets[entry[0]].remove((entry[1], name))
         worker = self._workers[name]
-        free = worker.free.minus(self._reserved.get(name, ZERO))
+        free = worker.free.minus(self._reserved.get(name, ZERO_SIZE))
         self._free[name] = free
         if worker.state != VmState.LIVE or free.cpu <= 0 or free.memory <= 0:
             return
--- a/src/snowdock/decisions/orders.py
+++ b/src/snowdock/decisions/orders.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 
 from ..leases import ORDER_VALID_MS
-from ..platform.workers import AttemptReport, StartOrder, StopOrder, SyncOrder
+from ..platform.worker_client import AttemptReport, StartOrder, StopOrder, SyncOrder
 from ..state import State, TaskState, VmState, Work, find_attempt_by_id, parse_attempt_id
 
 __all__ = ["WorkerOrder", "build_order"]
--- a/src/snowdock/decisions/placements.py
+++ b/src/snowdock/decisions/placements.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from ..declarations import ZERO, Size, WorkSpec
+from ..declarations import ZERO_SIZE, Size, WorkSpec
 from ..policies import PolicySet
 from ..records import Placement, TasksPlaced
 from ..state import State, Work
@@ -77,7 +77,7 @@
     team = state.configuration.declarations.teams.get(work.spec.team)
     if team is None:
         return 0
-    left = team.quota.minus(state.team_usage.get(work.spec.team, ZERO)).minus(reserved)
+    left = team.quota.minus(state.team_usage.get(work.spec.team, ZERO_SIZE)).minus(reserved)
     size = work.spec.size
     counts = [wanted]
     for have, need in (
--- a/src/snowdock/decisions/preemption.py
+++ b/src/snowdock/decisions/preemption.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Iterator
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from ..policies import PolicySet
 from ..records import StopRequested
 from ..state import State, VmState, Work, Worker, parse_attempt_id
@@ -21,7 +21,7 @@
     """The attempts to end on one worker so that a task fits, and the size they free."""
 
     stops: list[StopRequested] = dataclasses.field(default_factory=list)
-    freed: Size = ZERO
+    freed: Size = ZERO_SIZE
 
 
 def choose_preemptions(
@@ -80,7 +80,7 @@
 
 
 def _stopping_size(worker: Worker, state: State) -> Size:
-    total = ZERO
+    total = ZERO_SIZE
     for name, size in worker.attempts.items():
         number, task, _ = parse_attempt_id(name)
         if state.works[number].tasks[task].stopping:
--- a/src/snowdock/decisions/worker_reports.py
+++ b/src/snowdock/decisions/worker_reports.py
@@ -1,7 +1,7 @@
 """Records derived from a worker's answer to a sync order."""
 
 from ..declarations import Size
-from ..platform.workers import SyncAnswer
+from ..platform.worker_client import SyncReport
 from ..records import AttemptEnded, AttemptStarted, Record, WorkerSeen
 from ..state import State, TaskState, find_attempt_by_id
 
@@ -10,7 +10,7 @@
 _RUNNING = "running"
 
 
-def derive_records(state: State, name: str, answer: SyncAnswer) -> list[Record]:
+def derive_records(state: State, name: str, answer: SyncReport) -> list[Record]:
     """Derive the records to propose from a worker's answer.
 
     Parameters
--- a/src/snowdock/declarations.py
+++ b/src/snowdock/declarations.py
@@ -15,8 +15,8 @@
 from .programs import builtin_programs
 
 __all__ = [
-    "KINDS",
-    "ZERO",
+    "WORK_KINDS",
+    "ZERO_SIZE",
     "Declarations",
     "Endpoint",
     "Limits",
@@ -27,12 +27,12 @@
     "WorkSpec",
     "check_references",
     "check_section",
+    "make_service_spec",
     "parse_declarations",
     "parse_work",
-    "service_spec",
 ]
 
-KINDS = ("service", "batch", "gang")
+WORK_KINDS = ("service", "batch", "gang")
 """Kinds of work; each has a policy."""
 
 _MAX_TASKS = 10_000
@@ -68,7 +68,7 @@
             self.accelerators - other.accelerators,
         )
 
-    def at_least(self, other: "Size") -> "Size":
+    def elementwise_max(self, other: "Size") -> "Size":
         """Give the larger of both, of each kind of room."""
         return Size(
             max(self.cpu, other.cpu),
@@ -95,7 +95,7 @@
         )
 
 
-ZERO = Size(0, 0, 0)
+ZERO_SIZE = Size(0, 0, 0)
 
 
 class WorkSpec(msgspec.Struct, array_like=True, frozen=True):
@@ -123,7 +123,7 @@
     @property
     def quota(self) -> Size:
         """The quota as a size."""
-        return _size(self.cpu, self.memory_gb, self.accelerators)
+        return _make_size(self.cpu, self.memory_gb, self.accelerators)
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -181,7 +181,7 @@
     programs: dict[str, str] = {}
 
 
-class _Job(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _WorkSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A batch or gang section of a work file."""
 
     team: Name
@@ -196,40 +196,40 @@
     preemptible: bool = True
 
 
-def _size(cpu: float, memory_gb: float, accelerators: int) -> Size:
+def _make_size(cpu: float, memory_gb: float, accelerators: int) -> Size:
     return Size(round(cpu * 1000), round(memory_gb * 1024), accelerators)
 
 
-def service_spec(name: str, service: Service) -> WorkSpec:
+def make_service_spec(name: str, service: Service) -> WorkSpec:
     """Turn a declared service into the work that it asks for."""
     return WorkSpec(
         kind="service",
         name=name,
         team=service.team,
         tasks=service.tasks,
-        size=_size(service.cpu, service.memory_gb, service.accelerators),
+        size=_make_size(service.cpu, service.memory_gb, service.accelerators),
         priority=service.priority,
         preemptible=service.droppable,
     )
 
 
-def _job_spec(kind: str, name: str, job: _Job) -> WorkSpec:
+def _make_work_spec(kind: str, name: str, section: _WorkSection) -> WorkSpec:
     return WorkSpec(
         kind=kind,
         name=name,
-        team=job.team,
-        tasks=job.tasks,
-        size=_size(job.cpu, job.memory_gb, job.accelerators),
-        run_ms=round(job.run_seconds * 1000),
-        priority=job.priority,
-        retries=job.retries,
-        urgent=job.urgent,
-        preemptible=job.preemptible,
+        team=section.team,
+        tasks=section.tasks,
+        size=_make_size(section.cpu, section.memory_gb, section.accelerators),
+        run_ms=round(section.run_seconds * 1000),
+        priority=section.priority,
+        retries=section.retries,
+        urgent=section.urgent,
+        preemptible=section.preemptible,
     )
 
 
 def check_section(
-    model: type, values: Mapping[str, str], error: Callable[[str, str], Exception]
+    model: type, values: Mapping[str, str], make_error: Callable[[str, str], Exception]
 ) -> tuple[object | None, list[Exception]]:
     """Check a section's values against a model, field by field.
 
@@ -248,22 +248,22 @@
         The model, or None where anything was wrong, and every failure found.
     """
     fields = {field.name: field for field in msgspec.structs.fields(model)}
-    errors = [error(key, "unknown key") for key in values if key not in fields]
+    errors = [make_error(key, "unknown key") for key in values if key not in fields]
     converted = {}
     for name, field in fields.items():
         if name not in values:
             if field.required:
-                errors.append(error(name, "missing"))
+                errors.append(make_error(name, "missing"))
             continue
         try:
             converted[name] = _convert(values[name], field.type)
         except msgspec.ValidationError as problem:
-            errors.append(error(name, f"{problem} (given: {values[name][:60]!r})"))
+            errors.append(make_error(name, f"{problem} (given: {values[name][:60]!r})"))
     return (None if errors else model(**converted)), errors
 
 
-def _convert(text: str, kind: type) -> object:
-    value = msgspec.convert(text, kind, strict=False)
+def _convert(text: str, field_type: type) -> object:
+    value = msgspec.convert(text, field_type, strict=False)
     # Python's float() takes "nan", which passes no comparison and so no bound.
     if isinstance(value, float) and value != value:
         raise msgspec.ValidationError("Expected a number")
@@ -287,7 +287,7 @@
 }
 
 
-def _split(section: str) -> tuple[str, str]:
+def _split_section_title(section: str) -> tuple[str, str]:
     kind, _, name = section.partition(" ")
     return kind, name.strip()
 
@@ -319,37 +319,37 @@
         With one `DeclarationError` for each mistake.
     """
     errors: list[Exception] = []
-    found: dict[str, dict[str, object]] = {kind: {} for kind in _SECTION_MODELS}
+    models_by_kind: dict[str, dict[str, object]] = {kind: {} for kind in _SECTION_MODELS}
     limits = Limits()
     for file, text in sorted(files.items()):
         if not file.endswith(".ini"):
             continue
         parser = _read_ini(file, text, errors)
         for section in parser.sections():
-            kind, name = _split(section)
+            kind, name = _split_section_title(section)
             model = Limits if section == "limits" else _SECTION_MODELS.get(kind)
             if model is None:
                 errors.append(DeclarationError(file, section, "", "unknown kind of section"))
                 continue
-            made, problems = check_section(
+            parsed, problems = check_section(
                 model,
                 parser[section],
                 lambda key, problem, f=file, s=section: DeclarationError(f, s, key, problem),
             )
             errors.extend(problems)
             if model is Limits:
-                limits = made or limits
+                limits = parsed or limits
                 continue
             _check_name(file, section, name, errors)
-            if name in found[kind]:
+            if name in models_by_kind[kind]:
                 errors.append(DeclarationError(file, section, "", "declared twice"))
-            if made is not None:
-                found[kind][name] = made
+            if parsed is not None:
+                models_by_kind[kind][name] = parsed
     declarations = Declarations(
-        teams=found["team"],
-        policies=found["policy"],
-        endpoints=found["endpoint"],
-        services=found["service"],
+        teams=models_by_kind["team"],
+        policies=models_by_kind["policy"],
+        endpoints=models_by_kind["endpoint"],
+        services=models_by_kind["service"],
         limits=limits,
         programs={name: text for name, text in files.items() if name.endswith(".star")},
     )
@@ -377,17 +377,21 @@
     errors: list[Exception] = []
     for kind, policy in declarations.policies.items():
         section = f"policy {kind}"
-        if kind not in KINDS:
-            errors.append(_reference(section, "", f"unknown kind of work; known: {KINDS}"))
+        if kind not in WORK_KINDS:
+            errors.append(
+                _make_reference_error(section, "", f"unknown kind of work; known: {WORK_KINDS}")
+            )
         if policy.program not in {**builtin_programs(), **declarations.programs}:
-            errors.append(_reference(section, "program", f"no file {policy.program}"))
+            errors.append(_make_reference_error(section, "program", f"no file {policy.program}"))
     for name, service in declarations.services.items():
         if service.team not in declarations.teams:
-            errors.append(_reference(f"service {name}", "team", f"unknown team {service.team}"))
+            errors.append(
+                _make_reference_error(f"service {name}", "team", f"unknown team {service.team}")
+            )
     return errors
 
 
-def _reference(section: str, key: str, problem: str) -> DeclarationError:
+def _make_reference_error(section: str, key: str, problem: str) -> DeclarationError:
     return DeclarationError("declarations", section, key, problem)
 
 
@@ -415,19 +419,19 @@
     specs = []
     parser = _read_ini(file, text, errors)
     for section in parser.sections():
-        kind, name = _split(section)
+        kind, name = _split_section_title(section)
         if kind not in ("batch", "gang"):
             errors.append(DeclarationError(file, section, "", "expected batch or gang"))
             continue
         _check_name(file, section, name, errors)
-        made, problems = check_section(
-            _Job,
+        parsed, problems = check_section(
+            _WorkSection,
             parser[section],
             lambda key, problem, s=section: DeclarationError(file, s, key, problem),
         )
         errors.extend(problems)
-        if made is not None:
-            specs.append(_job_spec(kind, name, made))
+        if parsed is not None:
+            specs.append(_make_work_spec(kind, name, parsed))
     if not specs and not errors:
         errors.append(DeclarationError(file, "", "", "no work in this file"))
     if errors:
--- a/src/snowdock/emulator/emulator.py
+++ b/src/snowdock/emulator/emulator.py
@@ -35,15 +35,15 @@
 from ..jobs.reducer import reduce
 from ..jobs.takeover import RecordedJobs, restore
 from ..jobs.timeouts import RETENTION_FACTOR, TICK_SECONDS, lease_expiry_after_claim_seconds
-from ..teams import Team, TeamBook
-from .checks import Checks
+from ..teams import Team, TeamRegistry
+from .checks import InvariantChecker
 from .fleet import Fleet
 from .options import EmulatorOptions, Faults
-from .starvation import Starvation
+from .starvation import StarvationChecker
 from .timeline import Timeline
 from .worker_calls import Post, WorkerCalls, draw_delay
 from .worker_model import RunPlan, WorkerModel
-from .workload import DrawnJob, configuration_for
+from .workload import DrawnJob, make_configuration
 
 __all__ = ["Emulator"]
 
@@ -94,54 +94,59 @@
 
     def __init__(self, seed: int, options: EmulatorOptions, jobs: list[DrawnJob]) -> None:
         self.timeline = Timeline()
-        self.checks = Checks(_QUOTA_OVERAGE)
+        self.checks = InvariantChecker(_QUOTA_OVERAGE)
         self.faults = Faults()
         self.statuses: dict[str, JobStatus] = {}
         self.finished_at: dict[str, float] = {}
         self._seed = seed
         self._random = random.Random(seed)
         self._options = options
-        self._configuration = configuration_for(options.workload)
+        self._configuration = make_configuration(options.workload)
         self.checks.quotas.configure(options.workload.teams, 0.0)
         self._jobs = {job.job: job for job in jobs}
-        self.checks.crashing = {job.crashing for job in jobs if job.crashing is not None}
+        self.checks.crashing_tasks = {job.crashing for job in jobs if job.crashing is not None}
         self._accepted: dict[str, AcceptedJob] = {}
         self._cancelled: set[str] = set()
         self._progress: dict[str, JobProgress] = {}
         self._epoch = 0
-        self._rules: dict[tuple[str, int, str], bool] = {}
+        self._advice: dict[tuple[str, int, str], bool] = {}
         self._leaders: list[_Leader] = []
-        self.starvation = Starvation(self.checks, self._may_run)
+        self.starvation = StarvationChecker(self.checks, self._may_run)
         self.fleet = Fleet(
             self._random,
             options,
             self.timeline,
             self.checks,
-            self._work,
-            self._tell_all,
+            self._plan_run,
+            self._post_to_all,
             self.starvation.excuse,
         )
         calls = WorkerCalls(
-            self.timeline, self._random, self.faults, self.workers, options.call_s, self._step
+            self.timeline,
+            self._random,
+            self.faults,
+            self.workers,
+            options.typical_call_s,
+            self._find_step,
         )
         self._handlers: dict[type, Callable] = {
             Persist: self._persist,
-            SendStart: lambda leader, effect: calls.send_start(self._poster(leader), effect),
-            SendStop: lambda leader, effect: calls.send_stop(self._poster(leader), effect),
-            SendRenewal: lambda leader, effect: calls.send_renew(self._poster(leader), effect),
+            SendStart: lambda leader, effect: calls.send_start(self._make_post(leader), effect),
+            SendStop: lambda leader, effect: calls.send_stop(self._make_post(leader), effect),
+            SendRenewal: lambda leader, effect: calls.send_renewal(self._make_post(leader), effect),
             AskAdvice: self._ask_advice,
             PublishStatus: self._publish,
-            StepDown: lambda leader, _: self._retire(leader),
+            StepDown: lambda leader, _: self._end_leadership(leader),
             LogDecision: _ignore,
             OpenWorker: _ignore,
             CloseWorker: _ignore,
             DropJobs: _ignore,
             ForgetAccepted: self._forget_accepted,
         }
-        self._watch_starvation()
+        self._check_starvation()
         for job in jobs:
-            self.timeline.after(job.at, lambda job=job: self._submit(job))
-        self.elect()
+            self.timeline.call_after(job.at, lambda job=job: self._submit(job))
+        self.elect_leader()
 
     @property
     def workers(self) -> dict[str, WorkerModel]:
@@ -154,9 +159,9 @@
         """Let virtual time pass until a moment."""
         self.timeline.run_until(end)
 
-    def listen(self, kind: type, hear: Callable[[object], None]) -> None:
+    def set_effect_handler(self, kind: type, handler: Callable[[object], None]) -> None:
         """Hear of all effects of a kind that is not carried out here, such as decisions told."""
-        self._handlers[kind] = lambda _, effect: hear(effect)
+        self._handlers[kind] = lambda _, effect: handler(effect)
 
     @property
     def leader_cell(self) -> Cell:
@@ -167,29 +172,29 @@
         """Cancel a job."""
         name = record_name(job, self._jobs[job].team)
         self._cancelled.add(name)
-        self.checks.cancelled(job, self.timeline.now)
-        self._tell_all(JobCancelled(name))
+        self.checks.record_cancellation(job, self.timeline.now)
+        self._post_to_all(JobCancelled(name))
 
     def change_teams(self, teams: tuple[Team, ...]) -> None:
         """Put a configuration with other teams, or other quotas, in force."""
         version = self._configuration.version + 1
         self._configuration = msgspec.structs.replace(
-            self._configuration, version=version, teams=TeamBook(teams)
+            self._configuration, version=version, teams=TeamRegistry(teams)
         )
         self.checks.quotas.configure(teams, self.timeline.now)
-        self._tell_all(ConfigurationChanged(self._configuration))
+        self._post_to_all(ConfigurationChanged(self._configuration))
 
     def kill_leader(self, pause: float) -> None:
         """Kill the leader; another one is elected after a pause."""
         for leader in self._leaders:
             leader.is_alive = False
-        self.timeline.after(pause, self.elect)
+        self.timeline.call_after(pause, self.elect_leader)
 
     def depose_leader(self) -> None:
         """Elect another leader while the old one does not know of it and goes on."""
-        self.elect()
+        self.elect_leader()
 
-    def elect(self) -> None:
+    def elect_leader(self) -> None:
         """Start a leader from what is on record."""
         self._epoch += 1
         now = self.timeline.now
@@ -197,9 +202,9 @@
         settings = CellSettings(
             lease_s=options.lease_s,
             unreached_run_expiry_s=lease_expiry_after_claim_seconds(options.lease_s),
-            gang_wait_s=options.terms.gang_wait_s,
+            gang_wait_s=options.timings.gang_wait_s,
             early_s=0.25,
-            stop_s=options.terms.stop_s,
+            stop_s=options.timings.stop_s,
             retention_s=RETENTION_FACTOR * _STATUS_SECONDS,
             quota_overage=_QUOTA_OVERAGE,
         )
@@ -213,13 +218,13 @@
         for effect in restore(cell, recorded, now, now * 1000):
             self._handlers[type(effect)](leader, effect)
         self._leaders.append(leader)
-        for entry in self.fleet.entries():
+        for entry in self.fleet.list_entries():
             self._post(leader, WorkerListed(entry))
         self._tick(leader)
 
     # -- the leader ------------------------------------------------------------------------
 
-    def _tell_all(self, event: Event) -> None:
+    def _post_to_all(self, event: Event) -> None:
         for leader in self._leaders:
             self._post(leader, event)
 
@@ -230,20 +235,20 @@
         for effect in reduce(leader.cell, event, now, now * 1000):
             self._handlers[type(effect)](leader, effect)
 
-    def _poster(self, leader: _Leader) -> Post:
+    def _make_post(self, leader: _Leader) -> Post:
         return lambda event: self._post(leader, event)
 
     def _tick(self, leader: _Leader) -> None:
         if leader.is_alive:
-            self._post(leader, Ticked(self._options.askers))
-            self.timeline.after(TICK_SECONDS, lambda: self._tick(leader))
+            self._post(leader, Ticked(self._options.advice_node_count))
+            self.timeline.call_after(TICK_SECONDS, lambda: self._tick(leader))
 
-    def _retire(self, leader: _Leader) -> None:
+    def _end_leadership(self, leader: _Leader) -> None:
         leader.is_alive = False
 
     def _submit(self, job: DrawnJob) -> None:
-        if self.faults.store_down:
-            self.timeline.after(0.5, lambda: self._submit(job))
+        if self.faults.is_store_down:
+            self.timeline.call_after(0.5, lambda: self._submit(job))
             return
         queue = job.mix.queue
         accepted = AcceptedJob(
@@ -255,74 +260,76 @@
             job.team,
         )
         self._accepted[job.job] = accepted
-        self.checks.quotas.submitted(job.job, job.team)
-        self.checks.submitted(job.job, job.spec, queue.max_attempts)
-        self.timeline.after(
-            self._delay(self._options.store_s),
-            lambda: self._tell_all(JobAccepted(job.job, accepted)),
+        self.checks.quotas.record_submission(job.job, job.team)
+        self.checks.record_submission(job.job, job.spec, queue.max_attempts)
+        self.timeline.call_after(
+            self._draw_delay(self._options.typical_append_s),
+            lambda: self._post_to_all(JobAccepted(job.job, accepted)),
         )
 
-    def _work(self, task: TaskId, run: int) -> RunPlan:
+    def _plan_run(self, task: TaskId, run: int) -> RunPlan:
         job = self._jobs[task.job]
-        source = random.Random(f"{task.job}/{task.step}/{task.index}/{run}")
-        fails = job.is_hopeless or source.random() < job.mix.failing_share
+        rng = random.Random(f"{task.job}/{task.step}/{task.index}/{run}")
+        fails = job.is_hopeless or rng.random() < job.mix.failing_share
         return RunPlan(job.work_s[task.step][task.index], fails, task == job.crashing)
 
-    def _watch_starvation(self) -> None:
+    def _check_starvation(self) -> None:
         """Look for jobs that run nothing, while nothing excuses it."""
-        if self.faults.store_down or self.faults.cut or not self._leaders[-1:]:
-            self.starvation.disturb()
+        if self.faults.is_store_down or self.faults.unreachable_lives or not self._leaders[-1:]:
+            self.starvation.reset()
         else:
             shown = self.statuses.items()
             open_jobs = [job for job, status in shown if not status.is_final]
-            self.starvation.look(self.workers.values(), open_jobs, self.timeline.now)
-        self.timeline.after(TICK_SECONDS, self._watch_starvation)
+            self.starvation.check(self.workers.values(), open_jobs, self.timeline.now)
+        self.timeline.call_after(TICK_SECONDS, self._check_starvation)
 
     # -- effects ---------------------------------------------------------------------------
 
-    def _delay(self, mean: float) -> float:
+    def _draw_delay(self, mean: float) -> float:
         return draw_delay(self._random, mean)
 
     def _persist(self, leader: _Leader, effect: Persist) -> None:
-        self.timeline.after(self._delay(self._options.store_s), lambda: self._store(leader, effect))
+        self.timeline.call_after(
+            self._draw_delay(self._options.typical_append_s), lambda: self._append(leader, effect)
+        )
 
-    def _store(self, leader: _Leader, effect: Persist) -> None:
+    def _append(self, leader: _Leader, effect: Persist) -> None:
         if not leader.is_alive:
             return
-        if self.faults.store_down:
-            self.timeline.after(0.1, lambda: self._store(leader, effect))
+        if self.faults.is_store_down:
+            self.timeline.call_after(0.1, lambda: self._append(leader, effect))
             return
         if leader.cell.token < self._epoch:
-            self._retire(leader)
+            self._end_leadership(leader)
             return
         for record in effect.records:
             self._progress[record.job] = decode_progress(record.data)
-        self.timeline.after(
-            self._options.call_s, lambda: self._post(leader, Persisted(effect.number))
+        self.timeline.call_after(
+            self._options.typical_call_s, lambda: self._post(leader, Persisted(effect.number))
         )
 
-    def _step(self, order: StartOrder) -> StepSpec:
+    def _find_step(self, order: StartOrder) -> StepSpec:
         return self._jobs[order.task.job].spec.steps[order.task.step]
 
     def _ask_advice(self, leader: _Leader, effect: AskAdvice) -> None:
-        wanted = effect.request
+        request = effect.request
         tickets = {
             life: f"t-{life}"
-            for life in wanted.workers
-            if self._may_run(wanted.job, wanted.step, life)
+            for life in request.workers
+            if self._may_run(request.job, request.step, life)
         }
-        self.timeline.after(
-            effect.expected_ms / 1000 + self._delay(self._options.call_s),
-            lambda: self._post(leader, AdviceAnswered(AdviceResult(wanted, tickets))),
+        self.timeline.call_after(
+            effect.expected_ms / 1000 + self._draw_delay(self._options.typical_call_s),
+            lambda: self._post(leader, AdviceAnswered(AdviceResult(request, tickets))),
         )
 
     def _may_run(self, job: str, step: int, life: str) -> bool:
         key = (job, step, life)
-        if key not in self._rules:
+        if key not in self._advice:
             # Drawn by itself: who looks at it, and when, changes nothing else of a day.
             drawn = random.Random(f"{self._seed}/{job}/{step}/{life}").random()
-            self._rules[key] = drawn < self._jobs[job].mix.fit_share
-        return self._rules[key]
+            self._advice[key] = drawn < self._jobs[job].mix.fit_share
+        return self._advice[key]
 
     def _forget_accepted(self, _: _Leader, effect: ForgetAccepted) -> None:
         for name in effect.names:
@@ -334,7 +341,7 @@
         self.statuses[effect.job] = effect.status
         if effect.status.is_final:
             self.finished_at.setdefault(effect.job, now)
-            self.checks.shown(effect.job, effect.status is JobStatus.COMPLETED, now)
+            self.checks.check_status(effect.job, effect.status is JobStatus.COMPLETED, now)
 
 
 def _ignore(*_: object) -> None:
--- a/src/snowdock/emulator/fleet.py
+++ b/src/snowdock/emulator/fleet.py
@@ -9,32 +9,32 @@
 from ..jobs.lives import format_life, worker_id_of
 from ..jobs.model import TaskId
 from ..jobs.workers import WorkerEntry
-from .checks import Checks
+from .checks import InvariantChecker
 from .options import EmulatorOptions
 from .timeline import Timeline
-from .worker_model import Gangs, Work, WorkerModel
+from .worker_model import GangRegistry, PlanRun, WorkerModel
 
 __all__ = ["Fleet"]
 
-_RETURN_SECONDS = 3.5
+_REPLACEMENT_SECONDS = 3.5
 """After how long another life stands where a task has ended a worker."""
 
-_CRASH_KNOWN_SECONDS = 5.0
+_CRASH_DETECTION_SECONDS = 5.0
 """Within so long a leader may take a crashed worker's runs as over: another life answers, or the
 leases are over by the worker's own clock."""
 
-_ENTRY_GOES_SECONDS = 4.5
+_ENTRY_EXPIRY_SECONDS = 4.5
 """How long after its end a crashed worker's entry goes: three heartbeats of silence."""
 
-_BEGAN_MS = 1_700_000_000_000
+_START_TIME_MS = 1_700_000_000_000
 """The time of day at the emulator's start, in ms since 1970."""
 
-_LATEST_CLOCK_SECONDS = 3000.0
+_MAX_INITIAL_CLOCK_SECONDS = 3000.0
 """The latest that the clock of a worker's next life tells at its start: it may be below or above
 that of the life before."""
 
 _HEARTBEAT_SECONDS = 1.5
-_SHRUNK_COUNTS_SECONDS = 4.5
+_CAPACITY_CHANGE_SECONDS = 4.5
 """How often workers' entries are written, and how much later than a change of room starts beyond
 it count: three seconds and one heartbeat."""
 
@@ -67,71 +67,71 @@
 
     def __init__(
         self,
-        source: random.Random,
+        rng: random.Random,
         options: EmulatorOptions,
         timeline: Timeline,
-        checks: Checks,
-        work: Work,
-        tell: Callable[[Event], None],
+        checks: InvariantChecker,
+        plan_run: PlanRun,
+        post: Callable[[Event], None],
         excuse: Callable[[list[TaskId], float], None],
     ) -> None:
         self.workers: dict[str, WorkerModel] = {}
-        self._random = source
+        self._random = rng
         self._options = options
         self._timeline = timeline
         self._checks = checks
-        self._work = work
-        self._tell = tell
+        self._plan_run = plan_run
+        self._post = post
         self._excuse = excuse
-        self._gangs = Gangs()
-        self._lives = 0
-        self._lingering: set[str] = set()
-        self._untold: set[str] = set()
+        self._gangs = GangRegistry()
+        self._life_count = 0
+        self._listed_after_end: set[str] = set()
+        self._unlisted: set[str] = set()
         for number in range(options.workers):
             self.add(number)
 
-    def entries(self) -> list[WorkerEntry]:
+    def list_entries(self) -> list[WorkerEntry]:
         """Give the entries that a leader finds when it begins."""
-        lingering = self._lingering if self._options.entries_linger else ()
+        listed_after_end = self._listed_after_end if self._options.lists_crashed_workers else ()
         return [
             model.entry
             for life, model in self.workers.items()
-            if (model.is_up and life not in self._untold) or life in lingering
+            if (model.is_up and life not in self._unlisted) or life in listed_after_end
         ]
 
     def add(self, rack: int, address: str = "") -> str:
         """Add a worker, at an address of its own unless one is given; give its life."""
-        self._lives += 1
+        self._life_count += 1
         entry = WorkerEntry(
-            life=format_life(f"w-{self._lives}", self._born_ms()),
+            life=format_life(f"w-{self._life_count}", self._born_ms()),
             service="pool",
-            address=address or f"address-{self._lives}",
+            address=address or f"address-{self._life_count}",
             hall="",
             rack=f"r1-{rack % self._options.racks}",
             labels=frozenset(),
             capacity=self._options.capacity,
         )
         self._begin_life(entry, self._random.choice((1.0, 1.0, 1.3)))
-        self._tell(WorkerListed(entry))
+        self._post(WorkerListed(entry))
         return entry.life
 
     def _begin_life(self, entry: WorkerEntry, slowness: float, **terms: float) -> None:
         self.workers[entry.life] = WorkerModel(
             entry,
             self._timeline,
-            self._options.terms,
+            self._options.timings,
             self._gangs,
             self._checks,
-            self._work,
+            self._plan_run,
             slowness,
-            lambda life: self.crash(life, _RETURN_SECONDS),
+            lambda life: self.crash(life, _REPLACEMENT_SECONDS),
             **terms,
         )
 
     def _born_ms(self) -> int:
-        return round(self._timeline.now * 1000) + _BEGAN_MS
+        return round(self._timeline.now * 1000) + _START_TIME_MS
 
-    def crash(self, life: str, returns_after: float | None = None) -> None:
+    def crash(self, life: str, return_delay_s: float | None = None) -> None:
         """End a worker's life; its entry goes a few seconds later.
 
         Parameters
@@ -145,27 +145,27 @@
         if not model.is_up:
             return
         self._end_life(model)
-        if returns_after is not None:
-            self._timeline.after(returns_after, lambda: self._bring_back(model))
+        if return_delay_s is not None:
+            self._timeline.call_after(return_delay_s, lambda: self._add_replacement(model))
 
-    def restart(self, life: str, returns_after: float) -> None:
+    def restart(self, life: str, return_delay_s: float) -> None:
         """End a worker's life; the next one begins under its id some seconds later."""
         model = self.workers[life]
         if model.is_up:
             self._end_life(model)
-            self._timeline.after(returns_after, lambda: self._begin_next_life(model))
+            self._timeline.call_after(return_delay_s, lambda: self._begin_next_life(model))
 
     def _end_life(self, model: WorkerModel) -> None:
-        self._excuse(model.running, self._timeline.now + _CRASH_KNOWN_SECONDS)
+        self._excuse(model.running, self._timeline.now + _CRASH_DETECTION_SECONDS)
         model.crash()
-        self._lingering.add(model.entry.life)
-        self._timeline.after(_ENTRY_GOES_SECONDS, lambda: self._delist(model))
+        self._listed_after_end.add(model.entry.life)
+        self._timeline.call_after(_ENTRY_EXPIRY_SECONDS, lambda: self._delist(model))
 
     def _delist(self, model: WorkerModel) -> None:
         life = model.entry.life
         if worker_id_of(model.successor) != model.entry.worker:
-            self._lingering.discard(life)
-            self._tell(WorkerDelisted(life))
+            self._listed_after_end.discard(life)
+            self._post(WorkerDelisted(life))
 
     def _begin_next_life(self, model: WorkerModel) -> None:
         """Begin a worker's next life under its id: it knows nothing of before.
@@ -174,19 +174,21 @@
         """
         life = format_life(model.entry.worker, self._born_ms())
         model.successor = life
-        began = self._random.uniform(0.001, _LATEST_CLOCK_SECONDS)
+        initial_clock_s = self._random.uniform(0.001, _MAX_INITIAL_CLOCK_SECONDS)
         entry = dataclasses.replace(model.entry, life=life)
-        self._begin_life(entry, model.slowness, clock_began=began)
-        told_after = self._random.uniform(0.0, _HEARTBEAT_SECONDS)
-        self._untold.add(life)
-        self._timeline.after(told_after, lambda: self._tell_next_life(model, self.workers[life]))
+        self._begin_life(entry, model.slowness, clock_began=initial_clock_s)
+        listing_delay_s = self._random.uniform(0.0, _HEARTBEAT_SECONDS)
+        self._unlisted.add(life)
+        self._timeline.call_after(
+            listing_delay_s, lambda: self._list_next_life(model, self.workers[life])
+        )
 
-    def _tell_next_life(self, model: WorkerModel, next_life: WorkerModel) -> None:
-        self._lingering.discard(model.entry.life)
-        self._untold.discard(next_life.entry.life)
-        self._tell_entry(next_life)
+    def _list_next_life(self, model: WorkerModel, next_life: WorkerModel) -> None:
+        self._listed_after_end.discard(model.entry.life)
+        self._unlisted.discard(next_life.entry.life)
+        self._list_worker(next_life)
 
-    def _bring_back(self, model: WorkerModel) -> None:
+    def _add_replacement(self, model: WorkerModel) -> None:
         rack = int(model.entry.rack.rpartition("-")[2])
         model.successor = self.add(rack, model.entry.address)
 
@@ -194,23 +196,25 @@
         """Have a worker's room shrink or grow; its entry tells so within a heartbeat."""
         model = self.workers[life]
         model.entry = dataclasses.replace(model.entry, capacity=capacity)
-        model.counted_capacity = model.counted_capacity.at_least(capacity)
-        told_after = self._random.uniform(0.0, _HEARTBEAT_SECONDS)
-        self._timeline.after(told_after, lambda: self._tell_entry(model))
-        self._timeline.after(_SHRUNK_COUNTS_SECONDS, lambda: self._count_capacity(model, capacity))
+        model.enforced_capacity = model.enforced_capacity.elementwise_max(capacity)
+        listing_delay_s = self._random.uniform(0.0, _HEARTBEAT_SECONDS)
+        self._timeline.call_after(listing_delay_s, lambda: self._list_worker(model))
+        self._timeline.call_after(
+            _CAPACITY_CHANGE_SECONDS, lambda: self._enforce_capacity(model, capacity)
+        )
 
-    def _tell_entry(self, model: WorkerModel) -> None:
+    def _list_worker(self, model: WorkerModel) -> None:
         if model.is_up:
-            self._tell(WorkerListed(model.entry))
+            self._post(WorkerListed(model.entry))
 
     @staticmethod
-    def _count_capacity(model: WorkerModel, capacity: Size) -> None:
+    def _enforce_capacity(model: WorkerModel, capacity: Size) -> None:
         if model.entry.capacity == capacity:
-            model.counted_capacity = capacity
+            model.enforced_capacity = capacity
 
     def drain(self, life: str) -> None:
         """Have a worker state that it leaves, and leave some seconds later."""
         model = self.workers[life]
         model.entry = dataclasses.replace(model.entry, draining=True)
-        self._tell(WorkerListed(model.entry))
-        self._timeline.after(6.0, lambda: self.crash(life))
+        self._post(WorkerListed(model.entry))
+        self._timeline.call_after(6.0, lambda: self.crash(life))
--- a/src/snowdock/emulator/options.py
+++ b/src/snowdock/emulator/options.py
@@ -4,13 +4,13 @@
 
 from ..declarations import Size
 from ..jobs.timeouts import LEASE_SECONDS
-from .worker_model import WorkerTerms
+from .worker_model import WorkerTimings
 from .workload import WorkloadOptions
 
 __all__ = ["EmulatorOptions", "Faults"]
 
 _CAPACITY = Size(16_000, 65_536, 0)
-_TERMS = WorkerTerms()
+_TIMINGS = WorkerTimings()
 
 
 @dataclasses.dataclass(slots=True)
@@ -29,10 +29,10 @@
         Lives of workers that no leader reaches; they run on.
     """
 
-    lost_answers: float = 0.0
-    late_orders: float = 0.0
-    store_down: bool = False
-    cut: set[str] = dataclasses.field(default_factory=set)
+    lost_answer_share: float = 0.0
+    late_order_share: float = 0.0
+    is_store_down: bool = False
+    unreachable_lives: set[str] = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,9 +61,9 @@
     workers: int = 24
     capacity: Size = _CAPACITY
     racks: int = 4
-    call_s: float = 0.003
-    store_s: float = 0.009
-    askers: int = 6
-    terms: WorkerTerms = _TERMS
+    typical_call_s: float = 0.003
+    typical_append_s: float = 0.009
+    advice_node_count: int = 6
+    timings: WorkerTimings = _TIMINGS
     lease_s: float = LEASE_SECONDS
-    entries_linger: bool = False
+    lists_crashed_workers: bool = False
--- a/src/snowdock/emulator/quota_checks.py
+++ b/src/snowdock/emulator/quota_checks.py
@@ -3,30 +3,30 @@
 import dataclasses
 from collections.abc import Iterable
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from ..jobs.model import TaskId
 from ..teams import Team
 
-__all__ = ["QuotaChecks"]
+__all__ = ["QuotaChecker"]
 
-_IN_FORCE_SECONDS = 15.0
+_OLD_QUOTA_SECONDS = 15.0
 """A quota that was lowered still allows what was ordered before: an order may be carried out some
 seconds after it was sent."""
 
 
-_HALF = 0.5
+_SPARE_QUOTA_SHARE = 0.5
 """A team that has more than this part of its quota running may have jobs that wait."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Version:
+class _TeamsVersion:
     """The teams that came into force at a time."""
 
     at: float
     teams: dict[str, Team]
 
 
-class QuotaChecks:
+class QuotaChecker:
     """Counts what each team has running.
 
     Parameters
@@ -37,67 +37,69 @@
 
     def __init__(self, overage: float) -> None:
         self._overage = overage
-        self._versions: list[_Version] = []
+        self._versions: list[_TeamsVersion] = []
         self._teams: dict[str, str] = {}
         self._running: dict[tuple[TaskId, str], Size] = {}
         self._used: dict[str, Size] = {}
 
     def configure(self, teams: Iterable[Team], at: float) -> None:
         """Note the quotas in force from now on."""
-        self._versions.append(_Version(at, {team.name: team for team in teams}))
+        self._versions.append(_TeamsVersion(at, {team.name: team for team in teams}))
 
-    def submitted(self, job: str, team: str) -> None:
+    def record_submission(self, job: str, team: str) -> None:
         """Note whose job it is."""
         self._teams[job] = team
 
-    def started(self, task: TaskId, life: str, size: Size, at: float) -> str:
+    def check_start(self, task: TaskId, life: str, size: Size, at: float) -> str:
         """Count a start; tell what it breaks, or nothing."""
         team = self._teams.get(task.job, "")
-        before = self._used.get(team, ZERO)
+        before = self._used.get(team, ZERO_SIZE)
         if not team or (task, life) in self._running:
             return ""
         self._running[task, life] = size
         self._used[team] = before.plus(size)
-        most = self._most(team, at)
-        if most is None or most.holds(before):
+        limit = self._find_limit(team, at)
+        if limit is None or limit.holds(before):
             return ""
-        return f"{team} had {before} running of {most}"
+        return f"{team} had {before} running of {limit}"
 
-    def ended(self, task: TaskId, life: str) -> None:
+    def record_end(self, task: TaskId, life: str) -> None:
         """Count a run no more."""
         size = self._running.pop((task, life), None)
         if size is not None:
             team = self._teams[task.job]
             self._used[team] = self._used[team].minus(size)
 
-    def has_spare(self, job: str, need: Size) -> bool:
+    def has_spare_quota(self, job: str, need: Size) -> bool:
         """Whether a job's team has under half of its newest quota running, and the need fits."""
         team = self._versions[-1].teams.get(self._teams.get(job, "")) if self._versions else None
         if team is None:
             return True
-        used = self._used.get(team.name, ZERO)
-        return team.quota.scaled(_HALF).holds(used) and team.quota.holds(used.plus(need))
+        used = self._used.get(team.name, ZERO_SIZE)
+        return team.quota.scaled(_SPARE_QUOTA_SHARE).holds(used) and team.quota.holds(
+            used.plus(need)
+        )
 
-    def vanished(self, life: str) -> None:
+    def record_life_end(self, life: str) -> None:
         """Count nothing more of what ran in a worker's life."""
         for task, other in list(self._running):
             if other == life:
-                self.ended(task, life)
+                self.record_end(task, life)
 
-    def _most(self, name: str, at: float) -> Size | None:
+    def _find_limit(self, name: str, at: float) -> Size | None:
         """Give the most that a team may have had running before a start; None for no bound."""
-        most = None
+        limit = None
         for number, version in enumerate(self._versions):
             following = self._versions[number + 1 : number + 2]
-            if following and at - following[0].at > _IN_FORCE_SECONDS:
+            if following and at - following[0].at > _OLD_QUOTA_SECONDS:
                 continue
             team = version.teams.get(name)
             if team is None:
                 return None
-            most = team.quota if most is None else most.at_least(team.quota)
-        if most is None:
+            limit = team.quota if limit is None else limit.elementwise_max(team.quota)
+        if limit is None:
             return None
         factor = 1 + self._overage
         return Size(
-            *(int(amount * factor) for amount in (most.cpu, most.memory, most.accelerators))
+            *(int(amount * factor) for amount in (limit.cpu, limit.memory, limit.accelerators))
         )
--- a/src/snowdock/emulator/report.py
+++ b/src/snowdock/emulator/report.py
@@ -53,7 +53,7 @@
     return (queue.stretch * max(longest) * 1000 + queue.target_latency_ms) / 1000
 
 
-def _earned(emulator: Emulator, job: DrawnJob) -> float:
+def _compute_earned_share(emulator: Emulator, job: DrawnJob) -> float:
     finished = emulator.finished_at.get(job.job)
     status = emulator.statuses.get(job.job)
     wanted = JobStatus.FAILED if job.is_hopeless or job.crashing else JobStatus.COMPLETED
@@ -70,34 +70,34 @@
     """Reckon what an emulated day was worth."""
     queues = []
     teams: dict[str, list[float]] = collections.defaultdict(lambda: [0.0, 0.0])
-    earned_total = owed_total = 0.0
+    earned_total = possible_total = 0.0
     for name in sorted({job.mix.queue.name for job in jobs}):
-        of_queue = [job for job in jobs if job.mix.queue.name == name]
-        earned = [_earned(emulator, job) for job in of_queue]
+        queue_jobs = [job for job in jobs if job.mix.queue.name == name]
+        earned = [_compute_earned_share(emulator, job) for job in queue_jobs]
         times = [
             emulator.finished_at[job.job] - job.at
-            for job in of_queue
+            for job in queue_jobs
             if job.job in emulator.finished_at
         ]
         queues.append(
             QueueReport(
                 queue=name,
-                jobs=len(of_queue),
+                jobs=len(queue_jobs),
                 in_time=earned.count(1.0),
                 late=earned.count(_LATE_SHARE),
-                unfinished=len(of_queue) - len(times),
-                worth=sum(earned) / len(of_queue),
+                unfinished=len(queue_jobs) - len(times),
+                worth=sum(earned) / len(queue_jobs),
                 median_s=statistics.median(times) if times else 0.0,
             )
         )
         earned_total += sum(
-            share * job.mix.worth for share, job in zip(earned, of_queue, strict=True)
+            share * job.mix.worth for share, job in zip(earned, queue_jobs, strict=True)
         )
-        owed_total += sum(job.mix.worth for job in of_queue)
-        for share, job in zip(earned, of_queue, strict=True):
+        possible_total += sum(job.mix.worth for job in queue_jobs)
+        for share, job in zip(earned, queue_jobs, strict=True):
             teams[job.team][0] += share * job.mix.worth
             teams[job.team][1] += job.mix.worth
-    worth = earned_total / owed_total if owed_total else 0.0
+    worth = earned_total / possible_total if possible_total else 0.0
     shares = sorted(earned / owed for earned, owed in teams.values() if owed)
     worst = shares[: max(1, len(shares) // 10)]
     worst_teams = statistics.mean(worst) if worst else 0.0
--- a/src/snowdock/emulator/starvation.py
+++ b/src/snowdock/emulator/starvation.py
@@ -8,17 +8,17 @@
 import dataclasses
 from collections.abc import Callable, Iterable
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from ..jobs.model import JobSpec, StepSpec, TaskId
-from .checks import Checks
+from .checks import InvariantChecker
 from .worker_model import WorkerModel
 
-__all__ = ["ALLOWED_SECONDS", "Starvation", "Starved"]
+__all__ = ["ALLOWED_IDLE_SECONDS", "StarvationChecker", "StarvedJob"]
 
-ALLOWED_SECONDS = 3.0
+ALLOWED_IDLE_SECONDS = 3.0
 """How long users let a job run nothing beside free room."""
 
-_MOSTLY_FREE = 0.5
+_MAX_USED_SHARE = 0.5
 _SPARE_FACTOR = 2
 
 MayRun = Callable[[str, int, str], bool]
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Starved:
+class StarvedJob:
     """A job that ran nothing: from when, for how many seconds so far, and its step."""
 
     job: str
@@ -35,7 +35,7 @@
     seconds: float
 
 
-class Starvation:
+class StarvationChecker:
     """Looks at all jobs and workers from time to time.
 
     Parameters
@@ -51,8 +51,8 @@
         Jobs that starved, each with its longest time.
     """
 
-    def __init__(self, checks: Checks, may_run: MayRun = lambda *_: True) -> None:
-        self.found: dict[str, Starved] = {}
+    def __init__(self, checks: InvariantChecker, may_run: MayRun = lambda *_: True) -> None:
+        self.starved_jobs: dict[str, StarvedJob] = {}
         self._checks = checks
         self._may_run = may_run
         self._idle_since: dict[str, float] = {}
@@ -63,41 +63,41 @@
         for task in tasks:
             self._excused_until[task.job] = until
 
-    def disturb(self) -> None:
+    def reset(self) -> None:
         """Begin anew, since something went wrong that excuses waiting."""
         self._idle_since.clear()
 
-    def look(self, workers: Iterable[WorkerModel], open_jobs: Iterable[str], now: float) -> None:
+    def check(self, workers: Iterable[WorkerModel], open_jobs: Iterable[str], now: float) -> None:
         """Look at the jobs that are accepted and have not ended."""
-        up = [worker for worker in workers if worker.takes_work]
+        available = [worker for worker in workers if worker.accepts_runs]
         idle: dict[str, float] = {}
-        if _is_mostly_free(up):
-            busy = {task.job for worker in up for task in worker.running}
+        if _is_mostly_free(available):
+            busy = {task.job for worker in available for task in worker.running}
             for job in open_jobs:
                 is_excused = job in busy or self._excused_until.get(job, now) > now
-                step = None if is_excused else self._next_step(job, up)
+                step = None if is_excused else self._find_idle_step(job, available)
                 if step is not None:
                     since = idle[job] = self._idle_since.get(job, now)
-                    self._note(job, step, since, now)
+                    self._record(job, step, since, now)
         self._idle_since = idle
 
-    def _note(self, job: str, step: int, since: float, now: float) -> None:
-        known = self.found.get(job)
+    def _record(self, job: str, step: int, since: float, now: float) -> None:
+        known = self.starved_jobs.get(job)
         seconds = now - since
-        if seconds >= ALLOWED_SECONDS and (known is None or known.seconds < seconds):
-            self.found[job] = Starved(job, step, since, seconds)
+        if seconds >= ALLOWED_IDLE_SECONDS and (known is None or known.seconds < seconds):
+            self.starved_jobs[job] = StarvedJob(job, step, since, seconds)
 
-    def _next_step(self, job: str, workers: list[WorkerModel]) -> int | None:
+    def _find_idle_step(self, job: str, workers: list[WorkerModel]) -> int | None:
         """Give a step whose turn has come and that finds room twice over, if there is one."""
-        spec = self._checks.spec_of(job)
-        if self._checks.is_over(job):
+        spec = self._checks.find_spec(job)
+        if self._checks.has_ended(job):
             return None
         for number, step in enumerate(spec.steps):
-            if self._is_next(job, number, spec) and self._has_room(job, number, step, workers):
+            if self._is_ready(job, number, spec) and self._has_room(job, number, step, workers):
                 return number
         return None
 
-    def _is_next(self, job: str, number: int, spec: JobSpec) -> bool:
+    def _is_ready(self, job: str, number: int, spec: JobSpec) -> bool:
         step = spec.steps[number]
         return not self._is_done(job, number, step) and all(
             self._is_done(job, earlier, spec.steps[earlier]) for earlier in step.after
@@ -109,29 +109,29 @@
 
     def _has_room(self, job: str, number: int, step: StepSpec, workers: list[WorkerModel]) -> bool:
         count = step.count if step.gang else 1
-        if not self._checks.quotas.has_spare(job, step.size.times(count)):
+        if not self._checks.quotas.has_spare_quota(job, step.size.times(count)):
             return False
         wanted = _SPARE_FACTOR * count
-        found = 0
+        fitting = 0
         for worker in workers:
             if not self._may_run(job, number, worker.entry.life):
                 continue
             free = worker.entry.capacity.minus(worker.used)
-            while found < wanted and free.holds(step.room):
+            while fitting < wanted and free.holds(step.room):
                 free = free.minus(step.room)
-                found += 1
-                if step.room == ZERO:
+                fitting += 1
+                if step.room == ZERO_SIZE:
                     break
-        return found >= wanted
+        return fitting >= wanted
 
 
 def _is_mostly_free(workers: list[WorkerModel]) -> bool:
-    used, whole = ZERO, ZERO
+    used, capacity = ZERO_SIZE, ZERO_SIZE
     for worker in workers:
         used = used.plus(worker.used)
-        whole = whole.plus(worker.entry.capacity)
-    return _within(used, whole, "cpu") and _within(used, whole, "memory")
+        capacity = capacity.plus(worker.entry.capacity)
+    return _is_within_share(used, capacity, "cpu") and _is_within_share(used, capacity, "memory")
 
 
-def _within(used: Size, whole: Size, kind: str) -> bool:
-    return getattr(used, kind) <= _MOSTLY_FREE * getattr(whole, kind)
+def _is_within_share(used: Size, capacity: Size, kind: str) -> bool:
+    return getattr(used, kind) <= _MAX_USED_SHARE * getattr(capacity, kind)
--- a/src/snowdock/emulator/timeline.py
+++ b/src/snowdock/emulator/timeline.py
@@ -13,20 +13,20 @@
     def __init__(self) -> None:
         self._now = 0.0
         self._numbers = itertools.count()
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
 
     @property
     def now(self) -> float:
         """The virtual time, in seconds."""
         return self._now
 
-    def after(self, seconds: float, call: Callable[[], None]) -> None:
+    def call_after(self, seconds: float, call: Callable[[], None]) -> None:
         """Have something called some time from now."""
-        heapq.heappush(self._due, (self._now + max(0.0, seconds), next(self._numbers), call))
+        heapq.heappush(self._scheduled, (self._now + max(0.0, seconds), next(self._numbers), call))
 
     def run_until(self, end: float) -> None:
         """Make all calls that are due until a moment."""
-        while self._due and self._due[0][0] <= end:
-            self._now, _, call = heapq.heappop(self._due)
+        while self._scheduled and self._scheduled[0][0] <= end:
+            self._now, _, call = heapq.heappop(self._scheduled)
             call()
         self._now = end
--- a/src/snowdock/emulator/worker_calls.py
+++ b/src/snowdock/emulator/worker_calls.py
@@ -27,16 +27,16 @@
 _RENEW_SLACK_SECONDS = 0.3
 """How much longer than its wait a renewal may take, as at a real leader."""
 
-_LOST = object()
+_NO_ANSWER = object()
 """Stands for a stop's answer that never came; a worker's own answer may be None."""
 
 Post = Callable[[Event], None]
 """Tells the leader that made a call of its answer."""
 
 
-def draw_delay(source: random.Random, mean: float) -> float:
+def draw_delay(rng: random.Random, mean: float) -> float:
     """Draw a delay around a typical one, in its unit."""
-    return mean * source.uniform(0.7, 1.6)
+    return mean * rng.uniform(0.7, 1.6)
 
 
 class WorkerCalls:
@@ -61,32 +61,32 @@
     def __init__(
         self,
         timeline: Timeline,
-        source: random.Random,
+        rng: random.Random,
         faults: Faults,
         workers: dict[str, WorkerModel],
-        call_s: float,
-        spec_of: Callable[[StartOrder], StepSpec],
+        typical_call_s: float,
+        find_step: Callable[[StartOrder], StepSpec],
     ) -> None:
         self._timeline = timeline
-        self._random = source
+        self._random = rng
         self._faults = faults
         self._workers = workers
-        self._call_s = call_s
-        self._spec_of = spec_of
+        self._typical_call_s = typical_call_s
+        self._find_step = find_step
 
-    def _half_way(self) -> float:
-        return draw_delay(self._random, self._call_s / 2)
+    def _draw_one_way_delay(self) -> float:
+        return draw_delay(self._random, self._typical_call_s / 2)
 
-    def _reach(self, life: str) -> WorkerModel | None:
+    def _find_reachable(self, life: str) -> WorkerModel | None:
         model = self._workers[life]
-        return model if model.is_up and life not in self._faults.cut else None
+        return model if model.is_up and life not in self._faults.unreachable_lives else None
 
-    def _refusal_for(self, life: str) -> Refusal | None:
+    def _find_refusal(self, life: str) -> Refusal | None:
         """Give what another life answers at a worker's address; None where none answers."""
         last = self._workers[life]
         while last.successor:
             last = self._workers[last.successor]
-        if last.entry.life == life or self._reach(last.entry.life) is None:
+        if last.entry.life == life or self._find_reachable(last.entry.life) is None:
             return None
         is_next = last.entry.worker == worker_id_of(life)
         return Refusal.NEXT_LIFE if is_next else Refusal.OTHER_LIFE
@@ -97,7 +97,7 @@
         self._send_order(
             post,
             effect.life,
-            lambda model: model.start(order, self._spec_of(order)),
+            lambda model: model.start(order, self._find_step(order)),
             lambda result: StartAnswered(effect.life, order.task, order.run, result),
             StartResult,
         )
@@ -107,59 +107,66 @@
         order = effect.order
 
         def answer(result) -> StopAnswered:
-            answered = result is not _LOST
+            answered = result is not _NO_ANSWER
             refusal = result if isinstance(result, Refusal) else None
             return StopAnswered(effect.life, order.task, order.run, answered, refusal)
 
         self._send_order(
-            post, effect.life, lambda model: model.stop(order), answer, lambda each: each, _LOST
+            post,
+            effect.life,
+            lambda model: model.stop(order),
+            answer,
+            lambda each: each,
+            _NO_ANSWER,
         )
 
     def _send_order(
         self,
         post: Post,
         life: str,
-        carry_out: Callable[[WorkerModel], object],
-        answer: Callable[[object], Event],
-        refused: Callable[[Refusal], object],
-        lost: object = None,
+        execute: Callable[[WorkerModel], object],
+        make_event: Callable[[object], Event],
+        make_refusal: Callable[[Refusal], object],
+        no_answer: object = None,
     ) -> None:
         def time_out() -> None:
-            self._timeline.after(_ORDER_TIMEOUT_SECONDS, lambda: post(answer(lost)))
+            self._timeline.call_after(_ORDER_TIMEOUT_SECONDS, lambda: post(make_event(no_answer)))
 
-        if self._random.random() < self._faults.late_orders:
-            self._carry_out_later(life, carry_out, self._random.uniform(2.0, 6.0))
+        if self._random.random() < self._faults.late_order_share:
+            self._execute_later(life, execute, self._random.uniform(2.0, 6.0))
             time_out()
             return
 
         def arrive() -> None:
-            model = self._reach(life)
+            model = self._find_reachable(life)
             if model is None:
-                refusal = self._refusal_for(life)
+                refusal = self._find_refusal(life)
                 if refusal is not None:
-                    self._timeline.after(self._half_way(), lambda: post(answer(refused(refusal))))
+                    self._timeline.call_after(
+                        self._draw_one_way_delay(), lambda: post(make_event(make_refusal(refusal)))
+                    )
                 else:
                     time_out()
                 return
-            result = carry_out(model)
-            if self._random.random() < self._faults.lost_answers:
+            result = execute(model)
+            if self._random.random() < self._faults.lost_answer_share:
                 time_out()
                 return
-            self._timeline.after(self._half_way(), lambda: post(answer(result)))
+            self._timeline.call_after(self._draw_one_way_delay(), lambda: post(make_event(result)))
 
-        self._timeline.after(self._half_way(), arrive)
+        self._timeline.call_after(self._draw_one_way_delay(), arrive)
 
-    def _carry_out_later(
-        self, life: str, carry_out: Callable[[WorkerModel], object], seconds: float
+    def _execute_later(
+        self, life: str, execute: Callable[[WorkerModel], object], seconds: float
     ) -> None:
         def arrive() -> None:
-            model = self._reach(life)
+            model = self._find_reachable(life)
             if model is not None:
-                carry_out(model)
+                execute(model)
 
-        self._timeline.after(seconds, arrive)
+        self._timeline.call_after(seconds, arrive)
 
-    def send_renew(self, post: Post, effect: SendRenewal) -> None:
+    def send_renewal(self, post: Post, effect: SendRenewal) -> None:
         """Send a renewal; its answer, or the lack of one, is posted."""
         order = effect.order
         finished = False
@@ -170,21 +177,21 @@
                 finished = True
                 post(RenewAnswered(effect.life, order, outcome))
 
-        self._timeline.after(order.wait_ms / 1000 + _RENEW_SLACK_SECONDS, lambda: finish(None))
+        self._timeline.call_after(order.wait_ms / 1000 + _RENEW_SLACK_SECONDS, lambda: finish(None))
 
         def answer(outcome) -> None:
-            if effect.life in self._faults.cut:
+            if effect.life in self._faults.unreachable_lives:
                 return
-            if self._random.random() >= self._faults.lost_answers:
-                self._timeline.after(self._half_way(), lambda: finish(outcome))
+            if self._random.random() >= self._faults.lost_answer_share:
+                self._timeline.call_after(self._draw_one_way_delay(), lambda: finish(outcome))
 
         def arrive() -> None:
-            model = self._reach(effect.life)
+            model = self._find_reachable(effect.life)
             if model is not None:
                 model.renew(order, answer)
                 return
-            refusal = self._refusal_for(effect.life)
+            refusal = self._find_refusal(effect.life)
             if refusal is not None:
-                self._timeline.after(self._half_way(), lambda: finish(refusal))
+                self._timeline.call_after(self._draw_one_way_delay(), lambda: finish(refusal))
 
-        self._timeline.after(self._half_way(), arrive)
+        self._timeline.call_after(self._draw_one_way_delay(), arrive)
--- a/src/snowdock/emulator/worker_model.py
+++ b/src/snowdock/emulator/worker_model.py
@@ -3,7 +3,7 @@
 import dataclasses
 from collections.abc import Callable
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from ..jobs.model import StepSpec, TaskId
 from ..jobs.orders import (
     EndedRun,
@@ -17,14 +17,14 @@
     WorkerReport,
 )
 from ..jobs.workers import WorkerEntry
-from .checks import Checks
+from .checks import InvariantChecker
 from .timeline import Timeline
 
-__all__ = ["Gangs", "RunModel", "RunPlan", "WorkerModel", "WorkerTerms"]
+__all__ = ["GangRegistry", "RunModel", "RunPlan", "WorkerModel", "WorkerTimings"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WorkerTerms:
+class WorkerTimings:
     """Times of all workers, in seconds.
 
     Attributes
@@ -49,7 +49,7 @@
     restore_s: float = 0.25
     gang_wait_s: float = 3.0
     cancel_s: float = 3.0
-    forgets_anew: bool = True
+    forgets_ends_on_each_renewal: bool = True
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -72,14 +72,14 @@
     worker: "WorkerModel"
     working_since: float | None = None
     checkpoint: str = ""
-    is_over: bool = False
+    has_ended: bool = False
 
 
-class Gangs:
+class GangRegistry:
     """Brings the members of gang runs together across workers."""
 
     def __init__(self) -> None:
-        self._present: dict[tuple[str, int, int, int], list[RunModel]] = {}
+        self._members: dict[tuple[str, int, int, int], list[RunModel]] = {}
 
     @staticmethod
     def _key(run: RunModel) -> tuple[str, int, int, int]:
@@ -87,13 +87,13 @@
 
     def join(self, run: RunModel) -> list[RunModel]:
         """Add a member; give all members once all are there, and else none."""
-        members = self._present.setdefault(self._key(run), [])
+        members = self._members.setdefault(self._key(run), [])
         members.append(run)
         return list(members) if len(members) == run.step.count else []
 
     def leave(self, run: RunModel) -> list[RunModel]:
         """Take a member out; give the others."""
-        members = self._present.get(self._key(run), [])
+        members = self._members.get(self._key(run), [])
         if run in members:
             members.remove(run)
         return list(members)
@@ -108,10 +108,10 @@
     crashes_worker: bool = False
 
 
-Work = Callable[[TaskId, int], RunPlan]
+PlanRun = Callable[[TaskId, int], RunPlan]
 """(task, run) -> how the run goes."""
 
-_CRASH_SECONDS = 0.01
+_CRASH_DELAY_SECONDS = 0.01
 """How long after its start a task ends its worker, where it does."""
 
 
@@ -159,36 +159,36 @@
         self,
         entry: WorkerEntry,
         timeline: Timeline,
-        terms: WorkerTerms,
-        gangs: Gangs,
-        checks: Checks,
-        work: Work,
+        timings: WorkerTimings,
+        gangs: GangRegistry,
+        checks: InvariantChecker,
+        plan_run: PlanRun,
         slowness: float = 1.0,
         crash: Callable[[str], None] = lambda _: None,
         clock_began: float = 1000.0,
     ) -> None:
         self.entry = entry
         self.is_up = True
-        self.fails_all = False
+        self.fails_all_runs = False
         self.slowness = slowness
-        self.counted_capacity = entry.capacity
+        self.enforced_capacity = entry.capacity
         self.successor = ""
         self._crash = crash
         self._clock_offset = clock_began - timeline.now
         self._timeline = timeline
-        self._terms = terms
+        self._timings = timings
         self._gangs = gangs
         self._checks = checks
-        self._work = work
+        self._plan_run = plan_run
         self._token = 0
         self._lease_until = 0.0
         self._runs: dict[TaskId, RunModel] = {}
-        self._highest: dict[TaskId, int] = {}
+        self._highest_runs: dict[TaskId, int] = {}
         self._ends: list[EndedRun] = []
         self._end_number = 0
-        self._seen = 0
+        self._last_acknowledged_end = 0
         self._ended_at: dict[int, float] = {}
-        self._lapsed_at = -1.0
+        self._lease_expired_at = -1.0
         self._waiters: list[Callable[[], None]] = []
 
     @property
@@ -197,7 +197,7 @@
         return (self._timeline.now + self._clock_offset) * 1000
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_runs(self) -> bool:
         """Whether it is up and does not leave."""
         return self.is_up and not self.entry.draining
 
@@ -209,7 +209,7 @@
     @property
     def used(self) -> Size:
         """The room that its runs take."""
-        total = ZERO
+        total = ZERO_SIZE
         for run in self._runs.values():
             total = total.plus(run.step.room)
         return total
@@ -229,49 +229,51 @@
         present = self._runs.get(order.task)
         if present is not None and present.run == order.run:
             return StartResult(None, self.clock_ms)
-        if order.run <= self._highest.get(order.task, 0) or present is not None:
+        if order.run <= self._highest_runs.get(order.task, 0) or present is not None:
             return StartResult(Refusal.SUPERSEDED, self.clock_ms)
         if order.lease_until_ms <= self.clock_ms:
             return StartResult(Refusal.LATE, self.clock_ms)
-        self._extend(order.lease_until_ms)
-        plan = self._work(order.task, order.run)
+        self._extend_lease(order.lease_until_ms)
+        plan = self._plan_run(order.task, order.run)
         seconds = plan.seconds
         if order.checkpoint:
-            seconds = seconds * (1 - float(order.checkpoint)) + self._terms.restore_s
+            seconds = seconds * (1 - float(order.checkpoint)) + self._timings.restore_s
         run = RunModel(
             order.task,
             order.run,
             step,
             seconds * self.slowness,
-            plan.fails or self.fails_all,
+            plan.fails or self.fails_all_runs,
             self,
             checkpoint=order.checkpoint,
         )
         self._runs[order.task] = run
-        self._checks.started(
+        self._checks.check_start(
             order.task,
             order.run,
             self.entry.life,
-            self.counted_capacity,
+            self.enforced_capacity,
             [(each.task, each.step.room) for each in self._runs.values()],
             self._timeline.now,
-            self._terms.cancel_s,
+            self._timings.cancel_s,
         )
         if plan.crashes_worker:
-            self._timeline.after(_CRASH_SECONDS, lambda: self._crash(self.entry.life))
+            self._timeline.call_after(_CRASH_DELAY_SECONDS, lambda: self._crash(self.entry.life))
         if step.gang:
             for member in self._gangs.join(run):
-                member.worker.begin(member)
-            self._timeline.after(self._terms.gang_wait_s, lambda: self._give_up_alone(run))
+                member.worker.begin_work(member)
+            self._timeline.call_after(
+                self._timings.gang_wait_s, lambda: self._check_gang_timeout(run)
+            )
         else:
-            self.begin(run)
+            self.begin_work(run)
         return StartResult(None, self.clock_ms)
 
-    def begin(self, run: RunModel) -> None:
+    def begin_work(self, run: RunModel) -> None:
         """Let a run work."""
         run.working_since = self._timeline.now
-        seconds = 0.01 if self.fails_all else run.work_s
-        self._timeline.after(seconds, lambda: self._finish(run))
+        seconds = 0.01 if self.fails_all_runs else run.work_s
+        self._timeline.call_after(seconds, lambda: self._finish(run))
 
     def stop(self, order: StopOrder) -> Refusal | None:
         """Stop a run, or refuse it for good."""
@@ -280,10 +282,10 @@
         self._token = order.token
         present = self._runs.get(order.task)
         if present is not None and present.run == order.run:
-            self._timeline.after(
-                self._terms.stop_s / 2, lambda: self._end(present, EndKind.STOPPED)
+            self._timeline.call_after(
+                self._timings.stop_s / 2, lambda: self._end(present, EndKind.STOPPED)
             )
-        self._highest[order.task] = max(self._highest.get(order.task, 0), order.run)
+        self._highest_runs[order.task] = max(self._highest_runs.get(order.task, 0), order.run)
         return None
 
     def renew(self, order: RenewOrder, answer: Callable[[WorkerReport | Refusal], None]) -> None:
@@ -294,10 +296,10 @@
         self._token = order.token
         self._forget_ends(order.last_recorded_end)
         if order.lease_until_ms:
-            self._extend(order.lease_until_ms)
+            self._extend_lease(order.lease_until_ms)
         answered = False
 
-        def give() -> None:
+        def answer_once() -> None:
             nonlocal answered
             if answered or not self.is_up:
                 return
@@ -305,20 +307,25 @@
             answer(self._report())
 
         if self._ends or not order.wait_ms:
-            give()
+            answer_once()
             return
-        self._waiters.append(give)
-        self._timeline.after(order.wait_ms / 1000, give)
-
-    def _forget_ends(self, seen: int) -> None:
-        if seen <= self._seen and not self._terms.forgets_anew:
+        self._waiters.append(answer_once)
+        self._timeline.call_after(order.wait_ms / 1000, answer_once)
+
+    def _forget_ends(self, last_recorded_end: int) -> None:
+        if (
+            last_recorded_end <= self._last_acknowledged_end
+            and not self._timings.forgets_ends_on_each_renewal
+        ):
             return
-        self._seen = max(self._seen, seen)
+        self._last_acknowledged_end = max(self._last_acknowledged_end, last_recorded_end)
         for end in self._ends:
-            if end.number <= seen:
-                held = self._ended_at[end.number] > self._lapsed_at
-                self._checks.noted(end.task, end.run, end.kind, held, self._timeline.now)
-        self._ends = [end for end in self._ends if end.number > seen]
+            if end.number <= last_recorded_end:
+                lease_held = self._ended_at[end.number] > self._lease_expired_at
+                self._checks.acknowledge_end(
+                    end.task, end.run, end.kind, lease_held, self._timeline.now
+                )
+        self._ends = [end for end in self._ends if end.number > last_recorded_end]
 
     def _report(self) -> WorkerReport:
         running = [
@@ -334,23 +341,25 @@
 
     # -- leases and ends -------------------------------------------------------------------
 
-    def _extend(self, until_ms: float) -> None:
-        most = self.clock_ms + self._terms.lease_limit_s * 1000
-        self._lease_until = max(self._lease_until, min(until_ms, most))
-        self._timeline.after((self._lease_until - self.clock_ms) / 1000 + 0.001, self._check_lease)
+    def _extend_lease(self, until_ms: float) -> None:
+        latest_ms = self.clock_ms + self._timings.lease_limit_s * 1000
+        self._lease_until = max(self._lease_until, min(until_ms, latest_ms))
+        self._timeline.call_after(
+            (self._lease_until - self.clock_ms) / 1000 + 0.001, self._check_lease
+        )
 
     def _check_lease(self) -> None:
         if self._lease_until < self.clock_ms:
-            self._lapsed_at = self._timeline.now
+            self._lease_expired_at = self._timeline.now
             for run in list(self._runs.values()):
                 self._end(run, EndKind.LEASE_EXPIRED)
 
-    def _give_up_alone(self, run: RunModel) -> None:
+    def _check_gang_timeout(self, run: RunModel) -> None:
         if run.working_since is None:
             self._end(run, EndKind.GANG_TIMEOUT)
 
     def _finish(self, run: RunModel) -> None:
-        if run.is_over or not self.is_up:
+        if run.has_ended or not self.is_up:
             return
         kind = EndKind.FAILED if run.fails else EndKind.DONE
         members = self._gangs.leave(run) if run.step.gang else []
@@ -372,17 +381,17 @@
         self._end(run, EndKind.GANG_BROKEN)
 
     def _end(self, run: RunModel, kind: EndKind) -> None:
-        if run.is_over or not self.is_up:
+        if run.has_ended or not self.is_up:
             return
-        run.is_over = True
+        run.has_ended = True
         del self._runs[run.task]
-        self._highest[run.task] = max(self._highest.get(run.task, 0), run.run)
+        self._highest_runs[run.task] = max(self._highest_runs.get(run.task, 0), run.run)
         if kind is EndKind.STOPPED:
-            self._save(run)
+            self._save_checkpoint(run)
         self._end_number += 1
         self._ended_at[self._end_number] = self._timeline.now
         self._ends.append(EndedRun(self._end_number, run.task, run.run, kind, run.checkpoint))
-        self._checks.ended(run.task, run.run, self.entry.life, kind, self._timeline.now)
+        self._checks.record_end(run.task, run.run, self.entry.life, kind, self._timeline.now)
         if run.step.gang and kind not in (EndKind.DONE, EndKind.GANG_BROKEN):
             for member in self._gangs.leave(run):
                 if member.working_since is not None:
@@ -391,7 +400,7 @@
         for give in waiters:
             give()
 
-    def _save(self, run: RunModel) -> None:
+    def _save_checkpoint(self, run: RunModel) -> None:
         """Save how much of a run is done, where its step has checkpoints."""
         if not run.step.checkpointing or run.working_since is None:
             return
@@ -404,12 +413,12 @@
         if not self.is_up:
             return
         self.is_up = False
-        self._checks.crashed(list(self._runs))
+        self._checks.record_crash(list(self._runs))
         for run in self._runs.values():
-            run.is_over = True
+            run.has_ended = True
             if run.step.gang:
                 for member in self._gangs.leave(run):
                     if member.working_since is not None:
                         member.worker.break_member(member)
         self._runs.clear()
-        self._checks.vanished(self.entry.life)
+        self._checks.record_life_end(self.entry.life)
--- a/src/snowdock/emulator/workload.py
+++ b/src/snowdock/emulator/workload.py
@@ -7,7 +7,7 @@
 
 from ..declarations import Size
 from ..jobs.model import AdviceTerms, Configuration, JobSpec, Queue, Service, StepSpec, TaskId
-from ..teams import Team, TeamBook
+from ..teams import Team, TeamRegistry
 
 __all__ = [
     "Burst",
@@ -101,13 +101,13 @@
     teams: tuple[Team, ...] = ()
     hot_team: tuple[str, float] = ("", 1.0)
 
-    def factor(self, queue: str, at: float) -> float:
+    def compute_rate_factor(self, queue: str, at: float) -> float:
         """Give how many times as many jobs as usual come to a queue at a time."""
-        found = self.load
+        factor = self.load
         for burst in self.bursts:
             if burst.queue == queue and burst.at <= at < burst.at + burst.seconds:
-                found *= burst.factor
-        return found
+                factor *= burst.factor
+        return factor
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -130,7 +130,9 @@
 _SERVICE = "pool"
 
 
-def _queue(name: str, priority: int, stretch: float, aim_ms: float, advice_ms: float) -> Queue:
+def _make_queue(
+    name: str, priority: int, stretch: float, target_ms: float, advice_ms: float
+) -> Queue:
     return Queue(
         name=name,
         host="",
@@ -139,7 +141,7 @@
         priority=priority,
         max_attempts=3,
         stretch=stretch,
-        target_latency_ms=aim_ms,
+        target_latency_ms=target_ms,
         advice=AdviceTerms(advice_ms, advice_ms / 70, 2000.0) if advice_ms else None,
     )
 
@@ -149,15 +151,15 @@
     factor = 1.0 if with_advice else 0.0
     return (
         QueueMix(
-            _queue("payouts", 1, 2.2, 1000, 480 * factor),
+            _make_queue("payouts", 1, 2.2, 1000, 480 * factor),
             0.59, 1.2, 8, 4500, 17_000, 6.2, 1.0, 0.005, 0.03, 0.5, 19.6, 0.5, 0.5,
         ),
         QueueMix(
-            _queue("recons", 2, 4.0, 3000, 42 * factor),
+            _make_queue("recons", 2, 4.0, 3000, 42 * factor),
             3.41, 1.5, 10, 980, 2000, 2.2, 0.0, 0.05, 0.03, 0.9, 2.13, 0.5, 0.8,
         ),
         QueueMix(
-            _queue("lookups", 0, 1.5, 250, 5.6 * factor),
+            _make_queue("lookups", 0, 1.5, 250, 5.6 * factor),
             24.1, 1.0, 2, 1400, 5200, 0.64, 0.3, 0.05, 0.01, 0.2, 0.42, 0.5, 0.0,
         ),
     )  # fmt: skip
@@ -171,18 +173,18 @@
     """
     return (
         dataclasses.replace(
-            _mix("payouts", 1, 2.2, 1000, AdviceTerms(390.0, 5.6, 2000.0), 4.16, 4.71),
+            _make_mix("payouts", 1, 2.2, 1000, AdviceTerms(390.0, 5.6, 2000.0), 4.16, 4.71),
             steps=1.2, width=20, cpu=4500, memory=9400, work_s=4.0,
             gang_share=1.0, estimate_error=0.2, fit_share=0.3, checkpointing_share=0.5,
             widest_gang=60,
         ),
         dataclasses.replace(
-            _mix("recons", 2, 4.0, 3000, AdviceTerms(140.0, 2.0, 2000.0), 5.55, 2.2),
+            _make_mix("recons", 2, 4.0, 3000, AdviceTerms(140.0, 2.0, 2000.0), 5.55, 2.2),
             steps=1.5, width=19, cpu=2800, memory=10_000, work_s=2.7,
             gang_share=0.0, estimate_error=0.9, fit_share=0.45, checkpointing_share=0.8,
         ),
         dataclasses.replace(
-            _mix("lookups", 0, 1.5, 300, AdviceTerms(20.0, 0.28, 2000.0), 39.5, 0.435),
+            _make_mix("lookups", 0, 1.5, 300, AdviceTerms(20.0, 0.28, 2000.0), 39.5, 0.435),
             steps=1.0, width=3.1, cpu=3900, memory=11_000, work_s=1.0,
             gang_share=0.3, estimate_error=0.2, fit_share=0.7,
         ),
@@ -197,42 +199,44 @@
     """
     return (
         dataclasses.replace(
-            _mix("payouts", 1, 2.2, 1000, AdviceTerms(442.0, 6.4, 2000.0), 2.23, 10.3),
+            _make_mix("payouts", 1, 2.2, 1000, AdviceTerms(442.0, 6.4, 2000.0), 2.23, 10.3),
             steps=1.2, width=20, cpu=9000, memory=33_000, work_s=4.0,
             gang_share=1.0, estimate_error=0.2, fit_share=0.3, checkpointing_share=0.5,
             widest_gang=60,
         ),
         dataclasses.replace(
-            _mix("recons", 2, 4.0, 3000, AdviceTerms(270.0, 2.4, 2000.0), 5.12, 4.86),
+            _make_mix("recons", 2, 4.0, 3000, AdviceTerms(270.0, 2.4, 2000.0), 5.12, 4.86),
             steps=1.5, width=25, cpu=3500, memory=13_000, work_s=3.4,
             gang_share=0.0, estimate_error=0.9, fit_share=0.45, checkpointing_share=0.8,
         ),
         dataclasses.replace(
-            _mix("lookups", 0, 1.5, 253, AdviceTerms(15.0, 0.13, 2000.0), 51.6, 0.39),
+            _make_mix("lookups", 0, 1.5, 253, AdviceTerms(15.0, 0.13, 2000.0), 51.6, 0.39),
             steps=1.0, width=3, cpu=5000, memory=14_000, work_s=0.64,
             gang_share=0.3, estimate_error=0.2, fit_share=0.7,
         ),
     )  # fmt: skip
 
 
-def _mix(
+def _make_mix(
     name: str,
     priority: int,
     stretch: float,
-    aim_ms: float,
+    target_ms: float,
     advice: AdviceTerms,
     per_second: float,
     worth: float,
 ) -> QueueMix:
     """Give a queue and what comes to it a second; its jobs are told by the caller."""
-    queue = msgspec.structs.replace(_queue(name, priority, stretch, aim_ms, 0.0), advice=advice)
+    queue = msgspec.structs.replace(
+        _make_queue(name, priority, stretch, target_ms, 0.0), advice=advice
+    )
     return QueueMix(queue, per_second, 1.0, 1.0, 0, 0, 0.0, 0.0, 0.005, 0.0, 0.0, worth)
 
 
-def configuration_for(options: WorkloadOptions) -> Configuration:
+def make_configuration(options: WorkloadOptions) -> Configuration:
     """Give the configuration that a workload's queues make."""
     queues = tuple(mix.queue for mix in options.mixes)
-    teams = TeamBook(options.teams)
+    teams = TeamRegistry(options.teams)
     return Configuration(1, queues, (Service(_SERVICE),), teams=teams)
 
 
@@ -251,56 +255,56 @@
     teams = []
     for number, weight in enumerate(weights):
         part = weight / total
-        most = Size(int(quota.cpu * part), int(quota.memory * part), quota.accelerators)
-        teams.append(Team(f"team-{number}", weight, most))
+        quota_part = Size(int(quota.cpu * part), int(quota.memory * part), quota.accelerators)
+        teams.append(Team(f"team-{number}", weight, quota_part))
     return tuple(teams)
 
 
-def _spread(source: random.Random, mean: float, spread: float, most: float) -> float:
-    return min(most, mean * source.lognormvariate(-spread * spread / 2, spread))
+def _draw_lognormal(rng: random.Random, mean: float, sigma: float, upper_bound: float) -> float:
+    return min(upper_bound, mean * rng.lognormvariate(-sigma * sigma / 2, sigma))
 
 
-def _draw_job(source: random.Random, mix: QueueMix, at: float, number: int) -> DrawnJob:
-    count = max(1, round(_spread(source, mix.steps, 0.4, 3.0)))
+def _draw_job(rng: random.Random, mix: QueueMix, at: float, number: int) -> DrawnJob:
+    count = max(1, round(_draw_lognormal(rng, mix.steps, 0.4, 3.0)))
     steps, work = [], []
     for index in range(count):
-        gang = source.random() < mix.gang_share
-        most = min(mix.widest_gang, mix.width * 6) if gang else mix.width * 6
-        width = max(1, round(_spread(source, mix.width, 0.8, most)))
-        seconds = _spread(source, mix.work_s, 0.5, mix.work_s * 2.5)
-        guess = seconds * source.uniform(1 - mix.estimate_error / 2, 1 + mix.estimate_error)
+        gang = rng.random() < mix.gang_share
+        max_width = min(mix.widest_gang, mix.width * 6) if gang else mix.width * 6
+        width = max(1, round(_draw_lognormal(rng, mix.width, 0.8, max_width)))
+        seconds = _draw_lognormal(rng, mix.work_s, 0.5, mix.work_s * 2.5)
+        estimate_s = seconds * rng.uniform(1 - mix.estimate_error / 2, 1 + mix.estimate_error)
         size = Size(
-            max(100, round(_spread(source, mix.cpu, 0.4, mix.cpu * 1.7) / 50) * 50),
-            max(64, round(_spread(source, mix.memory, 0.5, mix.memory * 2))),
+            max(100, round(_draw_lognormal(rng, mix.cpu, 0.4, mix.cpu * 1.7) / 50) * 50),
+            max(64, round(_draw_lognormal(rng, mix.memory, 0.5, mix.memory * 2))),
         )
         steps.append(
             StepSpec(
                 count=width,
                 size=size,
-                estimate_ms=round(guess * 1000),
+                estimate_ms=round(estimate_s * 1000),
                 after=(index - 1,) if index else (),
-                checkpointing=source.random() < mix.checkpointing_share,
+                checkpointing=rng.random() < mix.checkpointing_share,
                 gang=gang,
             )
         )
-        work.append(tuple(seconds * source.uniform(0.8, 1.25) for _ in range(width)))
+        work.append(tuple(seconds * rng.uniform(0.8, 1.25) for _ in range(width)))
     return DrawnJob(
         job=f"{number:016x}",
         at=at,
         mix=mix,
         spec=JobSpec(mix.queue.name, "payload", tuple(steps)),
         work_s=tuple(work),
-        is_hopeless=source.random() < mix.hopeless_share,
+        is_hopeless=rng.random() < mix.hopeless_share,
     )
 
 
-def _draw_crashing(seed: int, jobs: list[DrawnJob]) -> list[DrawnJob]:
+def _draw_crashing_tasks(seed: int, jobs: list[DrawnJob]) -> list[DrawnJob]:
     """Draw which jobs have a task that ends its workers, apart from all else that is drawn."""
-    source = random.Random(f"crashes of {seed}")
+    rng = random.Random(f"crashes of {seed}")
     drawn = []
     for job in jobs:
-        if source.random() < job.mix.crashing_share:
-            task = TaskId(job.job, 0, 0, source.randrange(job.spec.steps[0].count))
+        if rng.random() < job.mix.crashing_share:
+            task = TaskId(job.job, 0, 0, rng.randrange(job.spec.steps[0].count))
             job = dataclasses.replace(job, crashing=task)
         drawn.append(job)
     return drawn
@@ -308,18 +312,18 @@
 
 def draw_workload(seed: int, options: WorkloadOptions) -> list[DrawnJob]:
     """Draw jobs in the order of their submission; equal seeds give equal jobs."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     jobs = []
     for mix in options.mixes:
         at = 0.0
         while True:
-            at += source.expovariate(mix.per_second * options.factor(mix.queue.name, at))
+            at += rng.expovariate(mix.per_second * options.compute_rate_factor(mix.queue.name, at))
             if at > options.seconds:
                 break
             jobs.append((at, mix))
     jobs.sort(key=lambda entry: entry[0])
-    drawn = [_draw_job(source, mix, at, number) for number, (at, mix) in enumerate(jobs, 1)]
-    drawn = _draw_crashing(seed, drawn)
+    drawn = [_draw_job(rng, mix, at, number) for number, (at, mix) in enumerate(jobs, 1)]
+    drawn = _draw_crashing_tasks(seed, drawn)
     if not options.teams:
         return drawn
     names = [team.name for team in options.teams]
--- a/src/snowdock/entry/advice_dispatcher.py
+++ b/src/snowdock/entry/advice_dispatcher.py
@@ -70,7 +70,7 @@
             Timeout of the call to the service.
         """
         with self._lock:
-            return self._client.ask(request, seconds)
+            return self._client.request_advice(request, seconds)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
--- a/src/snowdock/entry/caller_api.py
+++ b/src/snowdock/entry/caller_api.py
@@ -217,7 +217,7 @@
         if not key:
             raise Unauthorized(f"a key is needed (configuration {configuration.version})")
         age_s = self._dependencies.configuration_age()
-        team = configuration.teams.of_key(key.encode("latin-1", "replace"))
+        team = configuration.teams.find_by_key(key.encode("latin-1", "replace"))
         if team is None and age_s <= _MAX_CONFIGURATION_AGE_SECONDS:
             raise Unauthorized(f"no such key (configuration {configuration.version})")
         if team is None or age_s > self._dependencies.key_trust_s:
--- a/src/snowdock/entry/daemon.py
+++ b/src/snowdock/entry/daemon.py
@@ -19,7 +19,7 @@
 from ..node.peers import PeerOptions, Peers
 from ..platform.node_settings import NodeEnvironment, read_node_environment
 from ..platform.store import StoreClient
-from ..threads import ServiceThread, on_lost_thread
+from ..threads import ServiceThread, add_lost_thread_listener
 from .advice_dispatcher import AdviceDispatcher, LocalAdviceClient
 from .caller_api import CallerApi, CallerApiDependencies
 from .configuration_watcher import ConfigurationWatcher
@@ -146,7 +146,7 @@
 
     def run(self) -> int:
         """Serve until stopped or until a service thread ends; return the exit status."""
-        on_lost_thread(self._handle_lost_thread)
+        add_lost_thread_listener(self._handle_lost_thread)
         self._peers.start()
         self._configuration_watcher.start()
         self._election.start()
@@ -195,7 +195,7 @@
     def _apply_environment(self, environment: NodeEnvironment) -> None:
         previous, self._environment = self._environment, environment
         if environment.store.address != previous.store.address:
-            self._store.move(environment.store.address)
+            self._store.set_address(environment.store.address)
         if environment.advice_address != previous.advice_address:
             self._advice_client.set_address(environment.advice_address)
         log_event("settings_reloaded", changed=environment != previous)
--- a/src/snowdock/entry/leader_handle.py
+++ b/src/snowdock/entry/leader_handle.py
@@ -20,7 +20,7 @@
 from ..jobs.timeouts import TICK_SECONDS
 from ..logs import log_error
 from ..platform.store import KeyedRecord
-from ..platform.worker_list import WORKER_TOPIC, decode_worker_entry
+from ..platform.worker_entries import WORKER_TOPIC, decode_worker_entry
 from ..threads import ServiceThread
 from .job_status_table import JobStatusTable
 from .leader import LeaderContext
--- a/src/snowdock/entry/leader_record.py
+++ b/src/snowdock/entry/leader_record.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..errors import UNREADABLE, PlatformError
+from ..errors import DECODE_ERRORS, PlatformError
 from ..platform.store import KeyedRecord
 
 __all__ = ["LeaderRecord", "NodeIdentity", "decode_leader_record", "encode_leader_record"]
@@ -68,5 +68,5 @@
     """
     try:
         return msgspec.msgpack.decode(record.value, type=LeaderRecord)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise PlatformError(f"malformed leader record: {error}") from error
--- a/src/snowdock/entry/messages.py
+++ b/src/snowdock/entry/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..errors import UNREADABLE, InvalidInput
+from ..errors import DECODE_ERRORS, InvalidInput
 from ..jobs.model import JobId, JobStatus
 from ..node.peers import PeerMessages
 
@@ -189,7 +189,7 @@
 def _decode(data: bytes) -> EntryMessage:
     try:
         return _decoder.decode(data)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidInput(f"not an entry message: {error}") from error
 
 
--- a/src/snowdock/entry/worker_link.py
+++ b/src/snowdock/entry/worker_link.py
@@ -12,7 +12,7 @@
 from ..logs import log_error, log_event
 from ..node.metrics import Metrics
 from ..platform.call_loop import CallLoop
-from ..platform.http_channel import Channel, Greeting, Outcome, Reply
+from ..platform.http_channel import CallOutcome, Handshake, HttpChannel, Reply
 from ..platform.worker_calls import (
     RENEWAL_PATH,
     START_PATH,
@@ -20,7 +20,7 @@
     decode_renewal,
     decode_start,
     decode_stop,
-    encode_greeting,
+    encode_handshake,
     encode_renewal,
     encode_start,
     encode_stop,
@@ -60,7 +60,7 @@
         Starts the call for an item; `send_next` must be called when the call has ended.
     """
 
-    def __init__(self, channel: Channel, send: Callable[[_Kind], None]) -> None:
+    def __init__(self, channel: HttpChannel, send: Callable[[_Kind], None]) -> None:
         self.channel = channel
         self._send = send
         self._waiting: collections.deque[_Kind] = collections.deque()
@@ -120,15 +120,17 @@
         self._metrics = metrics
         self._has_next_life = False
         headers = worker_headers(life)
-        greeting = Greeting(
+        greeting = Handshake(
             RENEWAL_PATH,
-            encode_greeting(token),
+            encode_handshake(token),
             self._check_greeting,
             _GREETING_TIMEOUT_SECONDS,
             _GREETING_ATTEMPTS,
         )
-        self._orders = _CallQueue(Channel(loop, address, headers, greeting), self._send_order)
-        self._renewals = _CallQueue(Channel(loop, address, headers, greeting), self._send_renewal)
+        self._orders = _CallQueue(HttpChannel(loop, address, headers, greeting), self._send_order)
+        self._renewals = _CallQueue(
+            HttpChannel(loop, address, headers, greeting), self._send_renewal
+        )
 
     def order(self, order: _Order) -> None:
         """Queue a start or stop; it is sent once the loop is flushed."""
@@ -153,7 +155,7 @@
         """The refusal of all calls once the worker is known to have begun another life."""
         return Refusal.NEXT_LIFE if self._has_next_life else None
 
-    def _check_greeting(self, reply: Reply) -> Outcome | None:
+    def _check_greeting(self, reply: Reply) -> CallOutcome | None:
         """Return None if this life has answered, otherwise the outcome of the calls that follow."""
         try:
             report = decode_renewal(reply, self._life)
@@ -182,7 +184,7 @@
         )
 
     def _handle_start_answer(
-        self, order: StartOrder, started_at: float, previous_attempts: int, outcome: Outcome
+        self, order: StartOrder, started_at: float, previous_attempts: int, outcome: CallOutcome
     ) -> None:
         result = self._decode_start_outcome(outcome)
         if result is None:
@@ -203,7 +205,7 @@
         self._post(StartAnswered(self._life, order.task, order.run, result))
         self._orders.send_next()
 
-    def _decode_start_outcome(self, outcome: Outcome) -> StartResult | None:
+    def _decode_start_outcome(self, outcome: CallOutcome) -> StartResult | None:
         if self._next_life_refusal:
             return StartResult(self._next_life_refusal)
         if isinstance(outcome, CallUnanswered):
@@ -216,7 +218,7 @@
             log_error("start_failed", error, worker=self._life)
         return None
 
-    def _handle_stop_answer(self, order: StopOrder, outcome: Outcome) -> None:
+    def _handle_stop_answer(self, order: StopOrder, outcome: CallOutcome) -> None:
         refusal, is_answered = None, False
         try:
             refusal = self._next_life_refusal or decode_stop(_require_reply(outcome))
@@ -234,7 +236,7 @@
         on_answer = functools.partial(self._handle_renewal_answer, order)
         self._renewals.channel.call(RENEWAL_PATH, encode_renewal(order), seconds, on_answer)
 
-    def _handle_renewal_answer(self, order: RenewOrder, outcome: Outcome) -> None:
+    def _handle_renewal_answer(self, order: RenewOrder, outcome: CallOutcome) -> None:
         report: WorkerReport | Refusal | None = None
         try:
             report = self._next_life_refusal or decode_renewal(_require_reply(outcome), self._life)
@@ -248,13 +250,13 @@
         self._renewals.send_next()
 
     @staticmethod
-    def _drop_other_connection(outcome: Outcome, other: Channel) -> None:
+    def _drop_other_connection(outcome: CallOutcome, other: HttpChannel) -> None:
         """Close the worker's other connection if it is idle and may be broken as well."""
         if isinstance(outcome, CallUnanswered) and not outcome.unsent:
-            other.drop_idle()
+            other.close_if_idle()
 
 
-def _require_reply(outcome: Outcome) -> Reply:
+def _require_reply(outcome: CallOutcome) -> Reply:
     if isinstance(outcome, CallUnanswered):
         raise outcome
     return outcome
--- a/src/snowdock/errors.py
+++ b/src/snowdock/errors.py
@@ -7,7 +7,7 @@
 import msgspec
 
 __all__ = [
-    "UNREADABLE",
+    "DECODE_ERRORS",
     "AppendConflict",
     "BodyTooLarge",
     "CallUnanswered",
@@ -39,7 +39,7 @@
 ]
 
 
-UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 """What decoding raises for bytes of others that do not fit, are no UTF-8, or nest without end."""
 
 
@@ -237,8 +237,8 @@
     code = "invalid_declaration"
 
     def __init__(self, file: str, section: str, key: str, problem: str) -> None:
-        place = f"{file} [{section}]" + (f" {key}" if key else "")
-        super().__init__(f"{place}: {problem}")
+        location = f"{file} [{section}]" + (f" {key}" if key else "")
+        super().__init__(f"{location}: {problem}")
         self.file = file
         self.section = section
         self.key = key
--- a/src/snowdock/jobs/cell.py
+++ b/src/snowdock/jobs/cell.py
@@ -4,7 +4,7 @@
 import dataclasses
 from collections.abc import Callable
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from .events import Effect, LogDecision, PublishStatus
 from .job_state import Job, Step, Task
 from .model import Configuration, JobId, Queue, StepKey, TaskId
@@ -289,7 +289,7 @@
         self.teams_logged_at = now
         self.starving_logged_at = now
         self.overdue_logged_at = now
-        self.capacity = ZERO
+        self.capacity = ZERO_SIZE
 
     @property
     def configuration(self) -> Configuration:
--- a/src/snowdock/jobs/model.py
+++ b/src/snowdock/jobs/model.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..declarations import Size
-from ..teams import TeamBook
+from ..teams import TeamRegistry
 
 __all__ = [
     "AdviceTerms",
@@ -246,7 +246,7 @@
     queues: tuple[Queue, ...] = ()
     services: tuple[Service, ...] = ()
     limits: Limits = Limits()
-    teams: TeamBook = msgspec.field(default_factory=TeamBook)
+    teams: TeamRegistry = msgspec.field(default_factory=TeamRegistry)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
         """Return the queue with the longest matching path prefix for a request, or None."""
--- a/src/snowdock/jobs/placement.py
+++ b/src/snowdock/jobs/placement.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from .availability import find_exclusion
 from .candidates import Candidate, Caution, caution_for, choose_workers, find_candidates, is_bulky
 from .cell import Cell, DeferredStart
@@ -65,7 +65,7 @@
     max_free_cpu: int = 0
     max_free_memory: int = 0
     max_free_accelerators: int = 0
-    capacity: Size = ZERO
+    capacity: Size = ZERO_SIZE
 
     def add(self, worker: Worker) -> None:
         """Add a worker to the pool."""
@@ -79,7 +79,7 @@
         if free.accelerators > self.max_free_accelerators:
             self.max_free_accelerators = free.accelerators
         if not self.capacity.holds(worker.entry.capacity):
-            self.capacity = self.capacity.at_least(worker.entry.capacity)
+            self.capacity = self.capacity.elementwise_max(worker.entry.capacity)
 
     @property
     def by_free_cpu(self) -> list[Worker]:
--- a/src/snowdock/jobs/progress.py
+++ b/src/snowdock/jobs/progress.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..errors import UNREADABLE, InvalidInput
+from ..errors import DECODE_ERRORS, InvalidInput
 from .model import JobId, JobSpec, JobStatus
 
 __all__ = [
@@ -144,5 +144,5 @@
 def _decode(data: bytes, kind: type):
     try:
         return msgspec.msgpack.decode(data, type=kind)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidInput(f"cannot decode record as {kind.__name__}: {error}") from error
--- a/src/snowdock/jobs/quotas.py
+++ b/src/snowdock/jobs/quotas.py
@@ -4,7 +4,7 @@
 may also be lowered while they are fully used. `team_usage` defines which runs count.
 """
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from ..teams import Team
 from .candidates import count_fitting
 from .cell import Cell, QuotaReservation
@@ -48,10 +48,10 @@
         return wanted
     if not step.spec.gang:
         # A task that is larger than the quota may run alone.
-        return max(1, count) if used == ZERO else count
+        return max(1, count) if used == ZERO_SIZE else count
     # So may a gang, if all but one of its tasks fit within the quota and its overage.
     overage_quota = team.quota.scaled(1 + cell.settings.quota_overage)
-    return wanted if used == ZERO and count_fitting(overage_quota, size) >= wanted - 1 else 0
+    return wanted if used == ZERO_SIZE and count_fitting(overage_quota, size) >= wanted - 1 else 0
 
 
 def reserve_quotas(cell: Cell) -> None:
@@ -88,7 +88,7 @@
     """Return the quota that is reserved for a gang of the team that ranks higher than a step."""
     reservation = cell.quota_reservations.get(step.job.team)
     if reservation is None or reservation.step == step.key or reservation.rank < step.rank:
-        return ZERO
+        return ZERO_SIZE
     return reservation.size
 
 
@@ -103,4 +103,4 @@
 
 def _team_of(cell: Cell, step: Step) -> Team | None:
     """Return the team whose quota a step uses; None if it has no team or the team is unknown."""
-    return cell.configuration.teams.named(step.job.team)
+    return cell.configuration.teams.find_by_name(step.job.team)
--- a/src/snowdock/jobs/shares.py
+++ b/src/snowdock/jobs/shares.py
@@ -6,7 +6,7 @@
 
 import collections
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from .cell import Cell
 
 __all__ = ["log_team_usage", "share_used", "sum_capacity"]
@@ -17,7 +17,7 @@
 
 def sum_capacity(cell: Cell) -> Size:
     """Return the total resources of all known workers."""
-    total = ZERO
+    total = ZERO_SIZE
     for worker in cell.workers.values():
         total = total.plus(worker.entry.capacity)
     return total
@@ -44,7 +44,7 @@
         step.job.team for step in cell.waiting_steps.values() if step.is_at_quota
     )
     for name, steps in waiting.items():
-        team = cell.configuration.teams.named(name)
+        team = cell.configuration.teams.find_by_name(name)
         if team is None:
             continue
         used = cell.team_usage.used(name)
--- a/src/snowdock/jobs/team_usage.py
+++ b/src/snowdock/jobs/team_usage.py
@@ -5,7 +5,7 @@
 are unreachable or not known yet, and runs of earlier leaders.
 """
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from .model import TaskId
 
 __all__ = ["TeamUsage"]
@@ -35,14 +35,14 @@
             return
         team, size = found
         left = self.used(team).minus(size)
-        if left == ZERO:
+        if left == ZERO_SIZE:
             del self._used[team]
         else:
             self._used[team] = left
 
     def used(self, team: str) -> Size:
         """Return the resources that a team uses."""
-        return self._used.get(team, ZERO)
+        return self._used.get(team, ZERO_SIZE)
 
     def used_by_team(self) -> dict[str, Size]:
         """Return the resources that each team with runs uses."""
--- a/src/snowdock/jobs/worker_reports.py
+++ b/src/snowdock/jobs/worker_reports.py
@@ -1,6 +1,6 @@
 """Handling of answers to renewals: workers' reports of their runs, and missing answers."""
 
-from ..declarations import ZERO
+from ..declarations import ZERO_SIZE
 from .cell import Cell
 from .durability import RENEW_WAIT_MS, send_renewal
 from .events import RenewAnswered
@@ -149,7 +149,7 @@
         occupy(cell, worker, task, run, known.step)
     else:
         # The run's size is unknown, so all free room is counted as taken.
-        worker.occupy(task, run, worker.free.at_least(ZERO))
+        worker.occupy(task, run, worker.free.elementwise_max(ZERO_SIZE))
     send_stop(cell, worker.life, task, run, now)
     cell.log_decision("stray_stopped", task.job, task=task, run=run, worker=worker.life)
 
--- a/src/snowdock/jobs/workers.py
+++ b/src/snowdock/jobs/workers.py
@@ -4,7 +4,7 @@
 import enum
 import math
 
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from .job_state import Step
 from .lives import worker_id_of
 from .model import StepKey, TaskId
@@ -153,10 +153,10 @@
     """
 
     entry: WorkerEntry
-    used: Size = ZERO
+    used: Size = ZERO_SIZE
     runs: dict[tuple[TaskId, int], Size] = dataclasses.field(default_factory=dict)
     preemptible_runs: dict[tuple[TaskId, int], Size] = dataclasses.field(default_factory=dict)
-    preemptible_room: Size = ZERO
+    preemptible_room: Size = ZERO_SIZE
     room_holds: dict[StepKey, RoomHold] = dataclasses.field(default_factory=dict)
     listed: bool = True
     delisted_at: float = 0.0
@@ -183,7 +183,7 @@
     suspects: dict[tuple[TaskId, int], bool] = dataclasses.field(default_factory=dict)
     unresolved_losses: dict[tuple[TaskId, int], bool] = dataclasses.field(default_factory=dict)
     inherited: set[tuple[TaskId, int]] = dataclasses.field(default_factory=set)
-    _free: Size = ZERO
+    _free: Size = ZERO_SIZE
     _free_inputs: tuple[Size, Size] | None = None
 
     @property
--- a/src/snowdock/logs.py
+++ b/src/snowdock/logs.py
@@ -16,19 +16,19 @@
 
 __all__ = ["LogSink", "format_line", "log_error", "log_event", "start_logging"]
 
-_LEFT_OUT = ("task_uuid", "task_level", "message_type")
+_OMITTED_KEYS = ("task_uuid", "task_level", "message_type")
 
-_QUEUED_LINES = 5000
+_MAX_QUEUED_LINES = 5000
 """Lines that wait for the stream: some seconds of the busiest node, about 1 MB."""
 
-_LINES_A_SECOND = 400
+_EVENT_LINES_PER_SECOND = 400
 """Lines of one kind in a second: a leader of 270 workers tells of some 300 ends. With 100, half of
 the time that late lookups took was not explained by what their lines left."""
 
-_ERROR_LINES_A_SECOND = 800
+_ERROR_LINES_PER_SECOND = 800
 """Lines of one kind of error in a second: twice as many, as an operator looks for these."""
 
-_CLOSE_SECONDS = 0.5
+_CLOSE_TIMEOUT_SECONDS = 0.5
 """How long the last lines may take at the end, at each of two waits."""
 
 
@@ -50,36 +50,36 @@
         "time": message.get("timestamp", 0.0),
         "event": message.get("message_type", message.get("action_type", "")),
     }
-    pairs |= {key: v for key, v in message.items() if key not in (*_LEFT_OUT, "timestamp")}
+    pairs |= {key: v for key, v in message.items() if key not in (*_OMITTED_KEYS, "timestamp")}
     return " ".join(f"{key}={_format_value(value)}" for key, value in pairs.items())
 
 
-class _Budget:
+class _RateLimiter:
     """Lets so many lines of a kind through in each second, and counts the others."""
 
     def __init__(self) -> None:
         self._second = 0
-        self._used: dict[str, int] = {}
-        self._left_out: dict[str, int] = {}
+        self._admitted: dict[str, int] = {}
+        self._dropped: dict[str, int] = {}
         self._lock = threading.Lock()
 
-    def admit(self, event: str, most: int) -> tuple[bool, dict[str, int]]:
+    def admit(self, event: str, limit: int) -> tuple[bool, dict[str, int]]:
         """Tell whether a line may be written, and what the last second left out."""
         second = int(steady_seconds())
         with self._lock:
-            told: dict[str, int] = {}
+            dropped: dict[str, int] = {}
             if second != self._second:
                 self._second = second
-                told, self._left_out = self._left_out, {}
-                self._used.clear()
-            used = self._used.get(event, 0)
-            self._used[event] = used + 1
-            if used >= most:
-                self._left_out[event] = self._left_out.get(event, 0) + 1
-            return used < most, told
+                dropped, self._dropped = self._dropped, {}
+                self._admitted.clear()
+            used = self._admitted.get(event, 0)
+            self._admitted[event] = used + 1
+            if used >= limit:
+                self._dropped[event] = self._dropped.get(event, 0) + 1
+            return used < limit, dropped
 
 
-_budget = _Budget()
+_rate_limiter = _RateLimiter()
 
 
 class LogSink:
@@ -93,7 +93,7 @@
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
-        self._lines: queue.Queue[str | None] = queue.Queue(_QUEUED_LINES)
+        self._lines: queue.Queue[str | None] = queue.Queue(_MAX_QUEUED_LINES)
         self._dropped = 0
         self._thread = threading.Thread(target=self._run, name="logs", daemon=True)
         self._thread.start()
@@ -113,19 +113,19 @@
     def close(self) -> None:
         """Write what waits, within a bounded time."""
         try:
-            self._lines.put(None, timeout=_CLOSE_SECONDS)
+            self._lines.put(None, timeout=_CLOSE_TIMEOUT_SECONDS)
         except queue.Full:
             return
-        self._thread.join(_CLOSE_SECONDS)
+        self._thread.join(_CLOSE_TIMEOUT_SECONDS)
 
     def _run(self) -> None:
-        told = 0
+        reported = 0
         while (line := self._lines.get()) is not None:
             dropped = self._dropped
             try:
-                if dropped > told:
-                    self._stream.write(f"event=log_lines_dropped count={dropped - told}\n")
-                    told = dropped
+                if dropped > reported:
+                    self._stream.write(f"event=log_lines_dropped count={dropped - reported}\n")
+                    reported = dropped
                 self._stream.write(line + "\n")
                 if self._lines.empty():
                     self._stream.flush()
@@ -142,22 +142,22 @@
     return sink
 
 
-def _log(event: str, most: int, fields: dict[str, object]) -> None:
+def _log(event: str, limit: int, fields: dict[str, object]) -> None:
     # Each outcome has a budget of its own: a flood of good ends leaves room for the bad ones.
-    kind = f"{event}/{fields.get('how', fields.get('status', ''))}"
-    admitted, left_out = _budget.admit(kind, most)
-    if left_out:
-        eliot.log_message(message_type="log_lines_left_out", level="info", counts=left_out)
+    limit_key = f"{event}/{fields.get('how', fields.get('status', ''))}"
+    admitted, dropped = _rate_limiter.admit(limit_key, limit)
+    if dropped:
+        eliot.log_message(message_type="log_lines_left_out", level="info", counts=dropped)
     if admitted:
         eliot.log_message(message_type=event, **fields)
 
 
 def log_event(event: str, **fields: object) -> None:
     """Log an ordinary event."""
-    _log(event, _LINES_A_SECOND, {"level": "info", **fields})
+    _log(event, _EVENT_LINES_PER_SECOND, {"level": "info", **fields})
 
 
 def log_error(event: str, error: object, **fields: object) -> None:
     """Log an event that an operator should look at."""
     problem = f"{type(error).__name__}: {error}" if isinstance(error, Exception) else str(error)
-    _log(event, _ERROR_LINES_A_SECOND, {"level": "error", "problem": problem, **fields})
+    _log(event, _ERROR_LINES_PER_SECOND, {"level": "error", "problem": problem, **fields})
--- a/src/snowdock/node/daemon.py
+++ b/src/snowdock/node/daemon.py
@@ -15,11 +15,11 @@
 from ..clocks import steady_seconds
 from ..errors import InvalidInput, PlatformError, SettingsErrors, TokensUnreadable
 from ..logs import log_error, log_event, start_logging
-from ..platform._http import Client
+from ..platform._http import HttpClient
 from ..platform.logs import LogClient
-from ..platform.minions import MinionClient
+from ..platform.minion_client import MinionClient
 from ..platform.vms import VmListClient
-from ..platform.workers import WorkerClient
+from ..platform.worker_client import WorkerClient
 from ..records import NodeDraining, NodeLeft
 from ..settings import Settings, read_settings
 from ..state import Member, decode_state, encode_state
@@ -58,7 +58,7 @@
         timing = settings.timing
         self._parts = Parts(settings, incarnation=secrets.token_hex(4))
         metrics = Metrics()
-        client = Client(node.name, settings.platform.timeout_ms / 1000)
+        client = HttpClient(node.name, settings.platform.timeout_ms / 1000)
         log = LogClient(client, settings.platform.log)
         workers = WorkerClient(client)
         self._requests = RequestHandler(
--- a/src/snowdock/node/messages.py
+++ b/src/snowdock/node/messages.py
@@ -8,7 +8,7 @@
 from ..decisions.shares import MinionView
 from ..effects import BatchApplied
 from ..platform.logs import RawEntry
-from ..platform.workers import SyncAnswer
+from ..platform.worker_client import SyncReport
 from ..records import Record
 from ..state import State
 
@@ -143,7 +143,7 @@
     """A worker answered an order."""
 
     worker: str
-    answer: SyncAnswer
+    answer: SyncReport
 
 
 @_message
--- a/src/snowdock/node/requests.py
+++ b/src/snowdock/node/requests.py
@@ -25,7 +25,7 @@
     VerdictUnknown,
 )
 from ..logs import log_event
-from ..platform.minions import Exchange, ExchangeResult, MinionClient
+from ..platform.minion_client import ForwardOutcome, ForwardResult, MinionClient
 from ..records import RequestEnded, RequestIntended
 from ..request_ids import request_time_ms
 from .answers import AnswerBook
@@ -309,7 +309,7 @@
     def _try_minion(self, work: _Try, slot: Granted) -> CallOutcome | None:
         request = work.request
         started = steady_seconds()
-        exchange = Exchange(ExchangeResult.NOT_RUN, reason="not sent")
+        exchange = ForwardResult(ForwardOutcome.NOT_RUN, reason="not sent")
         try:
             if not request.repeatable and not work.intended:
                 refused = self._intend(work, slot.minion)
@@ -320,13 +320,13 @@
             # Where the request may still run at the minion, its slot is held back for as long
             # as any request may take: closing the connection does not end it there.
             seconds = steady_seconds() - started
-            failed = work.tries > 0 and exchange.result != ExchangeResult.RAN
-            is_unknown = exchange.result == ExchangeResult.UNKNOWN
+            failed = work.tries > 0 and exchange.outcome != ForwardOutcome.RAN
+            is_unknown = exchange.outcome == ForwardOutcome.UNKNOWN
             hold = work.endpoint.deadline_ms / 1000 if is_unknown else 0.0
             self._parts.router.tell(Released(slot.minion, failed, seconds, hold))
         return self._judge(work, slot, exchange)
 
-    def _send(self, work: _Try, slot: Granted) -> Exchange:
+    def _send(self, work: _Try, slot: Granted) -> ForwardResult:
         request = work.request
         work.tries += 1
         with span("minion", request.trace, minion=slot.minion) as current:
@@ -341,19 +341,19 @@
                 max(work.seconds_left, _MIN_SECONDS),
             )
 
-    def _judge(self, work: _Try, slot: Granted, exchange: Exchange) -> CallOutcome | None:
+    def _judge(self, work: _Try, slot: Granted, exchange: ForwardResult) -> CallOutcome | None:
         """Decide after one try: the final outcome, or None for another try."""
         request = work.request
-        if exchange.result == ExchangeResult.RAN:
+        if exchange.outcome == ForwardOutcome.RAN:
             self._budget.record_success()
-            answer = exchange.answer
+            answer = exchange.response
             return CallOutcome(
                 "ran", answer.status, answer.headers, answer.body, minion=slot.minion
             )
         log_event(
             "try_failed", request=request.request_id, minion=slot.minion, reason=exchange.reason
         )
-        if exchange.result == ExchangeResult.UNKNOWN:
+        if exchange.outcome == ForwardOutcome.UNKNOWN:
             work.may_have_run = True
             if not request.repeatable:
                 return _unknown(exchange.reason)
--- a/src/snowdock/node/scheduler.py
+++ b/src/snowdock/node/scheduler.py
@@ -7,7 +7,7 @@
 from ..decisions.capacity_index import CapacityIndex
 from ..decisions.placements import Unplaced, describe_work, place_tasks
 from ..decisions.preemption import choose_preemptions
-from ..declarations import ZERO, Size
+from ..declarations import ZERO_SIZE, Size
 from ..effects import Accepted, Verdict
 from ..policies import PolicySet
 from ..records import StopRequested, TasksPlaced
@@ -159,7 +159,7 @@
         if shape in hopeless:
             self._reasons[number] = hopeless[shape].reason
             return hopeless[shape]
-        reserved = self._reserved.get(spec.team, ZERO)
+        reserved = self._reserved.get(spec.team, ZERO_SIZE)
         result = place_tasks(work, state, self._index, self._policies, reserved)
         if isinstance(result, Unplaced):
             hopeless[shape] = result
@@ -171,7 +171,7 @@
         return result
 
     def _reserve(self, team: str, size: Size, times: int) -> None:
-        held = self._reserved.get(team, ZERO)
+        held = self._reserved.get(team, ZERO_SIZE)
         self._reserved[team] = Size(
             held.cpu + size.cpu * times,
             held.memory + size.memory * times,
--- a/src/snowdock/node/vm_watcher.py
+++ b/src/snowdock/node/vm_watcher.py
@@ -10,7 +10,7 @@
 from ..leases import earliest_loss_ms
 from ..logs import log_error
 from ..platform.vms import Vm, VmListClient
-from ..platform.workers import WorkerClient
+from ..platform.worker_client import WorkerClient
 from ..records import (
     MinionGone,
     MinionLeaving,
--- a/src/snowdock/node/worker_driver.py
+++ b/src/snowdock/node/worker_driver.py
@@ -10,7 +10,7 @@
 from ..decisions.orders import WorkerOrder, build_order
 from ..errors import PlatformError
 from ..logs import log_event
-from ..platform.workers import AttemptReport, WorkerClient
+from ..platform.worker_client import AttemptReport, WorkerClient
 from .messages import (
     AssignmentChanged,
     LogConfirmed,
--- a/src/snowdock/platform/_http.py
+++ b/src/snowdock/platform/_http.py
@@ -6,9 +6,9 @@
 
 from ..errors import PlatformError
 
-__all__ = ["ByteCounter", "Client"]
+__all__ = ["ByteCounter", "HttpClient"]
 
-_POOLS = 64
+_MAX_POOLS = 64
 _CONNECTIONS_PER_POOL = 4
 
 
@@ -32,7 +32,7 @@
             self._received += received
 
 
-class Client:
+class HttpClient:
     """An HTTP client that names its node and never retries by itself.
 
     Parameters
@@ -45,15 +45,15 @@
 
     def __init__(self, node: str, timeout: float) -> None:
         self._pool = urllib3.PoolManager(
-            num_pools=_POOLS,
+            num_pools=_MAX_POOLS,
             maxsize=_CONNECTIONS_PER_POOL,
             retries=False,
             headers={"User-Agent": f"snowdock/{node}"},
         )
         self._timeout = timeout
-        self.bytes = ByteCounter()
+        self.byte_counter = ByteCounter()
 
-    def exchange(
+    def request(
         self, method: str, url: str, body: bytes | None = None, timeout: float | None = None
     ) -> bytes:
         """Send a request and give back the answer's body.
@@ -64,12 +64,12 @@
             If there is no whole answer with a status of 200. The request may have taken
             effect all the same.
         """
-        response = self.exchange_any(method, url, body, timeout)
+        response = self.request_any_status(method, url, body, timeout)
         if response.status != 200:
             raise PlatformError(f"{method} {url} answered {response.status}")
         return response.data
 
-    def exchange_any(
+    def request_any_status(
         self, method: str, url: str, body: bytes | None = None, timeout: float | None = None
     ) -> urllib3.BaseHTTPResponse:
         """Send a request and give back the answer, whatever its status.
@@ -85,5 +85,5 @@
             )
         except urllib3.exceptions.HTTPError as error:
             raise PlatformError(f"{method} {url}: {error}") from error
-        self.bytes.add(len(body or b""), len(response.data))
+        self.byte_counter.add(len(body or b""), len(response.data))
         return response
--- a/src/snowdock/platform/_json.py
+++ b/src/snowdock/platform/_json.py
@@ -5,20 +5,20 @@
 import msgspec
 from msgspec import UNSET, Meta, UnsetType
 
-from ..errors import UNREADABLE, PlatformError
+from ..errors import DECODE_ERRORS, PlatformError
 
-__all__ = ["Born", "born_ms_of", "decode_json"]
+__all__ = ["BornMs", "decode_born_ms", "decode_json"]
 
-Born = Annotated[int, Meta(ge=0)] | UnsetType
+BornMs = Annotated[int, Meta(ge=0)] | UnsetType
 """When a worker's life began, in ms since 1970; may be left out, but is nothing other than that."""
 
 
-def born_ms_of(born: Born) -> int | None:
+def decode_born_ms(born: BornMs) -> int | None:
     """Give when a life began; None where it is untold."""
     return None if born is UNSET else born
 
 
-def decode_json(data: bytes, kind: type, subject: str = "answer"):
+def decode_json(data: bytes, model: type, subject: str = "answer"):
     """Decode an outside system's JSON into a validated model.
 
     Parameters
@@ -37,6 +37,6 @@
     """
     try:
         # Bytes in fields that nobody reads are to be text, too.
-        return msgspec.json.decode(data.decode(), type=kind)
-    except UNREADABLE as error:
+        return msgspec.json.decode(data.decode(), type=model)
+    except DECODE_ERRORS as error:
         raise PlatformError(f"{subject} does not fit: {error}") from error
--- a/src/snowdock/platform/advice.py
+++ b/src/snowdock/platform/advice.py
@@ -23,7 +23,7 @@
         headers = {"Content-Type": "application/json"}
         self._http = HttpPool(address, 1, headers) if address else None
 
-    def ask(self, wanted: AdviceRequest, seconds: float) -> AdviceResult:
+    def request_advice(self, request: AdviceRequest, timeout_s: float) -> AdviceResult:
         """Ask which of some workers may run a step.
 
         Raises
@@ -35,15 +35,15 @@
         """
         if self._http is None:
             raise PlatformError("the settings name no advice service")
-        step = f"{wanted.job}.{wanted.repetition}.{wanted.step}"
+        step = f"{request.job}.{request.repetition}.{request.step}"
         # The service knows workers by their ids.
-        lives = {worker_id_of(life): life for life in wanted.workers}
+        lives = {worker_id_of(life): life for life in request.workers}
         body = msgspec.json.encode({"step": step, "workers": list(lives)})
-        reply = self._http.call("POST", "/v1/advise", body, seconds)
+        reply = self._http.call("POST", "/v1/advise", body, timeout_s)
         if reply.status in (429, 503):
             raise StoreRefused(f"the advice service answered {reply.status}")
         if reply.status != 200:
             raise PlatformError(f"the advice service answered {reply.status}")
         answer = decode_json(reply.data, _Answer, "advice")
         good = {lives[worker]: ticket for worker, ticket in answer.good if worker in lives}
-        return AdviceResult(wanted, good)
+        return AdviceResult(request, good)
--- a/src/snowdock/platform/call_loop.py
+++ b/src/snowdock/platform/call_loop.py
@@ -18,10 +18,10 @@
 
 __all__ = ["CallLoop"]
 
-_WAKE_BYTES = 4096
+_MAX_WAKE_BYTES = 4096
 """The most wake-ups that are taken at a time."""
 
-_IDLE_SECONDS = 1.0
+_MAX_WAIT_SECONDS = 1.0
 """The longest wait for something to happen; a stop wakes the thread anyway."""
 
 
@@ -39,13 +39,13 @@
     def __init__(self, name: str) -> None:
         self._selector = selectors.DefaultSelector()
         self._submitted: collections.deque[Callable[[], None]] = collections.deque()
-        self._due: list[tuple[float, int, Callable[[float], None]]] = []
-        self._numbers = itertools.count()
+        self._timers: list[tuple[float, int, Callable[[float], None]]] = []
+        self._timer_numbers = itertools.count()
         self._stopped = threading.Event()
-        self._waking, self._woken = socket.socketpair()
-        self._waking.setblocking(False)
-        self._woken.setblocking(False)
-        self._selector.register(self._woken, selectors.EVENT_READ, self._take_wake)
+        self._wake_sender, self._wake_receiver = socket.socketpair()
+        self._wake_sender.setblocking(False)
+        self._wake_receiver.setblocking(False)
+        self._selector.register(self._wake_receiver, selectors.EVENT_READ, self._drain_wakeups)
         self._thread = ServiceThread(self._run, name, self._stopped.is_set)
 
     def start(self) -> None:
@@ -65,13 +65,13 @@
         """Wake the loop's thread for what was submitted: once for many calls."""
         # A full pipe means that it has been woken often enough, a closed one that it has ended.
         with contextlib.suppress(OSError):
-            self._waking.send(b"w")
+            self._wake_sender.send(b"w")
 
-    def watch(self, sock: socket.socket, events: int, ready: Callable[[int], None]) -> None:
+    def watch(self, sock: socket.socket, events: int, on_ready: Callable[[int], None]) -> None:
         """Call a function whenever a socket is ready; on the loop's thread."""
-        self._selector.register(sock, events, ready)
+        self._selector.register(sock, events, on_ready)
 
-    def rewatch(self, sock: socket.socket, events: int) -> None:
+    def change_events(self, sock: socket.socket, events: int) -> None:
         """Watch a socket for other events."""
         self._selector.modify(sock, events, self._selector.get_key(sock).data)
 
@@ -79,13 +79,13 @@
         """Watch a socket no more."""
         self._selector.unregister(sock)
 
-    def remind(self, at: float, due: Callable[[float], None]) -> None:
+    def call_at(self, at: float, callback: Callable[[float], None]) -> None:
         """Call a function with the steady time once it is ``at``, in seconds."""
-        heapq.heappush(self._due, (at, next(self._numbers), due))
+        heapq.heappush(self._timers, (at, next(self._timer_numbers), callback))
 
-    def _take_wake(self, _events: int) -> None:
+    def _drain_wakeups(self, _events: int) -> None:
         with contextlib.suppress(BlockingIOError):
-            self._woken.recv(_WAKE_BYTES)
+            self._wake_receiver.recv(_MAX_WAKE_BYTES)
 
     def _run(self) -> None:
         while not self._stopped.is_set():
@@ -94,19 +94,19 @@
             while self._submitted:
                 self._submitted.popleft()()
             now = steady_seconds()
-            while self._due and self._due[0][0] <= now:
-                heapq.heappop(self._due)[2](now)
+            while self._timers and self._timers[0][0] <= now:
+                heapq.heappop(self._timers)[2](now)
         self._close_all()
 
     def _close_all(self) -> None:
         for key in list(self._selector.get_map().values()):
             key.fileobj.close()
-        self._waking.close()
+        self._wake_sender.close()
         self._selector.close()
 
     def _wait_seconds(self) -> float:
         if self._submitted:
             return 0.0
-        if not self._due:
-            return _IDLE_SECONDS
-        return min(_IDLE_SECONDS, max(0.0, self._due[0][0] - steady_seconds()))
+        if not self._timers:
+            return _MAX_WAIT_SECONDS
+        return min(_MAX_WAIT_SECONDS, max(0.0, self._timers[0][0] - steady_seconds()))
--- a/src/snowdock/platform/configuration.py
+++ b/src/snowdock/platform/configuration.py
@@ -4,7 +4,7 @@
 
 from ..declarations import Size
 from ..jobs.model import AdviceTerms, Configuration, Limits, Queue, Service
-from ..teams import UNBOUNDED, Team, TeamBook, digest_key
+from ..teams import UNBOUNDED, Team, TeamRegistry, digest_key
 from ._json import decode_json
 
 __all__ = ["CONFIGURATION_KEY", "OPERATOR_TOPIC", "decode_configuration"]
@@ -60,7 +60,7 @@
     PlatformError
         If it does not fit.
     """
-    found = decode_json(data, _Configuration, "the configuration")
+    decoded = decode_json(data, _Configuration, "the configuration")
     queues = tuple(
         Queue(
             name=route.name,
@@ -73,20 +73,22 @@
             target_latency_ms=route.target_latency_ms,
             timeout_ms=route.timeout_ms,
             advice=route.advice,
-            is_public=route.public or found.tenants is None,
+            is_public=route.public or decoded.tenants is None,
         )
-        for route in found.routes
+        for route in decoded.routes
     )
-    teams = TeamBook(_decode_team(tenant) for tenant in found.tenants or ())
-    return Configuration(found.version, queues, tuple(found.services), found.limits, teams)
+    teams = TeamRegistry(_decode_team(tenant) for tenant in decoded.tenants or ())
+    return Configuration(decoded.version, queues, tuple(decoded.services), decoded.limits, teams)
 
 
 def _decode_team(tenant: _Tenant) -> Team:
-    most = tenant.max_count
+    max_count = tenant.max_count
     return Team(
         name=tenant.name,
         weight=max(0.0, tenant.weight),
         # A 0 stands for no bound.
-        quota=Size(*(amount or UNBOUNDED for amount in (most.cpu, most.mem_mb, most.gpu))),
+        quota=Size(
+            *(amount or UNBOUNDED for amount in (max_count.cpu, max_count.mem_mb, max_count.gpu))
+        ),
         key_digests=frozenset(digest_key(key.encode()) for key in tenant.api_keys),
     )
--- a/src/snowdock/platform/http_channel.py
+++ b/src/snowdock/platform/http_channel.py
@@ -16,7 +16,7 @@
 from ..errors import CallUnanswered
 from .call_loop import CallLoop
 
-__all__ = ["Channel", "Greeting", "Outcome", "Reply"]
+__all__ = ["CallOutcome", "Handshake", "HttpChannel", "Reply"]
 
 _CONNECT_SECONDS = 1.0
 """Longest wait for a connection: a path within a region answers in a few ms, a lost opening
@@ -34,12 +34,12 @@
     data: bytes
 
 
-Outcome = Reply | CallUnanswered
+CallOutcome = Reply | CallUnanswered
 """What came of a call; without an answer, it may have been carried out."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Greeting:
+class Handshake:
     """A call that goes first over each new connection.
 
     Attributes
@@ -56,12 +56,12 @@
 
     path: str
     body: bytes
-    judge: Callable[[Reply], Outcome | None]
-    seconds: float
-    tries: int
+    check: Callable[[Reply], CallOutcome | None]
+    timeout_s: float
+    max_attempts: int
 
 
-class Channel:
+class HttpChannel:
     """Calls to one address, one at a time, over a connection that is kept between them.
 
     A connection never outlives the process at its other end. So where a greeting has told which
@@ -84,44 +84,44 @@
         loop: CallLoop,
         address: str,
         headers: dict[str, str],
-        greeting: Greeting | None = None,
+        handshake: Handshake | None = None,
     ) -> None:
         self._loop = loop
         host, _, port = address.rpartition(":")
         self._host = host
         self._port = int(port)
         lines = [f"Host: {address}", *(f"{name}: {value}" for name, value in headers.items())]
-        self._head = "\r\n".join(lines).encode()
-        self._greeting = greeting
-        self._is_greeting = False
-        self._greetings_sent = 0
+        self._header_lines = "\r\n".join(lines).encode()
+        self._handshake = handshake
+        self._is_handshaking = False
+        self._handshakes_sent = 0
         self._request = b""
         self._socket: socket.socket | None = None
         self._is_connected = False
-        self._watched = 0
+        self._watched_events = 0
         self._unsent = b""
         self._parser: httptools.HttpResponseParser | None = None
         self._body: list[bytes] = []
-        self._is_whole = False
-        self._is_kept = False
-        self._answered: Callable[[Outcome], None] | None = None
-        self._call = ""
-        self._seconds = 0.0
-        self._limit_at = 0.0
-        self._reminded_at = 0.0
+        self._is_complete = False
+        self._keeps_alive = False
+        self._on_outcome: Callable[[CallOutcome], None] | None = None
+        self._call_label = ""
+        self._timeout_s = 0.0
+        self._deadline = 0.0
+        self._timer_at = 0.0
 
     @property
     def is_busy(self) -> bool:
         """Whether a call is on its way."""
-        return self._answered is not None
+        return self._on_outcome is not None
 
     @property
-    def _patience(self) -> float:
+    def _current_timeout_s(self) -> float:
         """The longest wait for a part of the answer to what is being sent, in seconds."""
-        return self._greeting.seconds if self._is_greeting else self._seconds
+        return self._handshake.timeout_s if self._is_handshaking else self._timeout_s
 
     def call(
-        self, path: str, body: bytes, seconds: float, answered: Callable[[Outcome], None]
+        self, path: str, body: bytes, timeout_s: float, on_outcome: Callable[[CallOutcome], None]
     ) -> None:
         """Post a body; only while no call is on its way.
 
@@ -134,25 +134,25 @@
         answered
             Called with the outcome, on the loop's thread.
         """
-        self._answered = answered
-        self._call = f"POST {self._host}:{self._port}{path[:80]}"
-        self._seconds = seconds
-        self._greetings_sent = 0
-        self._request = self._write(path, body)
+        self._on_outcome = on_outcome
+        self._call_label = f"POST {self._host}:{self._port}{path[:80]}"
+        self._timeout_s = timeout_s
+        self._handshakes_sent = 0
+        self._request = self._format_request(path, body)
         if self._socket is None:
             self._connect()
         else:
-            self._begin(self._request)
+            self._send_request(self._request)
 
-    def _write(self, path: str, body: bytes) -> bytes:
+    def _format_request(self, path: str, body: bytes) -> bytes:
         return b"POST %b HTTP/1.1\r\n%b\r\nContent-Length: %d\r\n\r\n%b" % (
             path.encode(),
-            self._head,
+            self._header_lines,
             len(body),
             body,
         )
 
-    def drop_idle(self) -> None:
+    def close_if_idle(self) -> None:
         """Use the connection no more if no call is on its way over it.
 
         Where one connection to an address has gone silent, others may have as well.
@@ -162,17 +162,17 @@
 
     def close(self) -> None:
         """Close the connection; a call on its way gets no outcome any more."""
-        self._answered = None
+        self._on_outcome = None
         self._disconnect()
 
-    def _check_time(self, now: float) -> None:
+    def _check_deadline(self, now: float) -> None:
         """Give the call up if its time is over."""
-        if not self.is_busy or self._reminded_at > now:
+        if not self.is_busy or self._timer_at > now:
             return
-        if self._limit_at > now:
-            self._set_reminder(self._limit_at)
+        if self._deadline > now:
+            self._set_timer(self._deadline)
             return
-        if self._is_greeting and self._greetings_sent < self._greeting.tries:
+        if self._is_handshaking and self._handshakes_sent < self._handshake.max_attempts:
             self._disconnect()
             self._connect()
             return
@@ -185,41 +185,41 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setblocking(False)
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        failure = self._socket.connect_ex((self._host, self._port))
-        if failure not in (0, errno.EINPROGRESS):
-            self._forget_socket()
+        error_number = self._socket.connect_ex((self._host, self._port))
+        if error_number not in (0, errno.EINPROGRESS):
+            self._close_socket()
             # Told later: what is asked for in answer to it may fail at once, too.
-            refused = CallUnanswered(f"{self._call}: {_describe(failure)}", True)
-            self._loop.submit(functools.partial(self._conclude, refused))
+            outcome = CallUnanswered(f"{self._call_label}: {_format_errno(error_number)}", True)
+            self._loop.submit(functools.partial(self._finish_call, outcome))
             return
-        ready = functools.partial(self._take_ready, self._socket)
-        self._loop.watch(self._socket, selectors.EVENT_WRITE, ready)
-        self._limit(min(self._seconds, _CONNECT_SECONDS))
+        on_ready = functools.partial(self._handle_ready, self._socket)
+        self._loop.watch(self._socket, selectors.EVENT_WRITE, on_ready)
+        self._set_deadline(min(self._timeout_s, _CONNECT_SECONDS))
 
     def _disconnect(self) -> None:
         if self._socket is None:
             return
         self._loop.unwatch(self._socket)
-        self._forget_socket()
+        self._close_socket()
 
-    def _forget_socket(self) -> None:
+    def _close_socket(self) -> None:
         self._socket.close()
         self._socket = None
         self._is_connected = False
-        self._is_greeting = False
-        self._watched = 0
+        self._is_handshaking = False
+        self._watched_events = 0
 
-    def _take_ready(self, ready: socket.socket, events: int) -> None:
-        if ready is not self._socket:
+    def _handle_ready(self, ready_socket: socket.socket, events: int) -> None:
+        if ready_socket is not self._socket:
             # It was given up by what another socket that is ready brought about.
             return
         if not self._is_connected:
-            failure = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if failure:
-                self._fail(_describe(failure), unsent=True)
+            error_number = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if error_number:
+                self._fail(_format_errno(error_number), unsent=True)
                 return
             self._is_connected = True
-            self._greet()
+            self._send_first_request()
         elif events & selectors.EVENT_READ:
             self._receive()
         elif events & selectors.EVENT_WRITE:
@@ -227,24 +227,24 @@
 
     # -- one call --------------------------------------------------------------------------
 
-    def _greet(self) -> None:
+    def _send_first_request(self) -> None:
         """Send the greeting over a new connection, or the call where there is none."""
-        if self._greeting is None:
-            self._begin(self._request)
+        if self._handshake is None:
+            self._send_request(self._request)
             return
-        self._is_greeting = True
-        self._greetings_sent += 1
-        self._begin(self._write(self._greeting.path, self._greeting.body))
+        self._is_handshaking = True
+        self._handshakes_sent += 1
+        self._send_request(self._format_request(self._handshake.path, self._handshake.body))
 
-    def _begin(self, request: bytes) -> None:
+    def _send_request(self, request: bytes) -> None:
         self._body = []
-        self._is_whole = False
+        self._is_complete = False
         self._parser = httptools.HttpResponseParser(self)
         self._unsent = request
         self._send()
 
     def _send(self) -> None:
-        self._limit(self._patience)
+        self._set_deadline(self._current_timeout_s)
         try:
             sent = self._socket.send(self._unsent)
         except BlockingIOError:
@@ -256,9 +256,9 @@
         events = selectors.EVENT_READ
         if self._unsent:
             events |= selectors.EVENT_WRITE
-        if events != self._watched:
-            self._watched = events
-            self._loop.rewatch(self._socket, events)
+        if events != self._watched_events:
+            self._watched_events = events
+            self._loop.change_events(self._socket, events)
 
     def _receive(self) -> None:
         try:
@@ -266,70 +266,70 @@
         except BlockingIOError:
             return
         except OSError as error:
-            self._end_connection(str(error))
+            self._handle_connection_end(str(error))
             return
         if not data:
-            self._end_connection("the connection was closed")
+            self._handle_connection_end("the connection was closed")
             return
         if not self.is_busy:
             # Nothing was asked; what this answers is unknown.
             self._disconnect()
             return
-        self._limit_at = steady_seconds() + self._patience
+        self._deadline = steady_seconds() + self._current_timeout_s
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             self._fail(f"not HTTP: {error}", unsent=False)
             return
-        if self._is_whole:
-            self._finish()
+        if self._is_complete:
+            self._handle_reply()
 
-    def _end_connection(self, reason: str) -> None:
+    def _handle_connection_end(self, reason: str) -> None:
         if self.is_busy:
             self._fail(reason, unsent=False)
         else:
             self._disconnect()
 
-    def _finish(self) -> None:
+    def _handle_reply(self) -> None:
         reply = Reply(self._parser.get_status_code(), b"".join(self._body))
-        if self._is_greeting:
-            self._finish_greeting(reply)
+        if self._is_handshaking:
+            self._handle_handshake_reply(reply)
             return
-        if not self._is_kept:
+        if not self._keeps_alive:
             self._disconnect()
-        self._conclude(reply)
+        self._finish_call(reply)
 
-    def _finish_greeting(self, reply: Reply) -> None:
-        instead = self._greeting.judge(reply)
-        if instead is not None:
+    def _handle_handshake_reply(self, reply: Reply) -> None:
+        outcome = self._handshake.check(reply)
+        if outcome is not None:
             self._disconnect()
-            self._conclude(instead)
-        elif not self._is_kept:
+            self._finish_call(outcome)
+        elif not self._keeps_alive:
             self._fail("the connection was not kept after the greeting", unsent=True)
         else:
-            self._is_greeting = False
-            self._begin(self._request)
+            self._is_handshaking = False
+            self._send_request(self._request)
 
     def _fail(self, reason: str, unsent: bool) -> None:
         # A call that waits for its greeting was not sent.
-        unsent = unsent or self._is_greeting
+        unsent = unsent or self._is_handshaking
         self._disconnect()
-        self._conclude(CallUnanswered(f"{self._call}: {reason}", unsent))
+        self._finish_call(CallUnanswered(f"{self._call_label}: {reason}", unsent))
 
-    def _conclude(self, outcome: Outcome) -> None:
-        answered, self._answered = self._answered, None
-        if answered is not None:
-            answered(outcome)
+    def _finish_call(self, outcome: CallOutcome) -> None:
+        on_outcome, self._on_outcome = self._on_outcome, None
+        if on_outcome is not None:
+            on_outcome(outcome)
 
-    def _limit(self, seconds: float) -> None:
-        self._limit_at = steady_seconds() + seconds
+    def _set_deadline(self, timeout_s: float) -> None:
+        self._deadline = steady_seconds() + timeout_s
         # An earlier reminder that is still to come looks at the limit anew.
-        if self._reminded_at > self._limit_at or self._reminded_at <= steady_seconds():
-            self._set_reminder(self._limit_at)
+        if self._timer_at > self._deadline or self._timer_at <= steady_seconds():
+            self._set_timer(self._deadline)
 
-    def _set_reminder(self, at: float) -> None:
-        self._reminded_at = at
-        self._loop.remind(at, self._check_time)
+    def _set_timer(self, at: float) -> None:
+        self._timer_at = at
+        self._loop.call_at(at, self._check_deadline)
 
     # -- called by httptools ---------------------------------------------------------------
 
@@ -339,9 +339,9 @@
 
     def on_message_complete(self) -> None:
         """Take note that the answer is whole, and whether the connection is kept."""
-        self._is_whole = True
-        self._is_kept = self._parser.should_keep_alive()
+        self._is_complete = True
+        self._keeps_alive = self._parser.should_keep_alive()
 
 
-def _describe(failure: int) -> str:
-    return errno.errorcode.get(failure, str(failure))
+def _format_errno(error_number: int) -> str:
+    return errno.errorcode.get(error_number, str(error_number))
--- a/src/snowdock/platform/http_pool.py
+++ b/src/snowdock/platform/http_pool.py
@@ -13,7 +13,7 @@
 """Longest wait for a connection: a path within a region answers in a few ms, a lost opening
 packet is repeated after about a second."""
 
-_UNSENT = (
+_CONNECT_ERRORS = (
     urllib3.exceptions.NewConnectionError
     | urllib3.exceptions.ConnectTimeoutError
     | urllib3.exceptions.ClosedPoolError
@@ -65,7 +65,7 @@
         method: str,
         target: str,
         body: bytes | None,
-        seconds: float,
+        timeout_s: float,
         headers: Mapping[str, str] | None = None,
     ) -> HttpReply:
         """Make one call.
@@ -84,7 +84,7 @@
         CallUnanswered
             If there is no whole answer; the call may have been carried out.
         """
-        timeout = urllib3.Timeout(connect=min(seconds, _CONNECT_SECONDS), read=seconds)
+        timeout = urllib3.Timeout(connect=min(timeout_s, _CONNECT_SECONDS), read=timeout_s)
         pool = self._pool
         try:
             return pool.urlopen(
@@ -98,11 +98,11 @@
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
             if isinstance(error, urllib3.exceptions.ReadTimeoutError):
-                self._drop_idle(pool)
+                self._replace_pool(pool)
             call = f"{method} {self._address}{target[:80]}"
-            raise CallUnanswered(f"{call}: {error}", isinstance(error, _UNSENT)) from error
+            raise CallUnanswered(f"{call}: {error}", isinstance(error, _CONNECT_ERRORS)) from error
 
-    def _drop_idle(self, pool: urllib3.HTTPConnectionPool) -> None:
+    def _replace_pool(self, pool: urllib3.HTTPConnectionPool) -> None:
         """Use no connection again that was idle when one has gone silent.
 
         All of them may have, without a reset; each would cost a time-out of its own.
