--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -12,7 +12,7 @@
 import random
 import statistics
 
-from bench.ways import format_worth, play_paired, put_in_force
+from bench.ways import apply_settings, format_worth, run_paired
 from snowdock.emulator import Emulator, EmulatorOptions, WorkloadOptions, draw_workload
 from snowdock.emulator.report import make_report
 from snowdock.emulator.workload import DrawnJob, default_mixes
@@ -28,7 +28,7 @@
 CHANGE_EVERY_SECONDS = (0.5, 2.5)
 LEADERLESS_SECONDS = (0.1, 2.0)
 DRAIN_SHARE = 0.35
-LEAST_WORKERS = 15
+MIN_WORKERS = 15
 """How often the leader goes or a worker drains, how long nobody leads then, how often it is a
 worker that drains, and how many workers are left to take work."""
 
@@ -64,7 +64,7 @@
 
 def play(way: str, seed: int, share: float, flaps: bool, changes: bool) -> Outcome:
     """Play a day."""
-    put_in_force(way)
+    apply_settings(way)
     mixes = [dataclasses.replace(mix, crashing_share=share) for mix in default_mixes()]
     workload = WorkloadOptions(SECONDS, LOAD, tuple(mixes))
     jobs = draw_workload(seed, workload)
@@ -72,14 +72,14 @@
     emulator = Emulator(seed, options, jobs)
     emulator.checks.is_undisturbed = False
     if flaps:
-        _plan_flap(emulator, random.Random(f"flaps of {seed}"))
+        _schedule_flap(emulator, random.Random(f"flaps of {seed}"))
     if changes:
-        _plan_change(emulator, random.Random(f"changes of {seed}"))
+        _schedule_leader_change(emulator, random.Random(f"changes of {seed}"))
     emulator.run_until(SECONDS + DRAIN_SECONDS)
-    return _judge(emulator, jobs)
+    return _evaluate(emulator, jobs)
 
 
-def _plan_flap(emulator: Emulator, source: random.Random) -> None:
+def _schedule_flap(emulator: Emulator, source: random.Random) -> None:
     """Take a share of the workers down, over and over."""
 
     def flap() -> None:
@@ -88,12 +88,12 @@
         lives = [life for life, model in emulator.workers.items() if model.is_up]
         for life in source.sample(lives, round(FLAP_SHARE * len(lives))):
             emulator.fleet.crash(life, RETURN_SECONDS)
-        _plan_flap(emulator, source)
+        _schedule_flap(emulator, source)
 
     emulator.timeline.call_after(FLAP_EVERY_SECONDS, flap)
 
 
-def _plan_change(emulator: Emulator, source: random.Random) -> None:
+def _schedule_leader_change(emulator: Emulator, source: random.Random) -> None:
     """Change the leader, or have a worker drain, over and over."""
 
     def change() -> None:
@@ -101,17 +101,17 @@
             return
         lives = [life for life, model in emulator.workers.items() if model.accepts_runs]
         if source.random() < DRAIN_SHARE:
-            if len(lives) > LEAST_WORKERS:
+            if len(lives) > MIN_WORKERS:
                 emulator.fleet.drain(source.choice(lives))
                 emulator.fleet.add(0)
         else:
             emulator.kill_leader(source.uniform(*LEADERLESS_SECONDS))
-        _plan_change(emulator, source)
+        _schedule_leader_change(emulator, source)
 
     emulator.timeline.call_after(source.uniform(*CHANGE_EVERY_SECONDS), change)
 
 
-def _judge(emulator: Emulator, jobs: list[DrawnJob]) -> Outcome:
+def _evaluate(emulator: Emulator, jobs: list[DrawnJob]) -> Outcome:
     bad = [job for job in jobs if job.crashing]
     failed = {job for job, status in emulator.statuses.items() if status is JobStatus.FAILED}
     good = [job for job in jobs if not job.crashing]
@@ -140,7 +140,7 @@
     parser.add_argument("--processes", type=int, default=4)
     options = parser.parse_args()
     given = (options.share, options.flaps, options.changes)
-    days = play_paired(play, options.ways, options.seeds, options.processes, *given)
+    days = run_paired(play, options.ways, options.seeds, options.processes, *given)
     print(f"{'way':<60} bad ended innocent crashes/bad heard_s worth (difference, spread) broken")
     first = days[options.ways[0]]
     for way, outcomes in days.items():
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -69,8 +69,8 @@
         seconds.append(time.perf_counter() - started)
         held.append((name, size))
         while len(held) > 2 * len(free):
-            given_back, back = held.pop(0)
-            free[given_back] = free[given_back].plus(back)
+            released_worker, released_size = held.pop(0)
+            free[released_worker] = free[released_worker].plus(released_size)
     return seconds
 
 
@@ -84,7 +84,7 @@
     return random.choice([name for name, room in free.items() if room.holds(size)])
 
 
-def show(label: str, seconds: list[float], placed: str = "") -> float:
+def print_timings(label: str, seconds: list[float], placed: str = "") -> float:
     """Print a line of figures and give decisions a second."""
     rate = len(seconds) / sum(seconds)
     p50, p99 = percentile(seconds, 0.5) * 1e3, percentile(seconds, 0.99) * 1e3
@@ -99,14 +99,14 @@
         print(f"{workers} workers, {tasks} running tasks, {accelerators} accelerators")
         for kind in ("batch", "service"):
             seconds, placed = measure(state, kind, DECISIONS, 1)
-            rate = show(f"{kind}, one task", seconds, f"{placed} of {DECISIONS} placed")
+            rate = print_timings(f"{kind}, one task", seconds, f"{placed} of {DECISIONS} placed")
             if kind == "batch":
                 batch_rate = rate
         gang = min(GANG, workers)
         seconds, placed = measure(state, "gang", GANGS, gang)
-        show(f"gang of {gang}", seconds, f"{placed} of {GANGS} placed")
-        base = show("random fit", measure_baseline(state, random_fit))
-        show("first fit", measure_baseline(state, first_fit))
+        print_timings(f"gang of {gang}", seconds, f"{placed} of {GANGS} placed")
+        base = print_timings("random fit", measure_baseline(state, random_fit))
+        print_timings("first fit", measure_baseline(state, first_fit))
         print(f"  batch decisions are {batch_rate / base:.2f} times as fast as a random fit")
 
 
--- a/bench/end_to_end.py
+++ b/bench/end_to_end.py
@@ -14,17 +14,17 @@
 from bench.tools import percentile
 from snowdock.settings import TimingSettings
 from tests.standins.cluster import ROOT, Cluster, wait_for
-from tests.standins.witness import check_promises
+from tests.standins.ledger_checks import check_ledgers
 
 EXAMPLE = ROOT / "examples" / "merchant-settlement"
-LOG_MS = 5
+LOG_DELAY_MS = 5
 SINGLE_JOBS = 60
 RATE = 280
 RATE_SECONDS = 10
 STEP_SECONDS = 0.1
 REQUESTS = 600
 WORK_MS = 10
-HALF, FULL = 8, 16
+HALF_LOAD_CALLERS, FULL_LOAD_CALLERS = 8, 16
 IDLE_SECONDS = 20
 SETTLE_SECONDS = 5
 BATCH = "[batch {name}]\nteam = payouts\ntasks = {tasks}\ncpu = 0.5\nmemory_gb = 0.5\n"
@@ -163,7 +163,7 @@
     timing = msgspec.to_builtins(TimingSettings())
     with Cluster(workers=24, minions=24, rack=6, halls=4, timing=timing) as cluster:
         cluster.start_nodes(3)
-        cluster.command("apply", str(EXAMPLE), "--wait")
+        cluster.run_cli("apply", str(EXAMPLE), "--wait")
         time.sleep(SETTLE_SECONDS)
         measure_idle(cluster)
 
@@ -173,9 +173,9 @@
     measure_idle_cluster()
     timing = {"vms_interval_ms": 1000, "heartbeat_ms": 1000, "silence_ms": 3000}
     with Cluster(workers=24, minions=24, rack=6, halls=4, timing=timing) as cluster:
-        cluster.set_faults(cluster.log, {"*": {"slow_ms": LOG_MS, "path": "/append"}})
+        cluster.set_faults(cluster.log, {"*": {"slow_ms": LOG_DELAY_MS, "path": "/append"}})
         cluster.start_nodes(3)
-        done = cluster.command("apply", str(EXAMPLE), "--wait")
+        done = cluster.run_cli("apply", str(EXAMPLE), "--wait")
         assert done.returncode == 0, done.stderr
         wait_for(
             lambda: all(
@@ -185,11 +185,11 @@
         )
         measure_waiting(cluster)
         measure_starts(cluster)
-        for at_once in (HALF, FULL):
+        for at_once in (HALF_LOAD_CALLERS, FULL_LOAD_CALLERS):
             measure_requests(cluster, at_once)
         measure_change(cluster)
         measure_failover(cluster)
-        print(f"  promises broken: {check_promises(cluster)}")
+        print(f"  promises broken: {check_ledgers(cluster)}")
 
 
 if __name__ == "__main__":
--- a/bench/failures.py
+++ b/bench/failures.py
@@ -10,7 +10,7 @@
 import dataclasses
 import statistics
 
-from bench.ways import format_worth, play_paired, put_in_force
+from bench.ways import apply_settings, format_worth, run_paired
 from snowdock.emulator import Emulator, EmulatorOptions, WorkloadOptions, draw_workload
 from snowdock.emulator.report import make_report
 from snowdock.emulator.workload import DrawnJob, default_mixes
@@ -51,14 +51,14 @@
     longest_s: float
     innocent: int
     spoiled: int
-    aside_s: float
-    sound_aside_s: float
-    heard_s: float
+    quarantined_s: float
+    healthy_quarantined_s: float
+    report_delay_s: float
     worth: float
     broken: int
 
 
-class _Day:
+class _Simulation:
     """A day being played, and what its leader tells of it."""
 
     def __init__(self, seed: int, failing: float, spoiling: float) -> None:
@@ -66,14 +66,14 @@
         workload = WorkloadOptions(SECONDS, LOAD, tuple(mixes))
         self.jobs = draw_workload(seed, workload)
         self.emulator = Emulator(seed, EmulatorOptions(workload), self.jobs)
-        self.emulator.set_effect_handler(LogDecision, self._note)
+        self.emulator.set_effect_handler(LogDecision, self._count_spoiled_run)
         lives = list(self.emulator.workers)
         self.spoiling = set(lives[: round(spoiling * len(lives))])
-        self.aside: dict[str, float] = dict.fromkeys(lives, 0.0)
+        self.quarantined_s: dict[str, float] = dict.fromkeys(lives, 0.0)
         self._good = {job.job for job in self.jobs if not job.is_hopeless}
         self.spoiled = 0
 
-    def _note(self, decided: LogDecision) -> None:
+    def _count_spoiled_run(self, decided: LogDecision) -> None:
         fields = dict(decided.fields)
         if decided.decision == "run_ended" and fields["how"] == "failed":
             spoils = SPOILS_FROM <= self.emulator.timeline.now <= SPOILS_UNTIL + 1
@@ -92,39 +92,39 @@
             emulator.run_until(at)
             for life, worker in emulator.leader_cell.workers.items():
                 if worker.quarantined_until > at and (spoils or life not in self.spoiling):
-                    self.aside[life] += 0.1
+                    self.quarantined_s[life] += 0.1
 
 
 def play(way: str, seed: int, failing: float, spoiling: float) -> Outcome:
     """Play a day."""
-    put_in_force(way)
-    day = _Day(seed, failing, spoiling)
+    apply_settings(way)
+    day = _Simulation(seed, failing, spoiling)
     day.play()
-    return _judge(day)
+    return _evaluate(day)
 
 
-def _judge(day: _Day) -> Outcome:
+def _evaluate(day: _Simulation) -> Outcome:
     emulator = day.emulator
     bad = [job for job in day.jobs if job.is_hopeless]
     good = [job for job in day.jobs if not job.is_hopeless]
     failed = {job for job, status in emulator.statuses.items() if status is JobStatus.FAILED}
     starved = emulator.starvation.starved_jobs.values()
-    sound = [seconds for life, seconds in day.aside.items() if life not in day.spoiling]
-    spoiling = [day.aside[life] for life in day.spoiling]
+    sound = [seconds for life, seconds in day.quarantined_s.items() if life not in day.spoiling]
+    spoiling = [day.quarantined_s[life] for life in day.spoiling]
     return Outcome(
         starved=len(starved),
         longest_s=max((each.seconds for each in starved), default=0.0),
         innocent=sum(job.job in failed for job in good),
         spoiled=day.spoiled,
-        aside_s=statistics.mean(spoiling) if spoiling else 0.0,
-        sound_aside_s=statistics.mean(sound),
-        heard_s=statistics.median(_heard(emulator, bad) or [0.0]),
+        quarantined_s=statistics.mean(spoiling) if spoiling else 0.0,
+        healthy_quarantined_s=statistics.mean(sound),
+        report_delay_s=statistics.median(_report_delays(emulator, bad) or [0.0]),
         worth=make_report(emulator, good).worth,
         broken=len(emulator.checks.violations),
     )
 
 
-def _heard(emulator: Emulator, bad: list[DrawnJob]) -> list[float]:
+def _report_delays(emulator: Emulator, bad: list[DrawnJob]) -> list[float]:
     shown = emulator.finished_at
     return [shown[job.job] - job.at for job in bad if job.job in shown]
 
@@ -143,7 +143,7 @@
     for failing, spoiling in chosen:
         print(f"{failing:.2f} of the jobs fail, {spoiling:.2f} of the workers spoil")
         given = (failing, spoiling)
-        _print_table(play_paired(play, options.ways, options.seeds, options.processes, *given))
+        _print_table(run_paired(play, options.ways, options.seeds, options.processes, *given))
 
 
 def _print_table(days: dict[str, list[Outcome]]) -> None:
@@ -154,9 +154,9 @@
             f" {max(day.longest_s for day in outcomes):7.1f}"
             f" {sum(day.innocent for day in outcomes):8d}"
             f" {sum(day.spoiled for day in outcomes):7d}"
-            f" {statistics.mean(day.aside_s for day in outcomes):7.2f}"
-            f" {statistics.mean(day.sound_aside_s for day in outcomes):7.2f}"
-            f" {statistics.mean(day.heard_s for day in outcomes):7.2f}"
+            f" {statistics.mean(day.quarantined_s for day in outcomes):7.2f}"
+            f" {statistics.mean(day.healthy_quarantined_s for day in outcomes):7.2f}"
+            f" {statistics.mean(day.report_delay_s for day in outcomes):7.2f}"
             f" {format_worth(outcomes, first)}"
             f" {sum(day.broken for day in outcomes):4d}  {way}",
             flush=True,
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -10,7 +10,7 @@
 
 from bench.tools import percentile
 from tests.standins.cluster import Cluster, wait_for
-from tests.standins.witness import check_promises
+from tests.standins.ledger_checks import check_ledgers
 
 SLOTS = 24
 WORK_MS = 200
@@ -22,7 +22,7 @@
 DECLARATIONS = "[endpoint settlement]\nminions = settlement\nqueue = 50\n"
 
 
-def offer(cluster: Cluster, load: float) -> None:
+def run_load(cluster: Cluster, load: float) -> None:
     """Offer a load for some seconds and print what became of it."""
     rate = CAPACITY * load
     started = time.perf_counter()
@@ -63,8 +63,8 @@
             "the slots are divided",
         )
         for load in LOADS:
-            offer(cluster, load)
-        print(f"  promises broken: {check_promises(cluster)}")
+            run_load(cluster, load)
+        print(f"  promises broken: {check_ledgers(cluster)}")
 
 
 if __name__ == "__main__":
--- a/bench/packing.py
+++ b/bench/packing.py
@@ -22,7 +22,7 @@
 PROGRAMS = ("packing_first.star", "waiting_first.star", "gang.star", "service_spread.star")
 
 
-def stream(seed: int) -> list[Size]:
+def draw_sizes(seed: int) -> list[Size]:
     """Give sizes that add up to half of all processors."""
     source = random.Random(seed)
     sizes, total = [], 0
@@ -58,7 +58,7 @@
     return sum(room != Size(16_000, 65_536) for room in free)
 
 
-def bound(sizes: list[Size]) -> int:
+def min_workers(sizes: list[Size]) -> int:
     """Give the fewest workers that could do, by the sums of sizes."""
     cpu, memory = sum(s.cpu for s in sizes), sum(s.memory for s in sizes)
     return max(math.ceil(cpu / 16_000), math.ceil(memory / 65_536))
@@ -66,8 +66,8 @@
 
 def main() -> None:
     """Measure every shipped program, averaged over a few streams."""
-    streams = [stream(seed) for seed in SEEDS]
-    best = sum(map(bound, streams)) / len(streams)
+    streams = [draw_sizes(seed) for seed in SEEDS]
+    best = sum(map(min_workers, streams)) / len(streams)
     print(f"{WORKERS} workers, half of the processors promised, mean of {len(streams)} streams")
     print(f"  {'bound':22} {best:5.1f} workers used")
     first = sum(map(used_by_first_fit, streams)) / len(streams)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -13,7 +13,17 @@
 
 import msgspec
 
-from bench.tools import ACCELERATORS, CPU, HALLS, MEMORY, TEAMS, Feed, fill, resident_mb, timed
+from bench.tools import (
+    ACCELERATORS,
+    CPU,
+    HALLS,
+    MEMORY,
+    TEAMS,
+    Feed,
+    fill,
+    measure_seconds,
+    resident_mb,
+)
 from snowdock.decisions.orders import build_order
 from snowdock.declarations import Declarations, Endpoint, Service, Size, Team, WorkSpec
 from snowdock.node.peer_messages import Heartbeat, encode_peer_message
@@ -52,7 +62,7 @@
 """Bytes of an HTTP exchange's heads, both ways, as the stand-ins send and get them."""
 
 
-def line(what: str, value: float, unit: str) -> None:
+def print_figure(what: str, value: float, unit: str) -> None:
     """Print one figure."""
     print(f"  {what:58} {value:12.3f} {unit}", flush=True)
 
@@ -66,13 +76,13 @@
     points = []
     for workers, tasks in SIZES:
         points.append((tasks, _grown_mb(f"fill({workers}, {tasks})")))
-        line(f"{workers} workers, {tasks} tasks", points[-1][1], "MB")
+        print_figure(f"{workers} workers, {tasks} tasks", points[-1][1], "MB")
     (small, low), (large, high) = points[0], points[-1]
     slope = (high - low) / (large - small) * 1000
-    line("slope, for a thousand tasks and a hundred workers", slope, "MB")
+    print_figure("slope, for a thousand tasks and a hundred workers", slope, "MB")
     for works in (TARGET_JOBS_A_DAY // 4, TARGET_JOBS_A_DAY // 2, TARGET_JOBS_A_DAY):
         grown = _grown_mb(f"slopes.finish(fill(130, 0), {works})")
-        line(f"{works} ended works of ten tasks, nearly all folded", grown, "MB")
+        print_figure(f"{works} ended works of ten tasks, nearly all folded", grown, "MB")
     return slope
 
 
@@ -142,8 +152,8 @@
             reduce(state, Entry(offset + 1 + number, decode_batch(raw)))
         seconds = (time.process_time() - started) / (works * tasks)
         bytes_a_task = sum(map(len, data)) / (works * tasks)
-        line(f"{workers} workers: decode and reduce, for a task", seconds * 1e6, "us")
-        line(f"{workers} workers: compressed, for a task", bytes_a_task, "bytes")
+        print_figure(f"{workers} workers: decode and reduce, for a task", seconds * 1e6, "us")
+        print_figure(f"{workers} workers: compressed, for a task", bytes_a_task, "bytes")
     return seconds, bytes_a_task
 
 
@@ -153,13 +163,15 @@
     state = fill(TARGET_WORKERS, TARGET_TASKS).state
     names = list(state.workers)
     reports = {n: AttemptReport("running", 500, 1024) for n in state.workers[names[0]].attempts}
-    seconds = timed(lambda: [build_order(state, name, reports, 0) for name in names]) / len(names)
+    seconds = measure_seconds(
+        lambda: [build_order(state, name, reports, 0) for name in names]
+    ) / len(names)
     order = build_order(state, names[0], reports, 0).order
     body = msgspec.json.encode(order)
     answer = SyncReport(names[0], "0123abcd", CPU, MEMORY, ACCELERATORS)
     total = len(body) + len(msgspec.json.encode(answer)) + HEADER_BYTES
-    line("build the order", seconds * 1e6, "us")
-    line("bytes of order and answer with heads", total, "bytes")
+    print_figure("build the order", seconds * 1e6, "us")
+    print_figure("bytes of order and answer with heads", total, "bytes")
     return seconds + measure_call(), total
 
 
@@ -175,7 +187,7 @@
         for _ in range(CALLS):
             client.sync(address, order)
         seconds = (time.process_time() - started) / CALLS
-    line("send an order over HTTP and read the answer", seconds * 1e6, "us")
+    print_figure("send an order over HTTP and read the answer", seconds * 1e6, "us")
     return seconds
 
 
@@ -185,10 +197,16 @@
     for workers, tasks in SIZES:
         state = fill(workers, tasks).state
         data = encode_state(state)
-        line(f"{workers} workers: size", len(data) / 1e6, "MB")
-        line(f"{workers} workers: compressed", len(zlib.compress(data)) / 1e6, "MB")
-        line(f"{workers} workers: encode", timed(lambda s=state: encode_state(s)) * 1e3, "ms")
-        line(f"{workers} workers: digest", timed(lambda s=state: digest(s)) * 1e3, "ms")
+        print_figure(f"{workers} workers: size", len(data) / 1e6, "MB")
+        print_figure(f"{workers} workers: compressed", len(zlib.compress(data)) / 1e6, "MB")
+        print_figure(
+            f"{workers} workers: encode",
+            measure_seconds(lambda s=state: encode_state(s)) * 1e3,
+            "ms",
+        )
+        print_figure(
+            f"{workers} workers: digest", measure_seconds(lambda s=state: digest(s)) * 1e3, "ms"
+        )
 
 
 def measure_configuration() -> float:
@@ -204,23 +222,23 @@
     )
     batch = Batch("bench", "b", 1, 0, 0, [ConfigurationProposed(0, declarations, "operator")])
     data = encode_batch(batch)
-    line("bytes on the log", len(data), "bytes")
-    line("at 1,100 a day", len(data) * TARGET_CHANGES_A_DAY / DAY, "bytes/s")
+    print_figure("bytes on the log", len(data), "bytes")
+    print_figure("at 1,100 a day", len(data) * TARGET_CHANGES_A_DAY / DAY, "bytes/s")
     return len(data)
 
 
 def measure_heartbeat() -> float:
     """Print the bytes of a heartbeat; give them."""
-    beat = Heartbeat(
+    heartbeat = Heartbeat(
         "entry-4", "0123456789ab", 10**7, 10**7, "0123456789abcdef", True, {"settlement": 21}
     )
-    size = len(encode_peer_message(beat))
+    size = len(encode_peer_message(heartbeat))
     print("peers")
-    line("a heartbeat", size, "bytes")
+    print_figure("a heartbeat", size, "bytes")
     return size
 
 
-def work_out(
+def print_estimate(
     memory: float, log: tuple[float, float], orders: tuple[float, float], change: float, beat: float
 ) -> None:
     """Print a node's share at the target, against its budgets."""
@@ -241,24 +259,24 @@
         ("heartbeats out and in, each second", 2 * (TARGET_NODES - 1) * beat, 0.0),
     )
     for what, rate, share in lines:
-        line(f"{what}: bytes a second", rate, "B/s")
-        line(f"{what}: part of a core (our own code)", share * 100, "%")
-    line("all bytes", sum(rate for _, rate, _ in lines), f"B/s of {BYTES_BUDGET}")
+        print_figure(f"{what}: bytes a second", rate, "B/s")
+        print_figure(f"{what}: part of a core (our own code)", share * 100, "%")
+    print_figure("all bytes", sum(rate for _, rate, _ in lines), f"B/s of {BYTES_BUDGET}")
     total_share = sum(share for _, _, share in lines) * 100
-    line("all processor time of our own code", total_share, f"% of {CPU_BUDGET * 100:.1f}")
-    line("state", memory * TARGET_TASKS / 1000, f"MB of {MEMORY_BUDGET_MB} with all else")
+    print_figure("all processor time of our own code", total_share, f"% of {CPU_BUDGET * 100:.1f}")
+    print_figure("state", memory * TARGET_TASKS / 1000, f"MB of {MEMORY_BUDGET_MB} with all else")
 
 
 def main() -> None:
     """Measure all, then work out the target."""
     gc.collect()
-    line("this process before anything", resident_mb(), "MB")
+    print_figure("this process before anything", resident_mb(), "MB")
     memory = measure_memory()
     log = measure_log()
     orders = measure_orders()
     measure_snapshot()
     change = measure_configuration()
-    work_out(memory, log, orders, change, measure_heartbeat())
+    print_estimate(memory, log, orders, change, measure_heartbeat())
 
 
 if __name__ == "__main__":
--- a/bench/tools.py
+++ b/bench/tools.py
@@ -40,7 +40,7 @@
         return int(statm.read().split()[1]) * resource.getpagesize() / 1e6
 
 
-def timed(function: Callable[[], object]) -> float:
+def measure_seconds(function: Callable[[], object]) -> float:
     """Give the seconds that a call takes."""
     started = time.perf_counter()
     function()
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -30,18 +30,18 @@
 STANDING = "standing"
 
 
-def put_in_force(way: str) -> None:
+def apply_settings(way: str) -> None:
     """Set the constants that a way names."""
     for setting in way.split(",") if way != STANDING else ():
         name, _, value = setting.partition("=")
         module, _, constant = name.rpartition(".")
-        found = importlib.import_module(f"snowdock.jobs.{module}")
-        if not hasattr(found, constant):
+        settings_module = importlib.import_module(f"snowdock.jobs.{module}")
+        if not hasattr(settings_module, constant):
             raise SystemExit(f"no such setting: {name}")
-        setattr(found, constant, ast.literal_eval(value))
+        setattr(settings_module, constant, ast.literal_eval(value))
 
 
-def play_paired(
+def run_paired(
     play: Callable, ways: list[str], seeds: int, processes: int, *given: object
 ) -> dict[str, list]:
     """Play all ways on the same seeds, from 1; give what came of each, by way.
@@ -75,7 +75,7 @@
 
 def play(way: str, seed: int, load: float) -> tuple[str, int, Report, float, float]:
     """Play a day; give its report, the mean use of processors under load, and the time taken."""
-    put_in_force(way)
+    apply_settings(way)
     whole = CAPACITY.times(WORKERS)
     teams = uneven_teams(TEAMS, whole.scaled(QUOTA_FACTOR))
     workload = WorkloadOptions(SECONDS, load, wide_mixes(), BURSTS, teams, HOT_TEAM)
@@ -103,7 +103,7 @@
     parser.add_argument("--processes", type=int, default=4)
     options = parser.parse_args()
     seeds = range(1, options.seeds + 1)
-    days = play_paired(play, options.ways, options.seeds, options.processes, options.load)
+    days = run_paired(play, options.ways, options.seeds, options.processes, options.load)
     played = [day for of_way in days.values() for day in of_way]
     first: dict[int, float] = {}
     print(f"{'way':<48} worth  (difference, spread)  queues' worth; worst teams; in use; broken")
--- a/demo/run.py
+++ b/demo/run.py
@@ -8,7 +8,7 @@
 import time
 
 from tests.standins.cluster import ROOT, Cluster, wait_for
-from tests.standins.witness import check_promises
+from tests.standins.ledger_checks import check_ledgers
 
 EXAMPLE = ROOT / "examples" / "merchant-settlement"
 REQUESTS = 60
@@ -21,7 +21,7 @@
         self._lines: list[str] = []
         self.is_good = True
 
-    def note(self, what: str, good: bool) -> None:
+    def add_check(self, what: str, good: bool) -> None:
         """Print a line and count it in."""
         self._lines.append(f"  {'ok  ' if good else 'FAIL'}  {what}")
         print(self._lines[-1], flush=True)
@@ -30,16 +30,16 @@
 
 def apply_example(cluster: Cluster, summary: Summary) -> None:
     """Publish the example's declarations."""
-    done = cluster.command("apply", str(EXAMPLE), "--wait", "--author", "demo")
-    said = done.stdout.strip().replace("\n", "; ") or done.stderr.strip()
-    summary.note(f"declarations applied: {said}", done.returncode == 0)
+    done = cluster.run_cli("apply", str(EXAMPLE), "--wait", "--author", "demo")
+    output = done.stdout.strip().replace("\n", "; ") or done.stderr.strip()
+    summary.add_check(f"declarations applied: {output}", done.returncode == 0)
 
 
 def submit_work(cluster: Cluster, summary: Summary) -> dict[str, int]:
     """Submit two batches and a gang; give their numbers by name."""
-    done = cluster.command("submit", str(EXAMPLE / "work" / "payouts.ini"), "--key", "demo")
+    done = cluster.run_cli("submit", str(EXAMPLE / "work" / "payouts.ini"), "--key", "demo")
     works = {name: int(number) for number, name in map(str.split, done.stdout.splitlines())}
-    summary.note(f"submitted: {', '.join(works)}", len(works) == 3)
+    summary.add_check(f"submitted: {', '.join(works)}", len(works) == 3)
     return works
 
 
@@ -54,7 +54,7 @@
 
     with concurrent.futures.ThreadPoolExecutor(8) as callers:
         whole = sum(callers.map(send, range(REQUESTS)))
-    summary.note(f"{whole} of {REQUESTS} requests answered whole", whole == REQUESTS)
+    summary.add_check(f"{whole} of {REQUESTS} requests answered whole", whole == REQUESTS)
 
 
 def kill_a_node(cluster: Cluster, summary: Summary, work: int) -> None:
@@ -64,7 +64,7 @@
         "work runs before a node is killed",
     )
     cluster.kill_node("node-0")
-    summary.note("node-0 killed while tasks run", True)
+    summary.add_check("node-0 killed while tasks run", True)
 
 
 def wait_for_works(cluster: Cluster, summary: Summary, works: dict[str, int]) -> None:
@@ -73,8 +73,10 @@
         report = cluster.wait_work("node-1", number)
         seconds = (report["finished_ms"] - report["submitted_ms"]) / 1000
         waited = (report["started_ms"] - report["submitted_ms"]) / 1000
-        said = f"{name}: {report['state']}, started after {waited:.2f} s, over in {seconds:.2f} s"
-        summary.note(said, report["state"] == "succeeded")
+        description = (
+            f"{name}: {report['state']}, started after {waited:.2f} s, over in {seconds:.2f} s"
+        )
+        summary.add_check(description, report["state"] == "succeeded")
 
 
 def check_service(cluster: Cluster, summary: Summary) -> None:
@@ -86,7 +88,7 @@
         return all(w["counts"] == {"running": 4} for w in services) and bool(services)
 
     wait_for(running, "the service runs all its tasks")
-    summary.note("the service runs with all its tasks", True)
+    summary.add_check("the service runs with all its tasks", True)
 
 
 def main() -> int:
@@ -102,8 +104,10 @@
         kill_a_node(cluster, summary, works["payouts-north"])
         wait_for_works(cluster, summary, works)
         check_service(cluster, summary)
-        problems = check_promises(cluster)
-        summary.note(f"promises checked against the stand-ins' ledgers: {problems}", not problems)
+        problems = check_ledgers(cluster)
+        summary.add_check(
+            f"promises checked against the stand-ins' ledgers: {problems}", not problems
+        )
     print(f"{'all well' if summary.is_good else 'FAILED'} in {time.monotonic() - started:.1f} s")
     return 0 if summary.is_good else 1
 
--- a/deploy/play_days.py
+++ b/deploy/play_days.py
@@ -27,7 +27,7 @@
 _SHARE_FACTORS = (0.5, 1.6)
 """How far a varied day's moments and shares may be from those of its file."""
 
-_DRAWN = pathlib.Path(__file__).parent.parent / "target" / "days"
+_DRAWN_FOLDER = pathlib.Path(__file__).parent.parent / "target" / "days"
 """Where days are put that were drawn, for the bench to read."""
 
 _ROW = re.compile(r"^(\S+)\s+\d+/\d+\s+[\d.]+\s+(-?[\d.]+)\s+([\d.]+)", re.MULTILINE)
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
+class DayResult:
     """How one day went; ``worth`` and ``served`` are None where it could not be played."""
 
     name: str
@@ -46,7 +46,7 @@
     first: str
 
 
-def play(bench: str, site: str, day: pathlib.Path, why: str) -> Played:
+def run_day(bench: str, site: str, day: pathlib.Path, why: str) -> DayResult:
     """Play one day."""
     command = [bench, "run", site, str(day), "--why", f"{why}: {day.stem}"]
     try:
@@ -54,14 +54,14 @@
             command, capture_output=True, text=True, timeout=_DAY_SECONDS, check=False
         )
     except subprocess.TimeoutExpired:
-        return Played(day.stem, None, None, "not played to its end", "")
+        return DayResult(day.stem, None, None, "not played to its end", "")
     row = _ROW.search(done.stdout)
     if row is None:
         lines = (done.stdout + done.stderr).strip().splitlines()
-        return Played(day.stem, None, None, "not played", lines[-1] if lines else "")
+        return DayResult(day.stem, None, None, "not played", lines[-1] if lines else "")
     broken = _BROKEN.search(done.stdout)
     first = _FIRST.search(done.stdout)
-    return Played(
+    return DayResult(
         day.stem,
         float(row[2]),
         float(row[3]),
@@ -83,9 +83,9 @@
         if "share" in trouble:
             share = trouble["share"] * source.uniform(*_SHARE_FACTORS)
             trouble["share"] = round(min(1.0, share), 3)
-    _DRAWN.mkdir(parents=True, exist_ok=True)
-    drawn = _DRAWN / day.name
-    drawn.write_text("".join(f"{key} = {_format(value)}\n" for key, value in fields.items()))
+    _DRAWN_FOLDER.mkdir(parents=True, exist_ok=True)
+    drawn = _DRAWN_FOLDER / day.name
+    drawn.write_text("".join(f"{key} = {_format_toml(value)}\n" for key, value in fields.items()))
     return drawn
 
 
@@ -93,12 +93,14 @@
     return source.uniform(-_EARLIER_SECONDS, _LATER_SECONDS)
 
 
-def _format(value: object) -> str:
+def _format_toml(value: object) -> str:
     """Write a value as TOML does."""
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{key} = {_format(each)}" for key, each in value.items()) + " }"
+        return (
+            "{ " + ", ".join(f"{key} = {_format_toml(each)}" for key, each in value.items()) + " }"
+        )
     if isinstance(value, list):
-        return "[" + ", ".join(map(_format, value)) + "]"
+        return "[" + ", ".join(map(_format_toml, value)) + "]"
     return json.dumps(value)
 
 
@@ -117,7 +119,9 @@
     if options.vary is not None or options.class_name:
         days = [draw_day(day, options.vary, options.class_name) for day in days]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        futures = [pool.submit(play, options.bench, options.site, day, options.why) for day in days]
+        futures = [
+            pool.submit(run_day, options.bench, options.site, day, options.why) for day in days
+        ]
         for future in futures:
             played = future.result()
             worth = "-" if played.worth is None else f"{played.worth:.3f}"
--- a/specs/check.py
+++ b/specs/check.py
@@ -24,10 +24,10 @@
     starvation_model,
 )
 
-__all__ = ["SMALL", "Result", "check", "main"]
+__all__ = ["SMALL_BOUNDS", "Result", "check", "main"]
 
 _MAX_STATES = 500_000
-_LIMITS_LEFT_OUT = (10_000, 40_000, 150_000)
+_REFUTATION_STATE_LIMITS = (10_000, 40_000, 150_000)
 """A refutation is sound in an unfinished search, so short ones are tried first."""
 
 
@@ -51,7 +51,7 @@
         return self.holds is True and self.can_finish is True
 
 
-FULL = {
+FULL_BOUNDS = {
     placement_model: placement_model.Bounds(),
     request_model: request_model.Bounds(),
     slot_model: slot_model.Bounds(),
@@ -63,7 +63,7 @@
     life_model: life_model.Bounds(),
 }
 
-SMALL = {
+SMALL_BOUNDS = {
     placement_model: placement_model.Bounds(ticks=4, restarts=0),
     request_model: request_model.Bounds(restarts=1),
     slot_model: slot_model.Bounds(ticks=2),
@@ -91,38 +91,38 @@
     """
     started = time.perf_counter()
     protocol = module.make_model(bounds, left_out)
-    for limit in _LIMITS_LEFT_OUT if left_out else (_MAX_STATES,):
-        found = check_safety(protocol, max_states=limit)
-        verdicts = [verdict["holds"] for verdict in found["properties"].values()]
-        holds = False if False in verdicts else (None if None in verdicts else True)
+    for limit in _REFUTATION_STATE_LIMITS if left_out else (_MAX_STATES,):
+        report = check_safety(protocol, max_states=limit)
+        property_results = [verdict["holds"] for verdict in report["properties"].values()]
+        holds = False if False in property_results else (None if None in property_results else True)
         if holds is not None:
             break
     can_finish = None
     if not left_out and holds:
         can_finish = check_liveness(protocol)["holds"]
-    traces = [v["counterexample"] for v in found["properties"].values() if v["counterexample"]]
+    traces = [v["counterexample"] for v in report["properties"].values() if v["counterexample"]]
     return Result(
         module.__name__.rpartition(".")[2],
         left_out,
         holds,
         can_finish,
-        found["reachable_states"],
+        report["reachable_states"],
         time.perf_counter() - started,
         min((len(trace) - 1 for trace in traces), default=0),
     )
 
 
-def describe(result: Result) -> str:
+def format_result(result: Result) -> str:
     """Write a result as one line."""
-    what = f"without {result.left_out}" if result.left_out else "as it is"
+    variant = f"without {result.left_out}" if result.left_out else "as it is"
     if result.holds is False:
         verdict = f"refuted in {result.steps} steps"
     else:
         verdict = {True: "holds", None: "undecided"}[result.holds]
         verdict += f", can finish: {result.can_finish}" if not result.left_out else ""
     mark = "ok  " if result.is_expected else "FAIL"
-    counted = f"{result.states} states, {result.seconds:.1f} s"
-    return f"{mark} {result.model:20} {what:36} {verdict} ({counted})"
+    counts = f"{result.states} states, {result.seconds:.1f} s"
+    return f"{mark} {result.model:20} {variant:36} {verdict} ({counts})"
 
 
 def main() -> int:
@@ -130,16 +130,16 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--small", action="store_true", help="use the bounds of the tests")
     options = parser.parse_args()
-    all_bounds = SMALL if options.small else FULL
-    is_good = True
+    all_bounds = SMALL_BOUNDS if options.small else FULL_BOUNDS
+    all_expected = True
     for module, bounds in all_bounds.items():
         print(f"{module.__name__}: {bounds}")
         for left_out in ("", *module.RULES):
             # Leaving a rule out is refuted best within the larger bounds.
-            result = check(module, FULL[module] if left_out else bounds, left_out)
-            print(describe(result), flush=True)
-            is_good = is_good and result.is_expected
-    return 0 if is_good else 1
+            result = check(module, FULL_BOUNDS[module] if left_out else bounds, left_out)
+            print(format_result(result), flush=True)
+            all_expected = all_expected and result.is_expected
+    return 0 if all_expected else 1
 
 
 if __name__ == "__main__":
--- a/specs/configuration_model.py
+++ b/specs/configuration_model.py
@@ -9,7 +9,7 @@
 
 from minicheck import Protocol
 
-from .tools import Rules, make_protocol, replaced
+from .tools import Rules, make_protocol, replace_item
 
 __all__ = ["RULES", "Append", "Bounds", "State", "make_model", "parse_append"]
 
@@ -89,7 +89,7 @@
         steps = []
 
         def step(label: str, changed: Node, **fields: object) -> None:
-            nodes = replaced(state.nodes, number, changed)
+            nodes = replace_item(state.nodes, number, changed)
             steps.append((label, state._replace(nodes=nodes, **fields)))
 
         version = version_at(state.log, node.read)
@@ -98,7 +98,7 @@
         serves = node.read >= node.end or not self._holds("caught_up_before_serving")
         if serves and state.shown[number] != version:
             fell = state.fell or version < state.shown[number]
-            shown = replaced(state.shown, number, version)
+            shown = replace_item(state.shown, number, version)
             step(f"node {number} shows {version}", node, shown=shown, fell=fell)
         if serves and not node.pending and state.shown[number] == version:
             change = Append(number, version)
@@ -107,7 +107,7 @@
             taken = self._append(state, node.pending)
             # The answer may be lost; then the same change is appended again.
             steps.append((node.pending.label, taken))
-            nodes = replaced(taken.nodes, number, node._replace(pending=()))
+            nodes = replace_item(taken.nodes, number, node._replace(pending=()))
             steps.append((node.pending.label, taken._replace(nodes=nodes)))
         if state.restarts < self._bounds.restarts:
             fresh = Node(end=len(state.log))
--- a/specs/crash_model.py
+++ b/specs/crash_model.py
@@ -15,10 +15,10 @@
 
 __all__ = ["RULES", "Bounds", "Phase", "State", "make_model"]
 
-MOST_CRASHES = 3
-MOST_LOSSES = 5
-COUNT_ALL_FROM = 3
-MOST_MORE = 2
+MAX_CRASHES = 3
+MAX_LOSSES = 5
+COUNT_INTERRUPTIONS_FROM_LOSSES = 3
+MAX_EXTRA_STARTS = 2
 """How many starts users allow after the third crash."""
 
 RULES = (
@@ -47,17 +47,17 @@
     GIVEN_UP = 6
 
 
-class There(enum.IntEnum):
+class RemoteState(enum.IntEnum):
     """What is at the worker of the newest run."""
 
     NOTHING = 0
-    ON_ITS_WAY = 1
+    IN_TRANSIT = 1
     CRASHED = 2
-    BROKEN_OFF = 3
+    INTERRUPTED = 3
     """It was there, and ended with its gang while its worker went on."""
 
 
-_PLACED = (Phase.PLACED, Phase.ORDERED, Phase.UNANSWERED, Phase.RUNNING, Phase.ADOPTED)
+_PLACED_PHASES = (Phase.PLACED, Phase.ORDERED, Phase.UNANSWERED, Phase.RUNNING, Phase.ADOPTED)
 
 _RULE_OF_PHASE = {
     Phase.RUNNING: "answered",
@@ -95,7 +95,7 @@
     crashes: int = 0
     losses: int = 0
     record: Record = Record()
-    there: There = There.NOTHING
+    there: RemoteState = RemoteState.NOTHING
     crashed: int = 0
     more: int = 0
     takeovers: int = 0
@@ -111,23 +111,23 @@
     def transitions(self, state: State) -> list:
         """List what can happen next."""
         state = state._replace(record=Record(*state.record))
-        if state.more > MOST_MORE:
+        if state.more > MAX_EXTRA_STARTS:
             return []
-        steps = [*self._of_leader(state), *self._of_worker(state)]
-        if state.record != _to_record(state):
-            steps.append(("is on record", self._put_on_record(state)))
+        steps = [*self._leader_steps(state), *self._worker_steps(state)]
+        if state.record != _make_record(state):
+            steps.append(("is on record", self._append_record(state)))
         if state.takeovers < self._bounds.takeovers:
-            steps.append(("another leader takes over", self._take_over(state)))
+            steps.append(("another leader takes over", self._change_leader(state)))
         return steps
 
     @staticmethod
-    def _put_on_record(state: State) -> State:
+    def _append_record(state: State) -> State:
         # Until then, a successor looks for the run before.
         is_new = state.record.run != state.run
-        there = There.NOTHING if is_new else state.there
-        return state._replace(record=_to_record(state), there=there)
+        there = RemoteState.NOTHING if is_new else state.there
+        return state._replace(record=_make_record(state), there=there)
 
-    def _take_over(self, state: State) -> State:
+    def _change_leader(self, state: State) -> State:
         record = state.record
         crashes, losses = (record.crashes, record.losses) if self._holds("on_record") else (0, 0)
         after = state._replace(
@@ -137,34 +137,34 @@
             losses=losses,
             takeovers=state.takeovers + 1,
         )
-        return _give_up_if_due(after)
+        return _give_up_at_limit(after)
 
-    def _of_leader(self, state: State) -> list:
+    def _leader_steps(self, state: State) -> list:
         phase, there = state.phase, state.there
         if phase is Phase.WAITING:
             return [("is placed", state._replace(phase=Phase.PLACED, run=1 - state.run))]
-        if phase is Phase.PLACED and state.record == _to_record(state):
-            sent = state._replace(phase=Phase.ORDERED, there=There.ON_ITS_WAY)
+        if phase is Phase.PLACED and state.record == _make_record(state):
+            sent = state._replace(phase=Phase.ORDERED, there=RemoteState.IN_TRANSIT)
             return [("is sent", sent)]
         if phase is Phase.ORDERED:
             steps = [("is not answered", state._replace(phase=Phase.UNANSWERED))]
-            if there in (There.CRASHED, There.BROKEN_OFF):
+            if there in (RemoteState.CRASHED, RemoteState.INTERRUPTED):
                 steps.append(("is answered", state._replace(phase=Phase.RUNNING)))
             return steps
-        return self._settle(state)
+        return self._run_end_steps(state)
 
-    def _settle(self, state: State) -> list:
+    def _run_end_steps(self, state: State) -> list:
         """List how it becomes sure that a run is over."""
         phase, there = state.phase, state.there
         if phase not in _RULE_OF_PHASE:
             return []
-        if there is There.BROKEN_OFF:
-            counts = state.losses >= COUNT_ALL_FROM
-            after = self._charge(state, "told_ends", 0) if counts else self._forget(state)
+        if there is RemoteState.INTERRUPTED:
+            counts = state.losses >= COUNT_INTERRUPTIONS_FROM_LOSSES
+            after = self._charge(state, "told_ends", 0) if counts else self._requeue(state)
             return [("is told as broken off", after)]
-        if there is not There.CRASHED:
+        if there is not RemoteState.CRASHED:
             # The worker refuses for good what is not there yet, or the new leader's token does.
-            return [("was not there", self._forget(state))] if phase is not Phase.RUNNING else []
+            return [("was not there", self._requeue(state))] if phase is not Phase.RUNNING else []
         # Without the worker's word it may have gone before the start arrived.
         crashes = 1 if phase is Phase.RUNNING else 0
         steps = [("another life answers", self._charge(state, _RULE_OF_PHASE[phase], crashes))]
@@ -176,33 +176,33 @@
         return steps
 
     @staticmethod
-    def _forget(state: State) -> State:
-        return state._replace(phase=Phase.WAITING, there=There.NOTHING)
+    def _requeue(state: State) -> State:
+        return state._replace(phase=Phase.WAITING, there=RemoteState.NOTHING)
 
     def _charge(self, state: State, rule: str, crashes: int) -> State:
         after = state._replace(phase=Phase.WAITING)
         if not self._holds(rule):
             return after
         after = after._replace(crashes=state.crashes + crashes, losses=state.losses + 1)
-        return _give_up_if_due(after)
+        return _give_up_at_limit(after)
 
-    def _of_worker(self, state: State) -> list:
-        if state.there is not There.ON_ITS_WAY:
+    def _worker_steps(self, state: State) -> list:
+        if state.there is not RemoteState.IN_TRANSIT:
             return []
-        more = state.more + (state.crashed >= MOST_CRASHES)
-        crashed = min(state.crashed + 1, MOST_CRASHES)
-        arrived = state._replace(there=There.CRASHED, crashed=crashed, more=more)
-        broken = state._replace(there=There.BROKEN_OFF, more=more)
-        lost = state._replace(there=There.NOTHING)
+        more = state.more + (state.crashed >= MAX_CRASHES)
+        crashed = min(state.crashed + 1, MAX_CRASHES)
+        arrived = state._replace(there=RemoteState.CRASHED, crashed=crashed, more=more)
+        broken = state._replace(there=RemoteState.INTERRUPTED, more=more)
+        lost = state._replace(there=RemoteState.NOTHING)
         return [("arrives", arrived), ("breaks off", broken), ("is lost on its way", lost)]
 
 
-def _to_record(state: State) -> Record:
-    return Record(state.run, state.phase in _PLACED, state.crashes, state.losses)
+def _make_record(state: State) -> Record:
+    return Record(state.run, state.phase in _PLACED_PHASES, state.crashes, state.losses)
 
 
-def _give_up_if_due(state: State) -> State:
-    if state.crashes >= MOST_CRASHES or state.losses >= MOST_LOSSES:
+def _give_up_at_limit(state: State) -> State:
+    if state.crashes >= MAX_CRASHES or state.losses >= MAX_LOSSES:
         return state._replace(phase=Phase.GIVEN_UP)
     return state
 
@@ -215,6 +215,6 @@
         left_out,
         State(),
         model.transitions,
-        {"starts_are_bounded": lambda state: state["more"] <= MOST_MORE},
+        {"starts_are_bounded": lambda state: state["more"] <= MAX_EXTRA_STARTS},
         lambda state: state["phase"] is Phase.GIVEN_UP,
     )
--- a/specs/election_model.py
+++ b/specs/election_model.py
@@ -11,18 +11,18 @@
 
 from snowdock.entry.turnover import next_turnover, timeout_factor
 
-from .tools import Rules, make_protocol, replaced
+from .tools import Rules, make_protocol, replace_item
 
-__all__ = ["MOST_CLAIMS", "RULES", "Bounds", "State", "make_model"]
+__all__ = ["MAX_CLAIMS", "RULES", "Bounds", "State", "make_model"]
 
 NODES = 2
-USUAL_WAIT = 1
+LEADER_TIMEOUT_TICKS = 1
 """Ticks for which a settled leader that is silent is waited for."""
 
-SILENCE = 5
+STARTUP_SILENCE_TICKS = 5
 """Ticks for which a claimant gives no sign."""
 
-MOST_CLAIMS = 4
+MAX_CLAIMS = 4
 """Waits of 1, 2 and 4 ticks are too short, one of 8 is not."""
 
 RULES = ("claim_on_condition", "growing_patience", "fenced_orders")
@@ -67,41 +67,41 @@
 
     def transitions(self, state: State) -> list:
         """List what can happen next."""
-        steps = self._tick(state)
+        steps = self._tick_steps(state)
         for number, node in enumerate(state.nodes):
-            steps += self._read(state, number, node)
-            steps += self._claim(state, number, node)
-            steps += self._order(state, number, node)
+            steps += self._read_steps(state, number, node)
+            steps += self._claim_steps(state, number, node)
+            steps += self._order_steps(state, number, node)
         return steps
 
-    def _tick(self, state: State) -> list:
+    def _tick_steps(self, state: State) -> list:
         if state.now >= self._bounds.ticks:
             return []
         now = state.now + 1
-        has_shown = state.claims > 0 and now >= state.claimed_at + SILENCE
-        return [("tick", state._replace(now=now, is_settled=state.is_settled or has_shown))]
+        has_reported = state.claims > 0 and now >= state.claimed_at + STARTUP_SILENCE_TICKS
+        return [("tick", state._replace(now=now, is_settled=state.is_settled or has_reported))]
 
-    def _read(self, state: State, number: int, node: Node) -> list:
+    def _read_steps(self, state: State, number: int, node: Node) -> list:
         if node.seen_end == state.end:
             return []
         # Whoever reads of another leader leads no more.
         own_epoch = node.own_epoch if state.leader == number else 0
-        nodes = replaced(state.nodes, number, Node(state.end, own_epoch))
+        nodes = replace_item(state.nodes, number, Node(state.end, own_epoch))
         return [(f"node {number} reads", state._replace(nodes=nodes))]
 
-    def _claim(self, state: State, number: int, node: Node) -> list:
-        if node.own_epoch or state.is_settled or state.claims > MOST_CLAIMS:
+    def _claim_steps(self, state: State, number: int, node: Node) -> list:
+        if node.own_epoch or state.is_settled or state.claims > MAX_CLAIMS:
             return []
         if node.seen_end != state.end and self._holds("claim_on_condition"):
             return []
-        led = state.now - state.claimed_at
-        if state.claims and led < self._wait(state):
+        leader_age = state.now - state.claimed_at
+        if state.claims and leader_age < self._takeover_timeout(state):
             return []
         turnover = 0
         if state.claims:
             # Ticks stand for seconds here.
-            turnover = next_turnover(state.turnover, float(led), is_evident=False)
-        nodes = replaced(state.nodes, number, Node(node.seen_end + 1, node.seen_end + 1))
+            turnover = next_turnover(state.turnover, float(leader_age), is_evident=False)
+        nodes = replace_item(state.nodes, number, Node(node.seen_end + 1, node.seen_end + 1))
         after = state._replace(
             end=state.end + 1,
             leader=number,
@@ -112,12 +112,12 @@
         )
         return [(f"node {number} claims", after)]
 
-    def _wait(self, state: State) -> float:
+    def _takeover_timeout(self, state: State) -> float:
         if not self._holds("growing_patience"):
-            return USUAL_WAIT
-        return USUAL_WAIT * timeout_factor(state.turnover, 0.0)
+            return LEADER_TIMEOUT_TICKS
+        return LEADER_TIMEOUT_TICKS * timeout_factor(state.turnover, 0.0)
 
-    def _order(self, state: State, number: int, node: Node) -> list:
+    def _order_steps(self, state: State, number: int, node: Node) -> list:
         if not node.own_epoch or len(state.orders) >= self._bounds.orders:
             return []
         newest = max(state.orders, default=0)
@@ -136,18 +136,18 @@
         State(),
         model.transitions,
         {
-            "one_leader_an_epoch": _one_leader_an_epoch,
-            "takeovers_end": lambda state: state["claims"] <= MOST_CLAIMS,
-            "no_order_of_an_older_leader": _no_order_of_an_older_leader,
+            "one_leader_an_epoch": _one_leader_per_epoch,
+            "takeovers_end": lambda state: state["claims"] <= MAX_CLAIMS,
+            "no_order_of_an_older_leader": _order_epochs_never_decrease,
         },
         lambda state: state["is_settled"] or state["now"] >= bounds.ticks,
     )
 
 
-def _one_leader_an_epoch(state: dict) -> bool:
+def _one_leader_per_epoch(state: dict) -> bool:
     epochs = [node.own_epoch for node in state["nodes"] if node.own_epoch]
     return len(epochs) == len(set(epochs))
 
 
-def _no_order_of_an_older_leader(state: dict) -> bool:
+def _order_epochs_never_decrease(state: dict) -> bool:
     return list(state["orders"]) == sorted(state["orders"])
--- a/specs/life_model.py
+++ b/specs/life_model.py
@@ -20,9 +20,9 @@
 life that it was sent to or nobody, a start goes out once its placement is on record, and an end is
 acknowledged once it is."""
 
-_EARLIER_ENDS = 1
+_ACKNOWLEDGED_ENDS = 1
 
-_ELSEWHERE = -1
+_OTHER_WORKER = -1
 """Stands on record for the worker that never goes."""
 
 
@@ -47,16 +47,16 @@
 
     worker_life: int = 0
     running: int = 0
-    ends: int = _EARLIER_ENDS
+    ends: int = _ACKNOWLEDGED_ENDS
     end: tuple = ()
-    forgotten: int = _EARLIER_ENDS
+    forgotten: int = _ACKNOWLEDGED_ENDS
     start: tuple = ()
     ack: tuple = ()
     life: int = 0
     placed: int = 0
     is_sent: bool = False
     run: int = 0
-    known: int = _EARLIER_ENDS
+    known: int = _ACKNOWLEDGED_ENDS
     is_done: bool = False
     recorded_run: int = 0
     recorded_life: int = 0
@@ -78,12 +78,12 @@
         """List what can happen next."""
         if state.is_twice:
             return []
-        steps = [*self._at_worker(state), *self._at_leader(state)]
+        steps = [*self._worker_steps(state), *self._leader_steps(state)]
         return [(label, after) for label, after in steps if after != state]
 
     # -- the worker ------------------------------------------------------------------------
 
-    def _at_worker(self, state: State) -> list:
+    def _worker_steps(self, state: State) -> list:
         steps = []
         if state.worker_life < self._bounds.restarts:
             begun = state._replace(
@@ -95,29 +95,29 @@
             ended = state._replace(running=0, ends=ends, end=(ends, state.running))
             steps.append(("the run ends well", ended))
         if state.start:
-            steps.append(("the start arrives", self._take_start(state)))
+            steps.append(("the start arrives", self._receive_start(state)))
         if state.ack:
-            steps.append(("the acknowledgement arrives", self._take_ack(state)))
+            steps.append(("the acknowledgement arrives", self._receive_ack(state)))
         if state.elsewhere:
             ended = state._replace(elsewhere=0, is_done=True, is_recorded_done=True)
             steps.append(("the run elsewhere ends", ended))
         return steps
 
-    def _reaches(self, state: State, life: int) -> bool:
+    def _accepts_call(self, state: State, life: int) -> bool:
         return life == state.worker_life or not self._holds("greeting")
 
-    def _take_start(self, state: State) -> State:
+    def _receive_start(self, state: State) -> State:
         life, run = state.start
         after = state._replace(start=())
-        if not self._reaches(state, life) or state.running or state.end:
+        if not self._accepts_call(state, life) or state.running or state.end:
             return after
         is_twice = state.is_noted or bool(state.elsewhere)
         return after._replace(running=run, is_twice=is_twice)
 
-    def _take_ack(self, state: State) -> State:
+    def _receive_ack(self, state: State) -> State:
         life, number = state.ack
         after = state._replace(ack=())
-        if not self._reaches(state, life):
+        if not self._accepts_call(state, life):
             return after
         after = after._replace(forgotten=max(state.forgotten, number))
         if state.end and state.end[0] <= number:
@@ -126,9 +126,9 @@
 
     # -- the leader ------------------------------------------------------------------------
 
-    def _at_leader(self, state: State) -> list:
+    def _leader_steps(self, state: State) -> list:
         steps = [
-            ("the leader hears the worker", self._hear(state)),
+            ("the leader hears the worker", self._apply_report(state)),
             ("progress goes on record", self._record(state)),
         ]
         is_idle = not (state.placed or state.elsewhere or state.is_done)
@@ -143,7 +143,7 @@
         if self._may_acknowledge(state):
             steps.append(("ends are acknowledged", state._replace(ack=(state.life, state.known))))
         if state.takeovers < self._bounds.takeovers:
-            steps.append(("another leader takes over", self._take_over(state)))
+            steps.append(("another leader takes over", self._change_leader(state)))
         return steps
 
     def _may_send(self, state: State) -> bool:
@@ -159,7 +159,7 @@
     def _start_elsewhere(self, state: State) -> State:
         run = state.run + 1
         is_twice = state.is_noted or bool(state.running)
-        recorded = state._replace(recorded_run=run, recorded_life=_ELSEWHERE)
+        recorded = state._replace(recorded_run=run, recorded_life=_OTHER_WORKER)
         return recorded._replace(run=run, elsewhere=run, is_twice=is_twice)
 
     def _record(self, state: State) -> State:
@@ -168,7 +168,7 @@
             return done
         return done._replace(recorded_run=state.run, recorded_life=state.life)
 
-    def _hear(self, state: State) -> State:
+    def _apply_report(self, state: State) -> State:
         """Take over a list of runs, which its worker tells over a connection of this life."""
         if state.worker_life != state.life and self._holds("by_life"):
             # The life that was known is over, and with it all that ran there.
@@ -183,8 +183,8 @@
         # It is not there any more, and its end is not listed.
         return after._replace(placed=0)
 
-    def _take_over(self, state: State) -> State:
-        is_there = state.recorded_life != _ELSEWHERE and not state.is_recorded_done
+    def _change_leader(self, state: State) -> State:
+        is_there = state.recorded_life != _OTHER_WORKER and not state.is_recorded_done
         return state._replace(
             life=max(0, state.recorded_life),
             placed=state.recorded_run if is_there else 0,
--- a/specs/placement_model.py
+++ b/specs/placement_model.py
@@ -16,14 +16,14 @@
 
 from minicheck import Protocol
 
-from .tools import Rules, make_protocol, replaced
+from .tools import Rules, make_protocol, replace_item
 
 __all__ = ["RULES", "Append", "Bounds", "State", "make_model", "parse_append"]
 
-LEASE = 1
-VALID = 1
-MARGIN = 1
-SKEW = 1
+LEASE_TICKS = 1
+ORDER_VALID_TICKS = 1
+CLOCK_MARGIN_TICKS = 1
+CLOCK_SKEW_TICKS = 1
 """The workers' clocks are behind the nodes' by the whole margin."""
 
 RULES = (
@@ -127,11 +127,11 @@
         super().__init__(left_out)
         self._attempts = attempts
 
-    def earliest_loss(self, fenced: int) -> int:
+    def last_run_tick(self, fenced: int) -> int:
         """Give the last moment at which an attempt on a fenced worker may still run."""
-        lease = LEASE if self.holds("lease_wait") else 0
-        margin = MARGIN if self.holds("clock_margin") else 0
-        return fenced + VALID + lease + margin
+        lease = LEASE_TICKS if self.holds("lease_wait") else 0
+        margin = CLOCK_MARGIN_TICKS if self.holds("clock_margin") else 0
+        return fenced + ORDER_VALID_TICKS + lease + margin
 
     def judge(self, view: View, append: Append, now: int) -> View | None:
         """Apply a record at its offset; None where it is void."""
@@ -140,7 +140,7 @@
         if append.kind == "gone":
             return None if view.gone else view._replace(gone=True)
         if append.kind == "place":
-            return self._place(view, append.subject)
+            return self._judge_placement(view, append.subject)
         if view.done or view.queued or append.subject != view.attempt:
             return None
         if append.kind == "end":
@@ -149,7 +149,7 @@
             return view._replace(done=True) if is_last else view._replace(queued=True)
         return view._replace(queued=True) if self._may_be_lost(view, now) else None
 
-    def _place(self, view: View, worker: int) -> View | None:
+    def _judge_placement(self, view: View, worker: int) -> View | None:
         if not view.queued and self.holds("placed_only_when_queued"):
             return None
         if worker == 0 and view.gone:
@@ -161,13 +161,13 @@
             return False
         if not self.holds("fence"):
             return True
-        return view.fenced >= 0 and now > self.earliest_loss(view.fenced)
+        return view.fenced >= 0 and now > self.last_run_tick(view.fenced)
 
     def confirm(self, view: View, node: int, now: int) -> View:
         """Note that a node has read of the worker's end."""
-        view = view._replace(confirmed=replaced(view.confirmed, node, True))
-        enough = all if self.holds("fence_by_all") else any
-        if view.fenced < 0 and enough(view.confirmed):
+        view = view._replace(confirmed=replace_item(view.confirmed, node, True))
+        quorum = all if self.holds("fence_by_all") else any
+        if view.fenced < 0 and quorum(view.confirmed):
             view = view._replace(fenced=now)
         return view
 
@@ -183,35 +183,37 @@
         """List what can happen next; nothing that matters does once the task has ended."""
         if state.truth.done:
             return []
-        steps = [*self._tick(state), *self._worker_steps(state), *self._restarts(state)]
+        steps = [*self._tick_steps(state), *self._worker_steps(state), *self._restart_steps(state)]
         for number, node in enumerate(state.nodes):
             steps += self._node_steps(state, number, node)
         return steps
 
-    def _tick(self, state: State) -> list:
+    def _tick_steps(self, state: State) -> list:
         # What time does before the worker is declared gone is covered by "ends".
         if state.now >= self._bounds.ticks or not state.truth.gone:
             return []
-        local = state.now + 1 - SKEW
-        workers = tuple(_lapse(worker, local) for worker in state.workers)
+        local = state.now + 1 - CLOCK_SKEW_TICKS
+        workers = tuple(_expire_lease(worker, local) for worker in state.workers)
         orders = state.orders
         if self._rules.holds("order_validity"):
-            orders = frozenset(order for order in orders if local <= order.built + VALID)
+            orders = frozenset(
+                order for order in orders if local <= order.built + ORDER_VALID_TICKS
+            )
         return [("tick", state._replace(now=state.now + 1, workers=workers, orders=orders))]
 
     def _node_steps(self, state: State, number: int, node: Node) -> list:
         steps = []
         if node.view != state.truth or not node.joined:
-            after = replaced(state.nodes, number, Node(state.truth))
+            after = replace_item(state.nodes, number, Node(state.truth))
             steps.append((f"node {number} reads", state._replace(nodes=after)))
         if node.joined or not self._rules.holds("join_before_acting"):
-            steps += self._appends(state, number, node.view)
-            steps += self._orders(state, number, node.view)
+            steps += self._append_steps(state, number, node.view)
+            steps += self._order_steps(state, number, node.view)
         return steps
 
-    def _appends(self, state: State, number: int, view: View) -> list:
+    def _append_steps(self, state: State, number: int, view: View) -> list:
         steps = []
-        for kind, subject in self._wanted(state, number, view):
+        for kind, subject in self._allowed_appends(state, number, view):
             append = Append(number, kind, subject)
             truth = state.truth
             if view.gone:
@@ -220,7 +222,7 @@
             steps.append((append.label, state._replace(truth=truth if judged is None else judged)))
         return steps
 
-    def _wanted(self, state: State, number: int, view: View) -> list:
+    def _allowed_appends(self, state: State, number: int, view: View) -> list:
         wanted = []
         may_place = view.queued or not self._rules.holds("placed_only_when_queued")
         if may_place and not view.done and view.attempt < self._bounds.attempts:
@@ -235,7 +237,7 @@
             wanted.append(("end", view.attempt))
         return wanted
 
-    def _orders(self, state: State, number: int, view: View) -> list:
+    def _order_steps(self, state: State, number: int, view: View) -> list:
         if view.queued or (view.gone and view.worker == 0):
             return []
         order = Order(view.worker, view.attempt, state.now)
@@ -248,26 +250,26 @@
         steps = []
         for order in state.orders:
             left = state.orders - {order}
-            worker = self._obey(state.now, state.workers[order.worker], order)
-            workers = replaced(state.workers, order.worker, worker)
+            worker = self._execute_order(state.now, state.workers[order.worker], order)
+            workers = replace_item(state.workers, order.worker, worker)
             label = f"worker {order.worker} gets the order of {order.built}"
             steps.append((label, state._replace(workers=workers, orders=left)))
             steps.append(("an order is lost", state._replace(orders=left)))
         for number, worker in enumerate(state.workers):
             if worker.attempt:
-                workers = replaced(state.workers, number, _end(worker))
+                workers = replace_item(state.workers, number, _end_attempt(worker))
                 steps.append((f"worker {number} ends", state._replace(workers=workers)))
         return steps
 
-    def _obey(self, now: int, worker: Worker, order: Order) -> Worker:
-        local = now - SKEW
-        if local > order.built + VALID and self._rules.holds("order_validity"):
+    def _execute_order(self, now: int, worker: Worker, order: Order) -> Worker:
+        local = now - CLOCK_SKEW_TICKS
+        if local > order.built + ORDER_VALID_TICKS and self._rules.holds("order_validity"):
             return worker
         if order.attempt in worker.refused and self._rules.holds("refused_stays_refused"):
             return worker
-        return worker._replace(attempt=order.attempt, lease_until=local + LEASE)
+        return worker._replace(attempt=order.attempt, lease_until=local + LEASE_TICKS)
 
-    def _restarts(self, state: State) -> list:
+    def _restart_steps(self, state: State) -> list:
         if state.restarts >= self._bounds.restarts:
             return []
         steps = []
@@ -276,18 +278,18 @@
             if truth.gone:
                 truth = self._rules.confirm(truth, number, state.now)
             # It reads the log from its start, where worker 0 is not gone yet.
-            nodes = replaced(state.nodes, number, Node(View(), joined=False))
+            nodes = replace_item(state.nodes, number, Node(View(), joined=False))
             after = state._replace(truth=truth, nodes=nodes, restarts=state.restarts + 1)
             steps.append((f"node {number} restarts", after))
         return steps
 
 
-def _end(worker: Worker) -> Worker:
+def _end_attempt(worker: Worker) -> Worker:
     return worker._replace(attempt=0, refused=worker.refused | {worker.attempt})
 
 
-def _lapse(worker: Worker, local: int) -> Worker:
-    return _end(worker) if worker.attempt and worker.lease_until < local else worker
+def _expire_lease(worker: Worker, local: int) -> Worker:
+    return _end_attempt(worker) if worker.attempt and worker.lease_until < local else worker
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
@@ -306,12 +308,12 @@
         left_out,
         State(),
         model.transitions,
-        {"one_place": _one_place, "queued_means_idle": _queued_means_idle},
-        functools.partial(_is_settled, bounds),
+        {"one_place": _runs_on_one_worker, "queued_means_idle": _queued_means_idle},
+        functools.partial(_is_finished, bounds),
     )
 
 
-def _one_place(state: dict) -> bool:
+def _runs_on_one_worker(state: dict) -> bool:
     return sum(1 for worker in state["workers"] if worker.attempt) <= 1
 
 
@@ -320,6 +322,6 @@
     return not state["truth"].queued or not any(w.attempt for w in state["workers"])
 
 
-def _is_settled(bounds: Bounds, state: dict) -> bool:
+def _is_finished(bounds: Bounds, state: dict) -> bool:
     """Tell whether the task has ended, or time is up."""
     return state["truth"].done or state["now"] >= bounds.ticks
--- a/specs/quota_model.py
+++ b/specs/quota_model.py
@@ -14,7 +14,7 @@
 
 from minicheck import Protocol
 
-from .tools import Rules, make_protocol, replaced
+from .tools import Rules, make_protocol, replace_item
 
 __all__ = ["RULES", "Bounds", "Phase", "State", "make_model"]
 
@@ -40,11 +40,11 @@
     DONE = 8
 
 
-class There(enum.IntEnum):
+class RemoteState(enum.IntEnum):
     """What is at the worker."""
 
     NOTHING = 0
-    ON_ITS_WAY = 1
+    IN_TRANSIT = 1
     RUNNING = 2
     ENDED = 3
 
@@ -88,96 +88,100 @@
         if state.quota == QUOTA:
             steps.append(("the quota is lowered", state._replace(quota=LOWERED_QUOTA)))
         if state.takeovers < self._bounds.takeovers:
-            steps.append(("another leader takes over", self._take_over(state)))
+            steps.append(("another leader takes over", self._change_leader(state)))
         for task in range(self._bounds.tasks):
-            steps += self._of_leader(state, task)
-            steps += self._of_worker(state, task)
+            steps += self._leader_steps(state, task)
+            steps += self._worker_steps(state, task)
         return steps
 
-    def _counted(self, state: State) -> int:
-        return sum(self._counts(phase) for phase in state.phases)
+    def _count_quota_use(self, state: State) -> int:
+        return sum(self._is_counted(phase) for phase in state.phases)
 
-    def _counts(self, phase: Phase) -> bool:
+    def _is_counted(self, phase: Phase) -> bool:
         if phase in (Phase.WAITING, Phase.DONE):
             return False
         rule = _RULE_OF_PHASE.get(phase)
         return rule is None or self._holds(rule)
 
-    def _take_over(self, state: State) -> State:
+    def _change_leader(self, state: State) -> State:
         """Take everything on record as possibly at its worker."""
-        gone = (Phase.WAITING, Phase.DONE)
-        phases = tuple(phase if phase in gone else Phase.ADOPTED for phase in state.phases)
+        unplaced_phases = (Phase.WAITING, Phase.DONE)
+        phases = tuple(
+            phase if phase in unplaced_phases else Phase.ADOPTED for phase in state.phases
+        )
         return state._replace(phases=phases, takeovers=state.takeovers + 1)
 
-    def _of_leader(self, state: State, task: int) -> list:
+    def _leader_steps(self, state: State, task: int) -> list:
         phase, there = state.phases[task], state.there[task]
-        if phase is Phase.WAITING and self._counted(state) < state.quota:
-            return [(f"{task} is placed", _believe(state, task, Phase.HELD))]
+        if phase is Phase.WAITING and self._count_quota_use(state) < state.quota:
+            return [(f"{task} is placed", _set_phase(state, task, Phase.HELD))]
         if phase is Phase.HELD:
-            return [self._send(state, task)]
+            return [self._send_step(state, task)]
         steps = []
-        if phase is Phase.ORDERED and there is There.RUNNING:
-            steps.append((f"{task} is answered", _believe(state, task, Phase.RUNNING)))
+        if phase is Phase.ORDERED and there is RemoteState.RUNNING:
+            steps.append((f"{task} is answered", _set_phase(state, task, Phase.RUNNING)))
         if phase is Phase.ORDERED:
-            steps.append((f"no answer of {task}", _believe(state, task, Phase.UNANSWERED)))
+            steps.append((f"no answer of {task}", _set_phase(state, task, Phase.UNANSWERED)))
         if phase in (Phase.RUNNING, Phase.UNANSWERED):
-            steps.append((f"{task} is to stop", _believe(state, task, Phase.STOPPING)))
+            steps.append((f"{task} is to stop", _set_phase(state, task, Phase.STOPPING)))
         if phase is Phase.RUNNING:
-            steps.append((f"{task} is cut off", _believe(state, task, Phase.CUT_OFF)))
-        if there is There.ENDED and phase in (Phase.RUNNING, Phase.UNANSWERED):
-            steps.append((f"end of {task} is listed", _believe(state, task, Phase.DONE)))
-        steps += self._settle(state, task)
+            steps.append((f"{task} is cut off", _set_phase(state, task, Phase.CUT_OFF)))
+        if there is RemoteState.ENDED and phase in (Phase.RUNNING, Phase.UNANSWERED):
+            steps.append((f"end of {task} is listed", _set_phase(state, task, Phase.DONE)))
+        steps += self._run_end_steps(state, task)
         return steps
 
-    def _send(self, state: State, task: int) -> tuple:
-        others = self._counted(state) - 1
+    def _send_step(self, state: State, task: int) -> tuple:
+        others = self._count_quota_use(state) - 1
         if others >= state.quota and self._holds("looked_at_where_sent"):
-            return (f"{task} is not sent", _believe(state, task, Phase.WAITING))
-        real = sum(there in (There.ON_ITS_WAY, There.RUNNING) for there in state.there)
-        after = _believe(state, task, Phase.ORDERED)
-        after = _be(after, task, There.ON_ITS_WAY)
-        return (f"{task} is sent", after._replace(passed=state.passed or real >= state.quota))
-
-    def _settle(self, state: State, task: int) -> list:
+            return (f"{task} is not sent", _set_phase(state, task, Phase.WAITING))
+        running = sum(
+            there in (RemoteState.IN_TRANSIT, RemoteState.RUNNING) for there in state.there
+        )
+        after = _set_phase(state, task, Phase.ORDERED)
+        after = _set_remote_state(after, task, RemoteState.IN_TRANSIT)
+        return (f"{task} is sent", after._replace(passed=state.passed or running >= state.quota))
+
+    def _run_end_steps(self, state: State, task: int) -> list:
         """List how it becomes sure that a run is over, or what it is."""
         phase, there = state.phases[task], state.there[task]
         if phase is Phase.STOPPING:
             # The worker refuses what is not there yet for good, and lists what ended.
-            return [(f"{task} has stopped", _again(state, task))]
-        if phase is Phase.CUT_OFF and there is There.ENDED:
-            return [(f"lease of {task} is over", _again(state, task))]
+            return [(f"{task} has stopped", _requeue(state, task))]
+        if phase is Phase.CUT_OFF and there is RemoteState.ENDED:
+            return [(f"lease of {task} is over", _requeue(state, task))]
         if phase is not Phase.ADOPTED:
             return []
-        if there is There.RUNNING:
-            return [(f"{task} goes on", _believe(state, task, Phase.RUNNING))]
+        if there is RemoteState.RUNNING:
+            return [(f"{task} goes on", _set_phase(state, task, Phase.RUNNING))]
         # The new leader's token shuts out what is on its way.
-        return [(f"{task} was not there", _again(state, task))]
+        return [(f"{task} was not there", _requeue(state, task))]
 
-    def _of_worker(self, state: State, task: int) -> list:
+    def _worker_steps(self, state: State, task: int) -> list:
         there = state.there[task]
-        if there is There.ON_ITS_WAY:
-            return [(f"{task} begins", _be(state, task, There.RUNNING))]
-        if there is There.RUNNING:
-            return [(f"{task} ends", _be(state, task, There.ENDED))]
+        if there is RemoteState.IN_TRANSIT:
+            return [(f"{task} begins", _set_remote_state(state, task, RemoteState.RUNNING))]
+        if there is RemoteState.RUNNING:
+            return [(f"{task} ends", _set_remote_state(state, task, RemoteState.ENDED))]
         return []
 
 
-def _believe(state: State, task: int, phase: Phase) -> State:
-    return state._replace(phases=replaced(state.phases, task, phase))
+def _set_phase(state: State, task: int, phase: Phase) -> State:
+    return state._replace(phases=replace_item(state.phases, task, phase))
 
 
-def _be(state: State, task: int, there: There) -> State:
-    return state._replace(there=replaced(state.there, task, there))
+def _set_remote_state(state: State, task: int, there: RemoteState) -> State:
+    return state._replace(there=replace_item(state.there, task, there))
 
 
-def _again(state: State, task: int) -> State:
-    return _be(_believe(state, task, Phase.WAITING), task, There.NOTHING)
+def _requeue(state: State, task: int) -> State:
+    return _set_remote_state(_set_phase(state, task, Phase.WAITING), task, RemoteState.NOTHING)
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
     """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
     model = Model(bounds, Rules(left_out))
-    initial = State((Phase.WAITING,) * bounds.tasks, (There.NOTHING,) * bounds.tasks)
+    initial = State((Phase.WAITING,) * bounds.tasks, (RemoteState.NOTHING,) * bounds.tasks)
     return make_protocol(
         "quota",
         left_out,
--- a/specs/request_model.py
+++ b/specs/request_model.py
@@ -9,7 +9,7 @@
 
 from minicheck import Protocol
 
-from .tools import Rules, make_protocol, replaced
+from .tools import Rules, make_protocol, replace_item
 
 __all__ = ["RULES", "Append", "Bounds", "State", "make_model", "parse_append"]
 
@@ -23,7 +23,7 @@
 )
 """Rules that may be left out."""
 
-IDLE, WAITING, SENT, OVER = "idle", "waiting", "sent", "over"
+IDLE, WAITING, SENT, FINISHED = "idle", "waiting", "sent", "over"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -94,28 +94,28 @@
         steps = []
 
         def step(label: str, changed: Node, **fields: object) -> None:
-            nodes = replaced(state.nodes, number, changed)
+            nodes = replace_item(state.nodes, number, changed)
             steps.append((f"node {number} {label}", state._replace(nodes=nodes, **fields)))
 
         if node.phase == IDLE:
             intent = Append(number, node.incarnation)
             if state.holder:
-                self._tell_known(state, node, step)
+                self._answer_known_outcome(state, node, step)
             step("proposes", node._replace(phase=WAITING), wire=state.wire | {intent})
             if not self._holds("intent_before_sending"):
                 step("sends", node._replace(phase=SENT), sent=(*state.sent, number))
         if node.phase == WAITING:
-            self._wait(state, number, node, step)
+            self._waiting_steps(state, number, node, step)
         if node.phase == SENT:
-            self._sent(state, number, node, step)
+            self._sent_steps(state, number, node, step)
         if state.restarts < self._bounds.restarts:
             fresh = Node(node.incarnation + 1)
             step("restarts", fresh, restarts=state.restarts + 1)
         return steps
 
-    def _tell_known(self, state: State, node: Node, step) -> None:
+    def _answer_known_outcome(self, state: State, node: Node, step) -> None:
         told = {"not_run": "not_run", "ran": "ran"}.get(state.ended, "unknown")
-        step(f"tells {told}", node._replace(phase=OVER, told=told))
+        step(f"tells {told}", node._replace(phase=FINISHED, told=told))
 
     def _is_own(self, state: State, number: int, node: Node) -> bool:
         if not state.holder:
@@ -124,7 +124,7 @@
             return state.holder[0] == number
         return state.holder == (number, node.incarnation)
 
-    def _wait(self, state: State, number: int, node: Node, step) -> None:
+    def _waiting_steps(self, state: State, number: int, node: Node, step) -> None:
         intent = Append(number, node.incarnation)
         if state.resends < self._bounds.resends:
             step("appends again", node, wire=state.wire | {intent}, resends=state.resends + 1)
@@ -135,26 +135,26 @@
         if judged and is_own and not gave_up:
             step("sends", node._replace(phase=SENT), sent=(*state.sent, number))
         elif judged:
-            self._tell_known(state, node, step)
+            self._answer_known_outcome(state, node, step)
         # Without a verdict the node cannot know of another node's try with the same id.
         knows = (judged and is_own) or not self._holds("not_run_needs_a_verdict")
         told = "not_run" if knows and not state.ended else "unknown"
         ended = state.ended or ("not_run" if is_own else "")
-        after = OVER if self._holds("giving_up_is_final") else WAITING
+        after = FINISHED if self._holds("giving_up_is_final") else WAITING
         step("gives up", node._replace(phase=after, told=told), ended=ended)
 
-    def _sent(self, state: State, number: int, node: Node, step) -> None:
+    def _sent_steps(self, state: State, number: int, node: Node, step) -> None:
         is_own = self._is_own(state, number, node)
         if number in state.runs:
             ended = state.ended or ("ran" if is_own else "")
-            step("gets the answer", node._replace(phase=OVER, told="ran"), ended=ended)
-        step("loses the answer", node._replace(phase=OVER, told="unknown"))
+            step("gets the answer", node._replace(phase=FINISHED, told="ran"), ended=ended)
+        step("loses the answer", node._replace(phase=FINISHED, told="unknown"))
         if not self._holds("no_retry_after_sending") and len(state.sent) < 2:
             step("sends again", node, sent=(*state.sent, number))
         elif number not in state.sent and number not in state.runs:
             # The connection was refused: no byte went out.
             ended = state.ended or ("not_run" if is_own else "")
-            step("was refused", node._replace(phase=OVER, told="not_run"), ended=ended)
+            step("was refused", node._replace(phase=FINISHED, told="not_run"), ended=ended)
 
     def _log_steps(self, state: State) -> list:
         steps = []
@@ -198,7 +198,7 @@
         State(),
         model.transitions,
         {"at_most_once": _at_most_once, "not_run_is_true": _not_run_is_true},
-        lambda state: all(node.phase == OVER for node in state["nodes"]),
+        lambda state: all(node.phase == FINISHED for node in state["nodes"]),
     )
 
 
--- a/specs/slot_model.py
+++ b/specs/slot_model.py
@@ -9,12 +9,12 @@
 
 from minicheck import Protocol
 
-from .tools import Rules, make_protocol, replaced
+from .tools import Rules, make_protocol, replace_item
 
 __all__ = ["RULES", "SLOTS", "Append", "Bounds", "State", "make_model", "parse_append"]
 
 SLOTS = 2
-DEADLINE = 1
+DEADLINE_TICKS = 1
 
 RULES = (
     "taken_only_if_free",
@@ -80,21 +80,21 @@
 
     def transitions(self, state: State) -> list:
         """List what can happen next."""
-        steps = self._tick(state)
+        steps = self._tick_steps(state)
         for number, node in enumerate(state.nodes):
             steps += self._node_steps(state, number, node)
             steps += self._record_steps(state, number, node)
         return steps
 
-    def _tick(self, state: State) -> list:
+    def _tick_steps(self, state: State) -> list:
         if state.now >= self._bounds.ticks:
             return []
         now = state.now + 1
         # Requests end within their deadline, also those whose node is gone.
         running = tuple(
-            tuple(since for since in own if since + DEADLINE >= now) for own in state.running
+            tuple(since for since in own if since + DEADLINE_TICKS >= now) for own in state.running
         )
-        orphans = tuple(since for since in state.orphans if since + DEADLINE >= now)
+        orphans = tuple(since for since in state.orphans if since + DEADLINE_TICKS >= now)
         cooling = tuple(until for until in state.cooling if until >= now)
         after = state._replace(now=now, running=running, orphans=orphans, cooling=cooling)
         return [("tick", after)]
@@ -104,34 +104,34 @@
         running = state.running[number]
         usable = node.known - node.returning if self._holds("own_share_only") else SLOTS
         if len(running) < usable:
-            more = replaced(state.running, number, tuple(sorted((*running, state.now))))
+            more = replace_item(state.running, number, tuple(sorted((*running, state.now))))
             steps.append((f"node {number} sends", state._replace(running=more)))
         for index in range(len(running)):
-            fewer = replaced(state.running, number, (*running[:index], *running[index + 1 :]))
+            fewer = replace_item(state.running, number, (*running[:index], *running[index + 1 :]))
             steps.append((f"node {number} gets an answer", state._replace(running=fewer)))
         if node.known != state.shares[number]:
             returned = max(0, node.known - state.shares[number])
             read = node._replace(
                 known=state.shares[number], returning=max(0, node.returning - returned)
             )
-            after = state._replace(nodes=replaced(state.nodes, number, read))
+            after = state._replace(nodes=replace_item(state.nodes, number, read))
             steps.append((f"node {number} reads", after))
         return steps
 
     def _record_steps(self, state: State, number: int, node: Node) -> list:
         steps = []
-        given = sum(state.shares) + len(state.cooling)
-        if given < SLOTS or not self._holds("taken_only_if_free"):
-            shares = replaced(state.shares, number, state.shares[number] + 1)
+        allocated = sum(state.shares) + len(state.cooling)
+        if allocated < SLOTS or not self._holds("taken_only_if_free"):
+            shares = replace_item(state.shares, number, state.shares[number] + 1)
             label = Append(number, "taken").label
             if shares[number] <= SLOTS:
                 steps.append((label, state._replace(shares=shares)))
-        steps += self._return(state, number, node)
+        steps += self._return_steps(state, number, node)
         if state.restarts < self._bounds.restarts:
             steps.append((Append(number, "joined").label, self._restart(state, number, node)))
         return steps
 
-    def _return(self, state: State, number: int, node: Node) -> list:
+    def _return_steps(self, state: State, number: int, node: Node) -> list:
         in_use = len(state.running[number])
         idle = node.known - node.returning - in_use
         if self._holds("out_of_use_before_returning"):
@@ -141,20 +141,20 @@
         if not may_return or not state.shares[number]:
             return []
         after = state._replace(
-            nodes=replaced(state.nodes, number, node._replace(returning=node.returning + 1)),
-            shares=replaced(state.shares, number, state.shares[number] - 1),
+            nodes=replace_item(state.nodes, number, node._replace(returning=node.returning + 1)),
+            shares=replace_item(state.shares, number, state.shares[number] - 1),
         )
         return [(Append(number, "returned").label, after)]
 
     def _restart(self, state: State, number: int, node: Node) -> State:
         cooling = state.cooling
         if self._holds("cooling"):
-            until = (state.now + DEADLINE,) * state.shares[number]
+            until = (state.now + DEADLINE_TICKS,) * state.shares[number]
             cooling = tuple(sorted((*cooling, *until)))
         return state._replace(
-            nodes=replaced(state.nodes, number, Node(incarnation=node.incarnation + 1)),
-            shares=replaced(state.shares, number, 0),
-            running=replaced(state.running, number, ()),
+            nodes=replace_item(state.nodes, number, Node(incarnation=node.incarnation + 1)),
+            shares=replace_item(state.shares, number, 0),
+            running=replace_item(state.running, number, ()),
             orphans=tuple(sorted((*state.orphans, *state.running[number]))),
             cooling=cooling,
             restarts=state.restarts + 1,
--- a/specs/starvation_model.py
+++ b/specs/starvation_model.py
@@ -10,7 +10,7 @@
 
 from minicheck import Protocol
 
-from .tools import Rules, make_protocol, replaced
+from .tools import Rules, make_protocol, replace_item
 
 __all__ = ["RULES", "Bounds", "State", "Worker", "make_model"]
 
@@ -18,14 +18,14 @@
 """Rules that may be left out: half of the workers at most are aside, the time aside has a bound, a
 trial ends, and a job that has waited for long takes any worker."""
 
-ASIDE_TICKS = 4
-LONGEST_ASIDE_TICKS = 16
-TRIAL_TICKS = 4
-CHOOSY_TICKS = 4
-ALLOWED_TICKS = 6
+QUARANTINE_TICKS = 4
+MAX_QUARANTINE_TICKS = 16
+PROBATION_TICKS = 4
+LAST_RESORT_TICKS = 4
+MAX_WAIT_TICKS = 6
 """Users allow a job to run nothing for three seconds."""
 
-_MOST_TIMES_ASIDE = 3
+_MAX_QUARANTINES = 3
 
 
 @dataclasses.dataclass(frozen=True)
@@ -78,7 +78,7 @@
             if state.failures < self._bounds.failures and not worker.aside:
                 steps.append((f"runs fail on {number}", self._fail(state, number)))
             if worker.trial and not worker.aside and not worker.is_held:
-                held = replaced(workers, number, worker._replace(is_held=True, closed=0))
+                held = replace_item(workers, number, worker._replace(is_held=True, closed=0))
                 steps.append((f"a run goes on at {number}", state._replace(workers=held)))
         if state.takeovers < self._bounds.takeovers:
             after = state._replace(workers=(Worker(), Worker()), takeovers=state.takeovers + 1)
@@ -91,20 +91,20 @@
         if self._holds("half") and any(worker.aside for worker in state.workers):
             return state
         worker = state.workers[number]
-        ticks = ASIDE_TICKS * 2**worker.times
+        ticks = QUARANTINE_TICKS * 2**worker.times
         if self._holds("longest_aside"):
-            ticks = min(ticks, LONGEST_ASIDE_TICKS)
-        aside = Worker(ticks, TRIAL_TICKS, min(worker.times + 1, _MOST_TIMES_ASIDE))
-        return state._replace(workers=replaced(state.workers, number, aside))
+            ticks = min(ticks, MAX_QUARANTINE_TICKS)
+        quarantined = Worker(ticks, PROBATION_TICKS, min(worker.times + 1, _MAX_QUARANTINES))
+        return state._replace(workers=replace_item(state.workers, number, quarantined))
 
     def _tick(self, state: State) -> State:
-        is_resort = self._holds("last_resort") and state.waited >= CHOOSY_TICKS
-        workers = tuple(self._pass_time(worker) for worker in state.workers)
-        if state.is_done or is_resort or _is_open(state.workers[0]):
+        is_last_resort = self._holds("last_resort") and state.waited >= LAST_RESORT_TICKS
+        workers = tuple(self._advance_worker(worker) for worker in state.workers)
+        if state.is_done or is_last_resort or _is_open(state.workers[0]):
             return state._replace(workers=workers, is_done=True, waited=0)
         return state._replace(workers=workers, waited=state.waited + 1)
 
-    def _pass_time(self, worker: Worker) -> Worker:
+    def _advance_worker(self, worker: Worker) -> Worker:
         closed = 0 if _is_open(worker) else worker.closed + 1
         if worker.aside:
             return worker._replace(aside=worker.aside - 1, closed=closed)
@@ -119,11 +119,11 @@
 
 
 def _waits_within_bounds(state: State) -> bool:
-    return state.waited <= ALLOWED_TICKS
+    return state.waited <= MAX_WAIT_TICKS
 
 
 def _closed_within_bounds(state: State) -> bool:
-    return all(worker.closed <= LONGEST_ASIDE_TICKS for worker in state.workers)
+    return all(worker.closed <= MAX_QUARANTINE_TICKS for worker in state.workers)
 
 
 def _half_is_open(state: State) -> bool:
--- a/specs/tools.py
+++ b/specs/tools.py
@@ -5,10 +5,10 @@
 
 from minicheck import Protocol
 
-__all__ = ["Rules", "make_protocol", "replaced"]
+__all__ = ["Rules", "make_protocol", "replace_item"]
 
 
-def replaced(values: tuple, index: int, value: object) -> tuple:
+def replace_item(values: tuple, index: int, value: object) -> tuple:
     """Give a tuple with one value replaced."""
     return (*values[:index], value, *values[index + 1 :])
 
@@ -49,11 +49,11 @@
     goal
         What has to stay within reach.
     """
-    kind = type(initial)
+    state_type = type(initial)
 
     def list_steps(values: tuple) -> list:
         # The checker knows plain tuples only.
-        return [(label, tuple(after)) for label, after in transitions(kind(*values))]
+        return [(label, tuple(after)) for label, after in transitions(state_type(*values))]
 
     return Protocol(
         name=name + (f" without {left_out}" if left_out else ""),
--- a/src/snowdock/entry/caller_api.py
+++ b/src/snowdock/entry/caller_api.py
@@ -21,8 +21,8 @@
 from ..jobs.model import Configuration, JobId, JobStatus, Queue
 from ..jobs.progress import AcceptedJob, cancel_key, encode, record_name
 from ..logs import log_error, log_event
-from ..node.http_models import HttpAnswer, problem_answer
-from ..node.in_flight import InFlight
+from ..node.http_models import HttpResponse, problem_response
+from ..node.in_flight import InFlightCounter
 from ..node.metrics import Metrics
 from ..platform.job_bodies import (
     DEADLINE_HEADER,
@@ -117,7 +117,7 @@
 
     def __init__(self, dependencies: CallerApiDependencies) -> None:
         self._dependencies = dependencies
-        self._in_flight = InFlight()
+        self._in_flight = InFlightCounter()
 
     @property
     def in_flight(self) -> int:
@@ -127,7 +127,7 @@
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
         """Handle one request."""
         started_at = steady_seconds()
-        with self._in_flight.one_more():
+        with self._in_flight.track():
             answer = self._answer(environ)
         headers = {
             "Content-Type": answer.content_type,
@@ -146,7 +146,7 @@
         start_response(f"{answer.status} {reason}", list(headers.items()))
         return [answer.body]
 
-    def _answer(self, environ: dict) -> HttpAnswer:
+    def _answer(self, environ: dict) -> HttpResponse:
         path = environ.get("PATH_INFO", "")
         try:
             return self._dispatch(environ, path)
@@ -158,12 +158,12 @@
                 status=error.status,
                 reason=f"{error.code}: {error}"[:200],
             )
-            return problem_answer(error)
+            return problem_response(error)
         except Exception as error:
             log_error("request_failed", error, path=path[:120])
-            return problem_answer(SnowdockError("an unexpected failure; see the node's log"))
+            return problem_response(SnowdockError("an unexpected failure; see the node's log"))
 
-    def _dispatch(self, environ: dict, path: str) -> HttpAnswer:
+    def _dispatch(self, environ: dict, path: str) -> HttpResponse:
         started_at = steady_seconds()
         configuration = self._dependencies.configuration()
         if configuration is None:
@@ -184,7 +184,7 @@
             waiting = self._dependencies.count_waiting(
                 queue.name, _remaining_seconds(environ, started_at)
             )
-            return HttpAnswer(200, encode_waiting(waiting), _JSON)
+            return HttpResponse(200, encode_waiting(waiting), _JSON)
         if not is_job_id(job):
             raise NotFound("no such job")
         if method == "POST":
@@ -193,12 +193,12 @@
             status = self._dependencies.find_status(
                 job, team, _remaining_seconds(environ, started_at)
             )
-            return HttpAnswer(200, encode_status(status), _JSON)
+            return HttpResponse(200, encode_status(status), _JSON)
         if method == "DELETE":
             record = KeyedRecord(cancel_key(record_name(job, team)), b"1")
             self._record(job, record, _recording_seconds(environ, started_at))
             log_event("job_cancel_recorded", job=job, queue=queue.name, team=team)
-            return HttpAnswer(200, b"{}", _JSON)
+            return HttpResponse(200, b"{}", _JSON)
         raise MethodNotAllowed("GET, POST and DELETE are allowed here")
 
     def _find_team(self, environ: dict, configuration: Configuration, queue: Queue) -> str:
@@ -232,7 +232,7 @@
         team: str,
         job: JobId,
         started_at: float,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         content_type = environ.get("CONTENT_TYPE", "").partition(";")[0].strip().lower()
         if content_type and content_type != _JSON:
             raise UnsupportedMedia(f"content type {_JSON} is needed, not {content_type[:60]!r}")
@@ -259,7 +259,7 @@
             configuration=configuration.version,
             ms=(steady_seconds() - started_at) * 1000,
         )
-        return HttpAnswer(200, b"{}", _JSON)
+        return HttpResponse(200, b"{}", _JSON)
 
     def _record(self, job: JobId, record: KeyedRecord, seconds: float) -> None:
         """Append a record to the store, directly or by way of the leader.
--- a/src/snowdock/entry/daemon.py
+++ b/src/snowdock/entry/daemon.py
@@ -15,7 +15,7 @@
 from ..jobs.model import Configuration
 from ..logs import log_event, start_logging
 from ..node.metrics import Metrics
-from ..node.peer_links import BeatPlan
+from ..node.peer_links import HeartbeatPlan
 from ..node.peers import PeerOptions, Peers
 from ..platform.node_settings import NodeEnvironment, read_node_environment
 from ..platform.store import StoreClient
@@ -100,7 +100,7 @@
             PeerOptions(
                 environment.peer_address,
                 _HEARTBEAT_SECONDS,
-                plan=BeatPlan(_INFREQUENT_HEARTBEAT_FACTOR, self._frequent_peers),
+                plan=HeartbeatPlan(_INFREQUENT_HEARTBEAT_FACTOR, self._frequent_peers),
                 confirms_links=True,
             ),
             ENTRY_MESSAGES,
--- a/src/snowdock/entry/listener.py
+++ b/src/snowdock/entry/listener.py
@@ -8,7 +8,7 @@
 from ..errors import Overloaded
 from ..jobs.model import Limits
 from ..logs import log_event
-from ..node.http_models import problem_answer
+from ..node.http_models import problem_response
 from ..node.metrics import Metrics
 from ..platform.node_settings import NodeEnvironment
 
@@ -93,7 +93,7 @@
             return application(environ, start_response)
         error = Overloaded(f"{connections} connections are open, {max_connections} are allowed")
         log_event("connection_refused", connections=connections, most=max_connections)
-        answer = problem_answer(error)
+        answer = problem_response(error)
         headers = {"Content-Type": answer.content_type, **answer.headers}
         start_response(f"{answer.status} Service Unavailable", list(headers.items()))
         # Without a Content-Length, waitress closes the connection after the answer.
--- a/src/snowdock/entry/messages.py
+++ b/src/snowdock/entry/messages.py
@@ -197,7 +197,7 @@
     encode=_encoder.encode,
     decode=_decode,
     heartbeat=Heartbeat,
-    questions=(
+    requests=(
         StatusRequest,
         CountRequest,
         AdviceRelayRequest,
@@ -205,5 +205,5 @@
         RecordNotice,
         ConfigurationNotice,
     ),
-    answers=(StatusReply, CountReply, AdviceReply, RecordReply),
+    responses=(StatusReply, CountReply, AdviceReply, RecordReply),
 )
--- a/src/snowdock/entry/probe_server.py
+++ b/src/snowdock/entry/probe_server.py
@@ -5,7 +5,7 @@
 
 import waitress
 
-from ..node.http_models import HttpAnswer, json_answer
+from ..node.http_models import HttpResponse, json_response
 from ..node.metrics import Metrics
 from ..platform.job_bodies import READY_PATH
 from ..threads import ServiceThread
@@ -65,11 +65,11 @@
         start_response(f"{answer.status} {phrase}", headers)
         return [answer.body]
 
-    def _answer(self, path: str) -> HttpAnswer:
+    def _answer(self, path: str) -> HttpResponse:
         if path == READY_PATH:
             ready = self._is_ready()
-            return json_answer({"ready": ready}, 200 if ready else 503)
+            return json_response({"ready": ready}, 200 if ready else 503)
         if path == _METRICS_PATH:
             content, content_type = self._metrics.render()
-            return HttpAnswer(200, content, content_type)
-        return json_answer({"code": "not_found"}, 404)
+            return HttpResponse(200, content, content_type)
+        return json_response({"code": "not_found"}, 404)
--- a/src/snowdock/node/hints.py
+++ b/src/snowdock/node/active_nodes.py
@@ -6,10 +6,10 @@
 from ..decisions import ownership
 from ..state import Member, MemberState
 
-__all__ = ["Hints"]
+__all__ = ["ActiveNodes"]
 
 
-class Hints:
+class ActiveNodes:
     """Tells which node should act on a thing; wrong hints cost time, never a promise.
 
     What is told changes only with `refresh`, after which its caller takes over or gives up
@@ -26,11 +26,13 @@
         Tells whether this node reaches the log itself.
     """
 
-    def __init__(self, name: str, silence_seconds: float, reaches_log: Callable[[], bool]) -> None:
+    def __init__(
+        self, name: str, silence_timeout_s: float, reaches_log: Callable[[], bool]
+    ) -> None:
         self._name = name
-        self._silence = silence_seconds
+        self._silence_timeout_s = silence_timeout_s
         self._reaches_log = reaches_log
-        self._heard: dict[str, tuple[float, bool]] = {}
+        self._last_heartbeats: dict[str, tuple[float, bool]] = {}
         self._active: tuple[str, ...] = ()
 
     @property
@@ -38,9 +40,9 @@
         """The members that seemed able to act at the last `refresh`."""
         return self._active
 
-    def hear(self, node: str, reaches_log: bool) -> None:
+    def record_heartbeat(self, node: str, reaches_log: bool) -> None:
         """Note a peer's heartbeat."""
-        self._heard[node] = (steady_seconds(), reaches_log)
+        self._last_heartbeats[node] = (steady_seconds(), reaches_log)
 
     def refresh(self, members: Mapping[str, Member]) -> bool:
         """Work out anew which members seem able to act; tell whether that changed.
@@ -48,19 +50,19 @@
         They are alive, not on their way out, and reach the log. Where none reaches the log,
         all that are alive count: running work still has to be looked after.
         """
-        horizon = steady_seconds() - self._silence
-        alive, able = [], []
+        oldest_allowed = steady_seconds() - self._silence_timeout_s
+        alive, with_log = [], []
         for member in members.values():
-            heard, reaches_log = self._heard.get(member.name, (0.0, False))
+            last_heartbeat_at, reaches_log = self._last_heartbeats.get(member.name, (0.0, False))
             if member.name == self._name:
-                heard, reaches_log = horizon + 1, self._reaches_log()
-            if member.state == MemberState.LIVE and heard > horizon:
+                last_heartbeat_at, reaches_log = oldest_allowed + 1, self._reaches_log()
+            if member.state == MemberState.LIVE and last_heartbeat_at > oldest_allowed:
                 alive.append(member.name)
                 if reaches_log:
-                    able.append(member.name)
-        before, self._active = self._active, tuple(able or alive)
-        return self._active != before
+                    with_log.append(member.name)
+        previous, self._active = self._active, tuple(with_log or alive)
+        return self._active != previous
 
-    def is_own(self, thing: str) -> bool:
+    def owns(self, key: str) -> bool:
         """Tell whether this node should act on a thing."""
-        return ownership.find_owner(thing, self._active) == self._name
+        return ownership.find_owner(key, self._active) == self._name
--- a/src/snowdock/node/answers.py
+++ b/src/snowdock/node/answer_cache.py
@@ -5,12 +5,12 @@
 
 from .peer_messages import CallOutcome
 
-__all__ = ["AnswerBook"]
+__all__ = ["AnswerCache"]
 
-_KEPT_BYTES = 8 * 1024 * 1024
+_MAX_CACHED_BYTES = 8 * 1024 * 1024
 
 
-class AnswerBook:
+class AnswerCache:
     """The newest answers, bounded in bytes; the oldest go first."""
 
     def __init__(self) -> None:
@@ -18,12 +18,12 @@
         self._bytes = 0
         self._lock = threading.Lock()
 
-    def keep(self, request_id: str, outcome: CallOutcome) -> None:
+    def store(self, request_id: str, outcome: CallOutcome) -> None:
         """Keep an answer."""
         with self._lock:
             self._answers[request_id] = outcome
             self._bytes += len(outcome.body)
-            while self._bytes > _KEPT_BYTES and len(self._answers) > 1:
+            while self._bytes > _MAX_CACHED_BYTES and len(self._answers) > 1:
                 _, dropped = self._answers.popitem(last=False)
                 self._bytes -= len(dropped.body)
 
--- a/src/snowdock/node/api.py
+++ b/src/snowdock/node/api.py
@@ -33,28 +33,28 @@
 from ..records import ConfigurationProposed, Record, WorkCancelled, WorkSubmitted
 from ..reducer import submission_offset
 from . import reports
-from .calls import read_call, show_outcome
-from .http_models import HttpAnswer, HttpRequest, json_answer, problem_answer
-from .in_flight import InFlight
-from .messages import Propose, View
+from .calls import build_response, parse_call
+from .context import NodeContext
+from .http_models import HttpRequest, HttpResponse, json_response, problem_response
+from .in_flight import InFlightCounter
+from .messages import Propose, Query
 from .metrics import Metrics
-from .parts import Parts
 from .requests import RequestHandler
-from .tokens import Role, TokenBook
+from .tokens import Role, TokenStore
 
 __all__ = ["Api"]
 
 _JSON = "application/json"
 _TEXT = "text/plain"
-_KEY = re.compile(r"^[A-Za-z0-9._:-]{1,100}$")
-_ASK_SECONDS = 10.0
-_CATCH_UP_SECONDS = 2.0
+_KEY_PATTERN = re.compile(r"^[A-Za-z0-9._:-]{1,100}$")
+_STATE_TIMEOUT_SECONDS = 10.0
+_CATCH_UP_TIMEOUT_SECONDS = 2.0
 _CATCH_UP_POLL_SECONDS = 0.01
-_CATCH_UP_ENTRIES = 10_000
+_MAX_CATCH_UP_ENTRIES = 10_000
 """Numbers further ahead than this are not a lag but a mistake."""
 
-_OPEN_PATHS = ("/healthz", "/readyz", "/metrics")
-_OPERATORS_PATHS = ("/v1/configuration", "/v1/drain")
+_UNAUTHENTICATED_PATHS = ("/healthz", "/readyz", "/metrics")
+_OPERATOR_PATHS = ("/v1/configuration", "/v1/drain")
 
 
 class ConfigurationChange(msgspec.Struct, forbid_unknown_fields=True):
@@ -72,7 +72,7 @@
     name: str
 
 
-class Changed(msgspec.Struct):
+class ChangeResult(msgspec.Struct):
     """The version that a change made."""
 
     version: int
@@ -94,15 +94,19 @@
     """
 
     def __init__(
-        self, parts: Parts, requests: RequestHandler, metrics: Metrics, tokens: TokenBook
+        self,
+        context: NodeContext,
+        requests: RequestHandler,
+        metrics: Metrics,
+        token_store: TokenStore,
     ) -> None:
-        self._parts = parts
-        self._tokens = tokens
+        self._context = context
+        self._token_store = token_store
         self._requests = requests
         self._metrics = metrics
         self._draining = False
-        self._in_flight = InFlight()
-        self._routes: list[tuple[str, re.Pattern, Callable[..., HttpAnswer]]] = [
+        self._in_flight = InFlightCounter()
+        self._routes: list[tuple[str, re.Pattern, Callable[..., HttpResponse]]] = [
             ("GET", re.compile(r"/healthz"), self._health),
             ("GET", re.compile(r"/readyz"), self._ready),
             ("GET", re.compile(r"/metrics"), self._render_metrics),
@@ -112,7 +116,7 @@
             ("GET", re.compile(r"/v1/workers"), self._workers),
             ("GET", re.compile(r"/v1/minions"), self._minions),
             ("GET", re.compile(r"/v1/configuration"), self._configuration),
-            ("POST", re.compile(r"/v1/configuration"), self._change),
+            ("POST", re.compile(r"/v1/configuration"), self._change_configuration),
             ("POST", re.compile(r"/v1/drain"), self._drain),
             ("GET", re.compile(r"/v1/work"), self._works),
             ("POST", re.compile(r"/v1/work"), self._submit),
@@ -134,30 +138,30 @@
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
         """Answer one request."""
-        with self._in_flight.one_more():
-            answer = self._answer(environ)
+        with self._in_flight.track():
+            answer = self._respond(environ)
         headers = {
             "Content-Type": answer.content_type,
             "Content-Length": str(len(answer.body)),
             **answer.headers,
         }
-        start_response(f"{answer.status} {_reason(answer.status)}", list(headers.items()))
+        start_response(f"{answer.status} {_reason_phrase(answer.status)}", list(headers.items()))
         return [answer.body]
 
-    def _answer(self, environ: dict) -> HttpAnswer:
+    def _respond(self, environ: dict) -> HttpResponse:
         try:
-            return self._dispatch(self._read(environ))
+            return self._dispatch(self._read_request(environ))
         except (SnowdockError, DeclarationErrors) as error:
-            return problem_answer(error)
+            return problem_response(error)
         except (pykka.Timeout, pykka.ActorDeadError) as error:
             log_error("api_overloaded", error)
-            return problem_answer(Overloaded("the node is too busy; nothing was done"))
+            return problem_response(Overloaded("the node is too busy; nothing was done"))
         except Exception as error:
             log_error("api_failed", error, path=environ.get("PATH_INFO", ""))
-            return problem_answer(SnowdockError("an unexpected failure; see the node's log"))
+            return problem_response(SnowdockError("an unexpected failure; see the node's log"))
 
-    def _read(self, environ: dict) -> HttpRequest:
-        limit = self._parts.settings.node.max_body_bytes
+    def _read_request(self, environ: dict) -> HttpRequest:
+        limit = self._context.settings.node.max_body_bytes
         body = environ["wsgi.input"].read(limit + 1)
         if len(body) > limit:
             raise BodyTooLarge(f"the body is larger than {limit} bytes")
@@ -174,10 +178,10 @@
             environ["REQUEST_METHOD"], path, environ.get("QUERY_STRING", ""), headers, body
         )
 
-    def _dispatch(self, request: HttpRequest) -> HttpAnswer:
-        if request.path not in _OPEN_PATHS:
-            wanted = Role.OPERATOR if _is_for_operators(request) else Role.CALLER
-            self._tokens.check(request.headers.get("authorization", ""), wanted)
+    def _dispatch(self, request: HttpRequest) -> HttpResponse:
+        if request.path not in _UNAUTHENTICATED_PATHS:
+            required_role = Role.OPERATOR if _needs_operator(request) else Role.CALLER
+            self._token_store.authorize(request.headers.get("authorization", ""), required_role)
         if request.path.startswith("/call/"):
             return self._call(request)
         allowed = set()
@@ -194,62 +198,66 @@
 
     # -- reading ---------------------------------------------------------------------------
 
-    def _view(self, function: Callable) -> object:
-        return self._parts.state.ask(View(function), timeout=_ASK_SECONDS)
+    def _query_state(self, function: Callable) -> object:
+        return self._context.state.ask(Query(function), timeout=_STATE_TIMEOUT_SECONDS)
 
-    def _health(self, request: HttpRequest) -> HttpAnswer:
-        self._view(lambda parts: None)
-        return json_answer({"healthy": True})
+    def _health(self, request: HttpRequest) -> HttpResponse:
+        self._query_state(lambda parts: None)
+        return json_response({"healthy": True})
 
-    def _ready(self, request: HttpRequest) -> HttpAnswer:
-        ready = self._view(lambda parts: parts.ready) and not self._draining
-        return json_answer({"ready": ready}, 200 if ready else 503)
+    def _ready(self, request: HttpRequest) -> HttpResponse:
+        ready = self._query_state(lambda parts: parts.ready) and not self._draining
+        return json_response({"ready": ready}, 200 if ready else 503)
 
-    def _render_metrics(self, request: HttpRequest) -> HttpAnswer:
+    def _render_metrics(self, request: HttpRequest) -> HttpResponse:
         content, content_type = self._metrics.render()
-        return HttpAnswer(200, content, content_type)
+        return HttpResponse(200, content, content_type)
 
-    def _version(self, request: HttpRequest) -> HttpAnswer:
-        node = self._parts.settings.node.name
-        return json_answer(self._view(lambda parts: reports.version_report(parts, node)))
+    def _version(self, request: HttpRequest) -> HttpResponse:
+        node = self._context.settings.node.name
+        return json_response(self._query_state(lambda parts: reports.version_report(parts, node)))
 
-    def _status(self, request: HttpRequest) -> HttpAnswer:
-        return json_answer(self._view(reports.cluster_status))
+    def _status(self, request: HttpRequest) -> HttpResponse:
+        return json_response(self._query_state(reports.cluster_status))
 
-    def _nodes(self, request: HttpRequest) -> HttpAnswer:
-        return json_answer(self._view(reports.node_reports))
+    def _nodes(self, request: HttpRequest) -> HttpResponse:
+        return json_response(self._query_state(reports.node_reports))
 
-    def _workers(self, request: HttpRequest) -> HttpAnswer:
-        return json_answer(self._view(reports.worker_reports))
+    def _workers(self, request: HttpRequest) -> HttpResponse:
+        return json_response(self._query_state(reports.worker_reports))
 
-    def _minions(self, request: HttpRequest) -> HttpAnswer:
-        return json_answer(self._view(reports.minion_reports))
+    def _minions(self, request: HttpRequest) -> HttpResponse:
+        return json_response(self._query_state(reports.minion_reports))
 
-    def _configuration(self, request: HttpRequest) -> HttpAnswer:
-        return json_answer(self._view(reports.configuration))
+    def _configuration(self, request: HttpRequest) -> HttpResponse:
+        return json_response(self._query_state(reports.configuration))
 
-    def _works(self, request: HttpRequest) -> HttpAnswer:
-        return json_answer(self._view(reports.work_reports))
+    def _works(self, request: HttpRequest) -> HttpResponse:
+        return json_response(self._query_state(reports.work_reports))
 
-    def _work(self, request: HttpRequest, number: str) -> HttpAnswer:
+    def _work(self, request: HttpRequest, number: str) -> HttpResponse:
         def show(parts) -> reports.WorkReport | None:
             work = parts.state.works.get(int(number))
             return None if work is None else reports.work_report(parts, work, True)
 
-        self._catch_up(submission_offset(int(number)))
-        found = self._view(show)
-        if found is None:
+        self._wait_for_offset(submission_offset(int(number)))
+        report = self._query_state(show)
+        if report is None:
             raise NotFound(f"no work {number}")
-        return json_answer(found)
+        return json_response(report)
 
-    def _catch_up(self, offset: int) -> None:
+    def _wait_for_offset(self, offset: int) -> None:
         """Wait until this node has read an offset that another one has told of.
 
         Work accepted through one node would else be unknown at the next for a moment.
         """
-        end = steady_seconds() + _CATCH_UP_SECONDS
-        while self._parts.applied_offset < offset <= self._parts.applied_offset + _CATCH_UP_ENTRIES:
-            if steady_seconds() > end:
+        deadline = steady_seconds() + _CATCH_UP_TIMEOUT_SECONDS
+        while (
+            self._context.applied_offset
+            < offset
+            <= self._context.applied_offset + _MAX_CATCH_UP_ENTRIES
+        ):
+            if steady_seconds() > deadline:
                 raise Starting("this node has not read that far yet")
             time.sleep(_CATCH_UP_POLL_SECONDS)
 
@@ -257,8 +265,8 @@
 
     def _propose(self, *records: Record) -> tuple[Verdict, ...]:
         future = pykka.ThreadingFuture()
-        self._parts.writer.tell(Propose(records, future.set))
-        seconds = self._parts.settings.timing.verdict_ms / 1000
+        self._context.writer.tell(Propose(records, future.set))
+        seconds = self._context.settings.timing.verdict_ms / 1000
         try:
             result = future.get(timeout=seconds)
         except pykka.Timeout:
@@ -269,30 +277,30 @@
             raise result
         return result
 
-    def _change(self, request: HttpRequest) -> HttpAnswer:
-        _want_type(request, _JSON)
+    def _change_configuration(self, request: HttpRequest) -> HttpResponse:
+        _require_content_type(request, _JSON)
         try:
             change = msgspec.json.decode(request.body, type=ConfigurationChange)
         except msgspec.MsgspecError as error:
             raise InvalidInput(f"the body does not fit: {error}") from error
         declarations = parse_declarations(change.files)
         PolicySet.check(declarations)
-        if request.option("dry_run") == "true":
-            return json_answer(Changed(0))
+        if request.query_parameter("dry_run") == "true":
+            return json_response(ChangeResult(0))
         (verdict,) = self._propose(
             ConfigurationProposed(change.base, declarations, change.author[:100])
         )
         if isinstance(verdict, Accepted):
             log_event("configuration_accepted", version=verdict.reference, author=change.author)
-            return json_answer(Changed(verdict.reference))
+            return json_response(ChangeResult(verdict.reference))
         raise ConfigurationConflict(verdict.reason)
 
-    def _submit(self, request: HttpRequest) -> HttpAnswer:
-        _want_type(request, _TEXT)
+    def _submit(self, request: HttpRequest) -> HttpResponse:
+        _require_content_type(request, _TEXT)
         if self._draining:
             raise Draining("the node is on its way out; nothing was accepted")
         key = request.headers.get("snowdock-key", "")
-        if not _KEY.match(key):
+        if not _KEY_PATTERN.match(key):
             raise InvalidInput("header Snowdock-Key: 1 to 100 of A-Z a-z 0-9 . _ : - are needed")
         try:
             text = request.body.decode("utf-8")
@@ -300,7 +308,7 @@
             raise InvalidInput("the body is not UTF-8") from error
         specs = parse_work("work", text)
         for spec in specs:
-            self._check_possible(spec)
+            self._check_feasible(spec)
         records = tuple(WorkSubmitted(f"{key}/{spec.name}", spec) for spec in specs)
         verdicts = self._propose(*records)
         for verdict in verdicts:
@@ -310,9 +318,9 @@
             SubmittedWork(verdict.reference, spec.name)
             for verdict, spec in zip(verdicts, specs, strict=True)
         ]
-        return json_answer(accepted, 201)
+        return json_response(accepted, 201)
 
-    def _check_possible(self, spec: WorkSpec) -> None:
+    def _check_feasible(self, spec: WorkSpec) -> None:
         """Say at once what no worker and no quota could ever hold."""
 
         def check(parts) -> str:
@@ -327,43 +335,43 @@
             admitted = parts.policies.call(spec.kind, "admit", describe_work(spec, 0))
             return "" if admitted is True else f"the policy does not admit it: {admitted}"
 
-        problem = self._view(check)
+        problem = self._query_state(check)
         if problem:
             raise WorkImpossible(f"[{spec.kind} {spec.name}]: {problem}")
 
-    def _cancel(self, request: HttpRequest, number: str) -> HttpAnswer:
+    def _cancel(self, request: HttpRequest, number: str) -> HttpResponse:
         (verdict,) = self._propose(WorkCancelled(int(number)))
         if isinstance(verdict, Accepted):
-            return json_answer({"cancelled": int(number)})
+            return json_response({"cancelled": int(number)})
         raise NotFound(verdict.reason) if "unknown" in verdict.reason else Voided(verdict.reason)
 
-    def _drain(self, request: HttpRequest) -> HttpAnswer:
+    def _drain(self, request: HttpRequest) -> HttpResponse:
         self.request_drain()
-        return json_answer({"draining": True}, 202)
+        return json_response({"draining": True}, 202)
 
     # -- callers' requests -----------------------------------------------------------------
 
-    def _call(self, request: HttpRequest) -> HttpAnswer:
+    def _call(self, request: HttpRequest) -> HttpResponse:
         try:
-            call = read_call(request)
+            call = parse_call(request)
         except SnowdockError as error:
-            answer = problem_answer(error)
+            answer = problem_response(error)
             return dataclasses.replace(
                 answer, headers={**answer.headers, "Snowdock-Outcome": "not-run"}
             )
         outcome = self._requests.handle(call)
-        return show_outcome(call, outcome)
+        return build_response(call, outcome)
 
 
-def _is_for_operators(request: HttpRequest) -> bool:
-    return request.method != "GET" and request.path in _OPERATORS_PATHS
+def _needs_operator(request: HttpRequest) -> bool:
+    return request.method != "GET" and request.path in _OPERATOR_PATHS
 
 
-def _want_type(request: HttpRequest, wanted: str) -> None:
-    given = request.headers.get("content-type", "").partition(";")[0].strip().lower()
-    if given != wanted:
-        raise UnsupportedMedia(f"content type {wanted} is needed, not {given[:60]!r}")
+def _require_content_type(request: HttpRequest, expected: str) -> None:
+    actual = request.headers.get("content-type", "").partition(";")[0].strip().lower()
+    if actual != expected:
+        raise UnsupportedMedia(f"content type {expected} is needed, not {actual[:60]!r}")
 
 
-def _reason(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     return "OK" if status < 400 else "Failed"
--- a/src/snowdock/node/calls.py
+++ b/src/snowdock/node/calls.py
@@ -6,15 +6,15 @@
 
 from ..errors import InvalidInput
 from ..request_ids import new_request_id
-from .http_models import HttpAnswer, HttpRequest, Problem, whole_seconds
+from .http_models import HttpRequest, HttpResponse, Problem, format_retry_after
 from .peer_messages import CallOutcome, CallRequest
 
-__all__ = ["read_call", "show_outcome"]
+__all__ = ["build_response", "parse_call"]
 
 _REQUEST_ID = re.compile(r"^[A-Za-z0-9._-]{1,80}$")
 _MAX_DEADLINE_MS = 600_000
-_PEOPLE_PRIORITY = 90
-_HOP_HEADERS = {
+_DEFAULT_PRIORITY = 90
+_UNFORWARDED_HEADERS = {
     "authorization",
     "connection",
     "host",
@@ -24,7 +24,7 @@
 }
 
 
-def read_call(request: HttpRequest) -> CallRequest:
+def parse_call(request: HttpRequest) -> CallRequest:
     """Read a caller's request.
 
     Raises
@@ -44,36 +44,36 @@
     if request_id and not _REQUEST_ID.match(request_id):
         raise InvalidInput("header Snowdock-Request-Id is malformed; nothing was run")
     query = f"?{request.query}" if request.query else ""
-    passed = {
+    forwarded_headers = {
         name: value
         for name, value in headers.items()
-        if name not in _HOP_HEADERS and not name.startswith("snowdock-")
+        if name not in _UNFORWARDED_HEADERS and not name.startswith("snowdock-")
     }
     return CallRequest(
         request_id=request_id or new_request_id(),
         endpoint=endpoint,
         method=request.method,
         path=f"/{path}{query}",
-        headers=passed,
+        headers=forwarded_headers,
         body=request.body,
-        deadline_ms=_number(headers, "snowdock-deadline-ms", 5000, _MAX_DEADLINE_MS),
-        priority=_number(headers, "snowdock-priority", _PEOPLE_PRIORITY, 100),
+        deadline_ms=_parse_number(headers, "snowdock-deadline-ms", 5000, _MAX_DEADLINE_MS),
+        priority=_parse_number(headers, "snowdock-priority", _DEFAULT_PRIORITY, 100),
         repeatable=repeatable == "yes",
         session=headers.get("snowdock-session", ""),
         trace=headers.get("traceparent", ""),
     )
 
 
-def _number(headers: dict[str, str], name: str, default: int, most: int) -> int:
+def _parse_number(headers: dict[str, str], name: str, default: int, maximum: int) -> int:
     text = headers.get(name)
     if text is None:
         return default
-    if not text.isascii() or not text.isdigit() or not 0 < int(text[:12]) <= most:
-        raise InvalidInput(f"header {name} is a number from 1 to {most}; nothing was run")
+    if not text.isascii() or not text.isdigit() or not 0 < int(text[:12]) <= maximum:
+        raise InvalidInput(f"header {name} is a number from 1 to {maximum}; nothing was run")
     return int(text)
 
 
-def show_outcome(call: CallRequest, outcome: CallOutcome) -> HttpAnswer:
+def build_response(call: CallRequest, outcome: CallOutcome) -> HttpResponse:
     """Make the answer that tells a caller of the end of its request."""
     headers = {
         "Snowdock-Request-Id": call.request_id,
@@ -82,12 +82,12 @@
     if outcome.minion:
         headers["Snowdock-Session"] = outcome.minion
     if outcome.retry_after_seconds:
-        headers["Retry-After"] = whole_seconds(outcome.retry_after_seconds)
+        headers["Retry-After"] = format_retry_after(outcome.retry_after_seconds)
     if not outcome.code:
         content_type = next(
             (v for k, v in outcome.headers.items() if k.lower() == "content-type"),
             "application/octet-stream",
         )
-        return HttpAnswer(outcome.status, outcome.body, content_type, headers)
+        return HttpResponse(outcome.status, outcome.body, content_type, headers)
     body = msgspec.json.encode(Problem(outcome.code, outcome.reason, [], outcome.outcome))
-    return HttpAnswer(outcome.status, body, headers=headers)
+    return HttpResponse(outcome.status, body, headers=headers)
--- a/src/snowdock/node/parts.py
+++ b/src/snowdock/node/context.py
@@ -8,7 +8,7 @@
 from ..settings import Settings
 from ..state import Member
 
-__all__ = ["Parts"]
+__all__ = ["NodeContext"]
 
 
 def _ignore(*_: object) -> None:
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Parts:
+class NodeContext:
     """One node's identity and the references of its actors.
 
     Attributes
@@ -48,10 +48,10 @@
     driver: pykka.ActorRef | None = None
     router: pykka.ActorRef | None = None
     watcher: pykka.ActorRef | None = None
-    peers_changed: Callable[[dict[str, Member]], None] = _ignore
-    fail: Callable[[], None] = _ignore
+    on_members_changed: Callable[[dict[str, Member]], None] = _ignore
+    on_fatal_error: Callable[[], None] = _ignore
     applied_offset: int = -1
-    digest: tuple[int, str] = (-1, "")
+    latest_digest: tuple[int, str] = (-1, "")
     reads_log: bool = True
     appends_to_log: bool = True
     idle_slots: dict[str, int] = dataclasses.field(default_factory=dict)
--- a/src/snowdock/node/daemon.py
+++ b/src/snowdock/node/daemon.py
@@ -24,26 +24,26 @@
 from ..settings import Settings, read_settings
 from ..state import Member, decode_state, encode_state
 from .api import Api
+from .context import NodeContext
 from .log_actors import LogReader, LogWriter
-from .messages import PeerHeard, PeerIdle, Propose, StateLoaded, Tick, View
+from .messages import HeartbeatReceived, PeerSlotsReported, Propose, Query, StateLoaded, Tick
 from .metrics import Metrics
-from .parts import Parts
-from .peer_messages import NODE_MESSAGES, Heartbeat, StateGiven, StateWanted
+from .peer_messages import NODE_MESSAGES, Heartbeat, StateRequest, StateResponse
 from .peers import PeerOptions, Peers
 from .requests import RequestHandler
 from .router import Router
 from .state_actor import StateActor
-from .tokens import TokenBook
+from .tokens import TokenStore
 from .vm_watcher import VmWatcher
 from .worker_driver import WorkerDriver
 
 __all__ = ["Node", "main"]
 
-_TICK_SECONDS = 0.25
+_TICK_INTERVAL_SECONDS = 0.25
 _CONNECTIONS_PER_MINION = 64
-_SEED_SECONDS = 2.0
+_SEED_TIMEOUT_SECONDS = 2.0
 _STOP_POLL_SECONDS = 0.02
-_LEAVE_SECONDS = 3.0
+_LEAVE_TIMEOUT_SECONDS = 3.0
 
 
 class Node:
@@ -56,16 +56,16 @@
         self._stopped = threading.Event()
         node = settings.node
         timing = settings.timing
-        self._parts = Parts(settings, incarnation=secrets.token_hex(4))
+        self._context = NodeContext(settings, incarnation=secrets.token_hex(4))
         metrics = Metrics()
         client = HttpClient(node.name, settings.platform.timeout_ms / 1000)
         log = LogClient(client, settings.platform.log)
         workers = WorkerClient(client)
         self._requests = RequestHandler(
-            self._parts, MinionClient(node.name, _CONNECTIONS_PER_MINION), metrics
+            self._context, MinionClient(node.name, _CONNECTIONS_PER_MINION), metrics
         )
-        tokens = TokenBook(settings.security.tokens_file)
-        self._api = Api(self._parts, self._requests, metrics, tokens)
+        tokens = TokenStore(settings.security.tokens_file)
+        self._api = Api(self._context, self._requests, metrics, tokens)
         self._api.request_drain = self._stopping.set
         host, _, port = node.api.rpartition(":")
         self._server = waitress.create_server(
@@ -76,30 +76,30 @@
             max_request_body_size=node.max_body_bytes,
             clear_untrusted_proxy_headers=True,
         )
-        self._parts.api_address = f"{host}:{self._server.effective_port}"
-        self._parts.fail = self._fail
+        self._context.api_address = f"{host}:{self._server.effective_port}"
+        self._context.on_fatal_error = self._fail
         self._peers = Peers(
             PeerOptions(
                 listen=node.peer,
-                beat_seconds=timing.heartbeat_ms / 1000,
+                heartbeat_interval_s=timing.heartbeat_ms / 1000,
                 public_key=settings.security.peer_public_key,
                 secret_key=settings.security.peer_secret_key,
             ),
             NODE_MESSAGES,
             self._answer_peer,
-            self._heard,
-            self._make_beat,
+            self._handle_heartbeat,
+            self._build_heartbeat,
         )
         self._requests.set_peers(self._peers)
-        self._parts.peers_changed = self._set_peers
-        parts = self._parts
+        self._context.on_members_changed = self._update_peers
+        parts = self._context
         parts.writer = LogWriter.start(
             log,
             node.name,
             parts.incarnation,
             timing.append_interval_ms / 1000,
             lambda: parts.applied_offset,
-            self._note_append,
+            self._record_append_result,
         )
         parts.router = Router.start(parts)
         parts.driver = WorkerDriver.start(parts, workers)
@@ -110,12 +110,12 @@
     def run(self) -> int:
         """Serve until told to stop; give the exit status."""
         self._peers.start()
-        self._ask_seeds()
-        self._parts.reader.tell(Tick())
+        self._load_state_from_seed()
+        self._context.reader.tell(Tick())
         threading.Thread(target=self._tick, name="ticks", daemon=True).start()
         threading.Thread(target=self._watch_vms, name="vm-ticks", daemon=True).start()
         threading.Thread(target=self._server.run, name="api", daemon=True).start()
-        log_event("started", api=self._parts.api_address, incarnation=self._parts.incarnation)
+        log_event("started", api=self._context.api_address, incarnation=self._context.incarnation)
         self._stopping.wait()
         return self._stop()
 
@@ -123,8 +123,8 @@
         """Ask for a planned stop."""
         self._stopping.set()
 
-    def _note_append(self, answered: bool) -> None:
-        self._parts.appends_to_log = answered
+    def _record_append_result(self, succeeded: bool) -> None:
+        self._context.appends_to_log = succeeded
 
     def _fail(self) -> None:
         """End at once: nothing is given back, as if the process had been killed."""
@@ -134,8 +134,8 @@
     # -- ticks -----------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        while not self._stopped.wait(_TICK_SECONDS):
-            for actor in (self._parts.state, self._parts.driver, self._parts.router):
+        while not self._stopped.wait(_TICK_INTERVAL_SECONDS):
+            for actor in (self._context.state, self._context.driver, self._context.router):
                 with contextlib.suppress(pykka.ActorDeadError):
                     actor.tell(Tick())
 
@@ -144,21 +144,21 @@
         while not self._stopped.wait(interval):
             # Asked, not told: looks at a slow list must not pile up.
             try:
-                self._parts.watcher.ask(Tick())
+                self._context.watcher.ask(Tick())
             except pykka.ActorDeadError:
                 return
 
     # -- peers -----------------------------------------------------------------------------
 
-    def _set_peers(self, members: dict[str, Member]) -> None:
+    def _update_peers(self, members: dict[str, Member]) -> None:
         own = self._settings.node.name
         self._peers.set_addresses(
             {name: member.peer_address for name, member in members.items() if name != own}
         )
 
-    def _make_beat(self, _due_s: float, _heard_s: float | None) -> Heartbeat:
-        parts = self._parts
-        digest_offset, digest = parts.digest
+    def _build_heartbeat(self, _due_s: float, _last_received_s: float | None) -> Heartbeat:
+        parts = self._context
+        digest_offset, digest = parts.latest_digest
         return Heartbeat(
             self._settings.node.name,
             parts.incarnation,
@@ -169,40 +169,40 @@
             parts.idle_slots,
         )
 
-    def _heard(self, beat: Heartbeat) -> None:
-        self._parts.state.tell(
-            PeerHeard(
-                beat.node,
-                beat.incarnation,
-                beat.offset,
-                beat.digest_offset,
-                beat.digest,
-                beat.reaches_log,
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self._context.state.tell(
+            HeartbeatReceived(
+                heartbeat.node,
+                heartbeat.incarnation,
+                heartbeat.offset,
+                heartbeat.digest_offset,
+                heartbeat.digest,
+                heartbeat.reaches_log,
             )
         )
-        self._parts.router.tell(PeerIdle(beat.node, beat.idle_slots))
+        self._context.router.tell(PeerSlotsReported(heartbeat.node, heartbeat.idle_slots))
 
-    def _answer_peer(self, question):
-        if isinstance(question, StateWanted):
-            data = self._parts.state.ask(View(lambda parts: encode_state(parts.state)))
-            return StateGiven(question.number, data)
-        return self._requests.answer_peer(question)
+    def _answer_peer(self, request):
+        if isinstance(request, StateRequest):
+            data = self._context.state.ask(Query(lambda parts: encode_state(parts.state)))
+            return StateResponse(request.number, data)
+        return self._requests.answer_peer(request)
 
-    def _ask_seeds(self) -> None:
+    def _load_state_from_seed(self) -> None:
         """Take the newest state that a peer has; the log goes on from there."""
         for address in self._settings.node.seed_addresses:
             if address == self._settings.node.peer:
                 continue
             try:
-                given = self._peers.ask_address(address, StateWanted, _SEED_SECONDS)
-                state = decode_state(given.data)
+                response = self._peers.ask_address(address, StateRequest, _SEED_TIMEOUT_SECONDS)
+                state = decode_state(response.data)
             except (PlatformError, InvalidInput) as error:
                 log_event("seed_silent", address=address, reason=str(error))
                 continue
             log_event("state_from_peer", address=address, offset=state.offset)
             loaded = StateLoaded(state)
-            self._parts.state.ask(loaded)
-            self._parts.reader.ask(loaded)
+            self._context.state.ask(loaded)
+            self._context.reader.ask(loaded)
             return
 
     # -- the end ---------------------------------------------------------------------------
@@ -214,7 +214,7 @@
         log_event("draining")
         name = self._settings.node.name
         self._api.drain()
-        self._parts.writer.tell(Propose((NodeDraining(name),)))
+        self._context.writer.tell(Propose((NodeDraining(name),)))
         self._wait_for_requests()
         self._requests.drain()
         self._wait_for_requests()
@@ -227,15 +227,15 @@
         return 0
 
     def _wait_for_requests(self) -> None:
-        end = steady_seconds() + self._settings.timing.drain_ms / 1000
+        deadline = steady_seconds() + self._settings.timing.drain_ms / 1000
         # Requests that run here for a peer came in over its sockets, not over the API.
-        while (self._api.in_flight or self._requests.in_flight) and steady_seconds() < end:
+        while (self._api.in_flight or self._requests.in_flight) and steady_seconds() < deadline:
             time.sleep(_STOP_POLL_SECONDS)
 
     def _leave(self, name: str) -> None:
         done = threading.Event()
-        self._parts.writer.tell(Propose((NodeLeft(name),), lambda result: done.set()))
-        if not done.wait(_LEAVE_SECONDS):
+        self._context.writer.tell(Propose((NodeLeft(name),), lambda result: done.set()))
+        if not done.wait(_LEAVE_TIMEOUT_SECONDS):
             log_event("left_silently", reason="the log did not answer")
 
 
--- a/src/snowdock/node/http_models.py
+++ b/src/snowdock/node/http_models.py
@@ -7,7 +7,14 @@
 
 from ..errors import DeclarationErrors, SnowdockError
 
-__all__ = ["HttpAnswer", "HttpRequest", "Problem", "json_answer", "problem_answer", "whole_seconds"]
+__all__ = [
+    "HttpRequest",
+    "HttpResponse",
+    "Problem",
+    "format_retry_after",
+    "json_response",
+    "problem_response",
+]
 
 _JSON = "application/json"
 
@@ -22,13 +29,13 @@
     headers: dict[str, str]
     body: bytes
 
-    def option(self, name: str) -> str:
+    def query_parameter(self, name: str) -> str:
         """Give a query parameter, or nothing."""
         return parse_qs(self.query).get(name, [""])[0]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """An HTTP answer."""
 
     status: int
@@ -46,21 +53,21 @@
     outcome: str = ""
 
 
-def json_answer(value: object, status: int = 200) -> HttpAnswer:
+def json_response(value: object, status: int = 200) -> HttpResponse:
     """Answer with a model as JSON."""
-    return HttpAnswer(status, msgspec.json.encode(value))
+    return HttpResponse(status, msgspec.json.encode(value))
 
 
-def problem_answer(error: SnowdockError | DeclarationErrors) -> HttpAnswer:
+def problem_response(error: SnowdockError | DeclarationErrors) -> HttpResponse:
     """Answer with a failure, its code, and when to come back where that is known."""
     details = [str(e) for e in error.exceptions] if isinstance(error, ExceptionGroup) else []
     message = error.message if isinstance(error, ExceptionGroup) else str(error)
     retry_after = getattr(error, "retry_after_seconds", None)
-    headers = {} if retry_after is None else {"Retry-After": whole_seconds(retry_after)}
+    headers = {} if retry_after is None else {"Retry-After": format_retry_after(retry_after)}
     body = msgspec.json.encode(Problem(error.code, message, details))
-    return HttpAnswer(error.status, body, headers=headers)
+    return HttpResponse(error.status, body, headers=headers)
 
 
-def whole_seconds(seconds: float) -> str:
+def format_retry_after(seconds: float) -> str:
     """Write seconds as the header wants them: whole, and at least one."""
     return str(max(1, -int(-seconds // 1)))
--- a/src/snowdock/node/in_flight.py
+++ b/src/snowdock/node/in_flight.py
@@ -4,10 +4,10 @@
 import threading
 from collections.abc import Iterator
 
-__all__ = ["InFlight"]
+__all__ = ["InFlightCounter"]
 
 
-class InFlight:
+class InFlightCounter:
     """A count that several threads change.
 
     A bare ``+=`` loses counts between threads, and a lost one lets a stop cut a request off.
@@ -23,7 +23,7 @@
         return self._count
 
     @contextlib.contextmanager
-    def one_more(self) -> Iterator[None]:
+    def track(self) -> Iterator[None]:
         """Count one more while the block runs."""
         with self._lock:
             self._count += 1
--- a/src/snowdock/node/log_actors.py
+++ b/src/snowdock/node/log_actors.py
@@ -28,14 +28,14 @@
     encode_batch,
 )
 from ..state import State, decode_state
-from .messages import BatchSeen, EntriesRead, LogFailed, Propose, StateLoaded, Tick
+from .messages import BatchReadBack, EntriesRead, LogFailed, Propose, StateLoaded, Tick
 
-__all__ = ["LogReader", "LogWriter", "newest_snapshot"]
+__all__ = ["LogReader", "LogWriter", "find_newest_snapshot"]
 
 _RETRY_SECONDS = 0.2
 _MAX_BATCH_RECORDS = 512
 _MAX_QUEUED_RECORDS = 20_000
-_BATCH_ORDER = {AttemptEnded: 0, AttemptStarted: 1, TasksPlaced: 3}
+_RECORD_PRIORITIES = {AttemptEnded: 0, AttemptStarted: 1, TasksPlaced: 3}
 
 
 class LogWriter(pykka.ThreadingActor):
@@ -63,32 +63,32 @@
         log: LogClient,
         node: str,
         incarnation: str,
-        interval: float,
+        interval_s: float,
         read_offset: Callable[[], int],
-        note_answered: Callable[[bool], None],
+        on_append_result: Callable[[bool], None],
     ) -> None:
         super().__init__()
         self._log = log
         self._node = node
         self._incarnation = incarnation
-        self._interval = interval
+        self._interval_s = interval_s
         self._read_offset = read_offset
-        self._note_answered = note_answered
+        self._on_append_result = on_append_result
         self._sequence = 0
         self._queue: list[Propose] = []
         self._queued_records = 0
         self._in_flight: Batch | None = None
-        self._waiting: dict[int, list[Propose]] = {}
-        self._next_append = 0.0
+        self._awaiting_verdicts: dict[int, list[Propose]] = {}
+        self._next_append_at = 0.0
         self._timer_set = False
         self._failing = False
 
     def on_receive(self, message: object) -> None:
         """Take a proposal, a verdict or the time to append."""
         if isinstance(message, Propose):
-            self._take(message)
-        elif isinstance(message, BatchSeen):
-            self._judged(message)
+            self._enqueue(message)
+        elif isinstance(message, BatchReadBack):
+            self._handle_applied_batch(message)
         elif isinstance(message, Tick):
             self._timer_set = False
             self._append()
@@ -96,20 +96,20 @@
 
     def on_stop(self) -> None:
         """Tell everyone who still waits that the verdict will not be seen here."""
-        for proposals in self._waiting.values():
+        for proposals in self._awaiting_verdicts.values():
             for proposal in proposals:
-                _refuse(proposal, VerdictUnknown("the node stops; ask another with the same key"))
+                _reject(proposal, VerdictUnknown("the node stops; ask another with the same key"))
         for proposal in self._queue:
-            _refuse(proposal, LogUnavailable("the node stops; nothing was recorded"))
+            _reject(proposal, LogUnavailable("the node stops; nothing was recorded"))
 
-    def _take(self, proposal: Propose) -> None:
+    def _enqueue(self, proposal: Propose) -> None:
         # A caller's proposal is refused at once while the log is down: it has not been sent,
         # so "not recorded" is certain. The node's own records wait.
-        if self._failing and proposal.reply is not None:
-            _refuse(proposal, LogUnavailable("the log is down; nothing was recorded"))
+        if self._failing and proposal.on_verdicts is not None:
+            _reject(proposal, LogUnavailable("the log is down; nothing was recorded"))
             return
         if self._queued_records + len(proposal.records) > _MAX_QUEUED_RECORDS:
-            _refuse(proposal, LogUnavailable("too much waits for the log; nothing was recorded"))
+            _reject(proposal, LogUnavailable("too much waits for the log; nothing was recorded"))
             return
         self._queue.append(proposal)
         self._queued_records += len(proposal.records)
@@ -118,33 +118,33 @@
         if self._timer_set or not (self._queue or self._in_flight):
             return
         self._timer_set = True
-        delay = self._next_append - steady_seconds()
+        delay = self._next_append_at - steady_seconds()
         if delay <= 0:
             self.actor_ref.tell(Tick())
         else:
-            timer = threading.Timer(delay, self._tell_tick)
+            timer = threading.Timer(delay, self._send_tick)
             timer.daemon = True
             timer.start()
 
-    def _tell_tick(self) -> None:
+    def _send_tick(self) -> None:
         if self.actor_ref.is_alive():
             self.actor_ref.tell(Tick())
 
     def _next_batch(self) -> Batch:
         # Ends go first, since they free room, and placements last; records of one kind
         # that stand together also take fewer bytes.
-        self._queue.sort(key=_batch_order)
-        taken, records = [], []
+        self._queue.sort(key=_record_priority)
+        proposals, records = [], []
         while self._queue and len(records) < _MAX_BATCH_RECORDS:
             proposal = self._queue.pop(0)
-            taken.append(proposal)
+            proposals.append(proposal)
             records.extend(proposal.records)
         self._queued_records -= len(records)
         self._sequence += 1
-        self._waiting[self._sequence] = taken
-        return self._make(records)
+        self._awaiting_verdicts[self._sequence] = proposals
+        return self._build_batch(records)
 
-    def _make(self, records: list[Record]) -> Batch:
+    def _build_batch(self, records: list[Record]) -> Batch:
         return Batch(
             self._node,
             self._incarnation,
@@ -162,54 +162,54 @@
         try:
             self._log.append(encode_batch(self._in_flight))
         except PlatformError as error:
-            self._note_answered(False)
-            self._note_failure(error)
+            self._on_append_result(False)
+            self._handle_append_failure(error)
             return
-        self._note_answered(True)
+        self._on_append_result(True)
         if self._failing:
             log_event("log_append_recovered")
         self._failing = False
         self._in_flight = None
-        self._next_append = steady_seconds() + self._interval
+        self._next_append_at = steady_seconds() + self._interval_s
 
-    def _note_failure(self, error: PlatformError) -> None:
-        self._next_append = steady_seconds() + _RETRY_SECONDS
+    def _handle_append_failure(self, error: PlatformError) -> None:
+        self._next_append_at = steady_seconds() + _RETRY_SECONDS
         if self._failing:
             return
         self._failing = True
         log_error("log_append_failed", error, sequence=self._sequence)
         kept = []
         for proposal in self._queue:
-            if proposal.reply is None:
+            if proposal.on_verdicts is None:
                 kept.append(proposal)
             else:
-                _refuse(proposal, LogUnavailable("the log is down; nothing was recorded"))
+                _reject(proposal, LogUnavailable("the log is down; nothing was recorded"))
         self._queue = kept
         self._queued_records = sum(len(proposal.records) for proposal in kept)
 
-    def _judged(self, seen: BatchSeen) -> None:
-        judged = seen.judged
-        if self._in_flight is not None and judged.sequence == self._sequence:
+    def _handle_applied_batch(self, message: BatchReadBack) -> None:
+        applied = message.applied
+        if self._in_flight is not None and applied.sequence == self._sequence:
             # The append's answer was lost, but the batch is there.
             self._in_flight = None
             self._failing = False
-            self._note_answered(True)
-        verdicts = list(judged.verdicts)
-        for proposal in self._waiting.pop(judged.sequence, []):
-            own = tuple(verdicts[: len(proposal.records)])
+            self._on_append_result(True)
+        verdicts = list(applied.verdicts)
+        for proposal in self._awaiting_verdicts.pop(applied.sequence, []):
+            proposal_verdicts = tuple(verdicts[: len(proposal.records)])
             del verdicts[: len(proposal.records)]
-            if proposal.reply is not None:
-                proposal.reply(own)
+            if proposal.on_verdicts is not None:
+                proposal.on_verdicts(proposal_verdicts)
 
 
-def _batch_order(proposal: Propose) -> int:
+def _record_priority(proposal: Propose) -> int:
     first = proposal.records[0] if proposal.records else None
-    return _BATCH_ORDER.get(type(first), 2)
+    return _RECORD_PRIORITIES.get(type(first), 2)
 
 
-def _refuse(proposal: Propose, error: SnowdockError) -> None:
-    if proposal.reply is not None:
-        proposal.reply(error)
+def _reject(proposal: Propose, error: SnowdockError) -> None:
+    if proposal.on_verdicts is not None:
+        proposal.on_verdicts(error)
 
 
 class LogReader(pykka.ThreadingActor):
@@ -225,32 +225,32 @@
         The actor that gets `EntriesRead`, `StateLoaded` and `LogFailed`.
     """
 
-    def __init__(self, log: LogClient, wait_seconds: float, target: pykka.ActorRef) -> None:
+    def __init__(self, log: LogClient, poll_timeout_s: float, target: pykka.ActorRef) -> None:
         super().__init__()
         self._log = log
-        self._wait = wait_seconds
+        self._poll_timeout_s = poll_timeout_s
         self._target = target
-        self._next = 0
-        self._seeking: list[RawEntry] | None = None
+        self._next_offset = 0
+        self._snapshot_search: list[RawEntry] | None = None
         self._failing = False
 
     def on_receive(self, message: object) -> None:
         """Read once and go on; a `StateLoaded` names the offset to go on from."""
         if isinstance(message, StateLoaded):
-            self._next = max(self._next, message.state.offset + 1)
+            self._next_offset = max(self._next_offset, message.state.offset + 1)
             return
         try:
             self._read()
             self._failing = False
         except LogExpired as expired:
-            log_event("log_expired", wanted=self._next, first=expired.first)
-            self._next = expired.first
-            self._seeking = []
+            log_event("log_expired", wanted=self._next_offset, first=expired.first)
+            self._next_offset = expired.first
+            self._snapshot_search = []
         except PlatformError as error:
-            self._fail(error)
+            self._handle_read_failure(error)
         self.actor_ref.tell(Tick())
 
-    def _fail(self, error: PlatformError) -> None:
+    def _handle_read_failure(self, error: PlatformError) -> None:
         if not self._failing:
             log_error("log_read_failed", error)
         self._failing = True
@@ -258,30 +258,30 @@
         time.sleep(_RETRY_SECONDS)
 
     def _read(self) -> None:
-        asked_at = steady_seconds()
-        page = self._log.read(self._next, self._wait)
+        started_at = steady_seconds()
+        page = self._log.read(self._next_offset, self._poll_timeout_s)
         if page.entries:
-            self._next = page.entries[-1].offset + 1
-        if self._seeking is None:
-            self._target.tell(EntriesRead(tuple(page.entries), page.end, asked_at))
+            self._next_offset = page.entries[-1].offset + 1
+        if self._snapshot_search is None:
+            self._target.tell(EntriesRead(tuple(page.entries), page.end, started_at))
             return
-        self._seeking.extend(page.entries)
-        if self._next >= page.end:
-            self._load_snapshot(page.end, asked_at)
+        self._snapshot_search.extend(page.entries)
+        if self._next_offset >= page.end:
+            self._load_snapshot(page.end, started_at)
 
-    def _load_snapshot(self, end: int, asked_at: float) -> None:
-        state = newest_snapshot(self._seeking)
+    def _load_snapshot(self, end: int, started_at: float) -> None:
+        state = find_newest_snapshot(self._snapshot_search)
         if state is None:
             log_error("snapshot_missing", "no whole snapshot on the log", end=end)
             return
         log_event("snapshot_loaded", offset=state.offset)
-        later = tuple(entry for entry in self._seeking if entry.offset > state.offset)
-        self._seeking = None
+        later = tuple(entry for entry in self._snapshot_search if entry.offset > state.offset)
+        self._snapshot_search = None
         self._target.tell(StateLoaded(state))
-        self._target.tell(EntriesRead(later, end, asked_at))
+        self._target.tell(EntriesRead(later, end, started_at))
 
 
-def newest_snapshot(entries: list[RawEntry]) -> State | None:
+def find_newest_snapshot(entries: list[RawEntry]) -> State | None:
     """Find the newest whole snapshot whose next entry is still among the entries.
 
     Parameters
@@ -302,15 +302,15 @@
             continue
         for record in batch.records:
             if isinstance(record, SnapshotPart):
-                found = parts.setdefault((batch.incarnation, record.offset), {})
-                found[record.index] = record
+                snapshot_parts = parts.setdefault((batch.incarnation, record.offset), {})
+                snapshot_parts[record.index] = record
     first = entries[0].offset if entries else 0
-    whole = [
+    complete = [
         found
         for (_, offset), found in parts.items()
         if len(found) == next(iter(found.values())).total and offset + 1 >= first
     ]
-    if not whole:
+    if not complete:
         return None
-    newest = max(whole, key=lambda found: found[0].offset)
+    newest = max(complete, key=lambda found: found[0].offset)
     return decode_state(b"".join(newest[index].data for index in range(len(newest))))
--- a/src/snowdock/node/messages.py
+++ b/src/snowdock/node/messages.py
@@ -13,26 +13,26 @@
 from ..state import State
 
 __all__ = [
-    "Acquire",
+    "AcquireSlot",
     "AssignmentChanged",
-    "BatchSeen",
+    "BatchReadBack",
     "EntriesRead",
-    "Granted",
-    "LentByPeer",
+    "HeartbeatReceived",
     "LogConfirmed",
     "LogFailed",
     "MinionsChanged",
-    "PeerHeard",
-    "PeerIdle",
+    "PeerSlotsReported",
     "Propose",
-    "Refused",
-    "Released",
+    "Query",
+    "SlotAtPeer",
+    "SlotGranted",
+    "SlotRefused",
+    "SlotReleased",
     "StateLoaded",
     "SyncAnswered",
     "SyncFailed",
     "Tick",
-    "View",
-    "WorkerPoked",
+    "WorkerSyncRequested",
 ]
 
 
@@ -53,14 +53,14 @@
     """
 
     records: tuple[Record, ...]
-    reply: Callable[[object], None] | None = None
+    on_verdicts: Callable[[object], None] | None = None
 
 
 @_message
-class BatchSeen:
+class BatchReadBack:
     """A batch of this node was read back and judged."""
 
-    judged: BatchApplied
+    applied: BatchApplied
 
 
 @_message
@@ -73,14 +73,14 @@
 
     entries: tuple[RawEntry, ...]
     end: int
-    asked_at: float
+    read_started_at: float
 
 
 @_message
 class LogConfirmed:
     """A read of the log that began at ``asked_at`` was answered and applied."""
 
-    asked_at: float
+    read_started_at: float
 
 
 @_message
@@ -94,18 +94,18 @@
 class LogFailed:
     """The log did not answer a read."""
 
-    problem: str
+    reason: str
 
 
 @_message
-class View:
+class Query:
     """Read the shared state: the function is called with the state actor's parts."""
 
     function: Callable[..., object]
 
 
 @_message
-class PeerHeard:
+class HeartbeatReceived:
     """A peer's heartbeat arrived."""
 
     node: str
@@ -117,7 +117,7 @@
 
 
 @_message
-class PeerIdle:
+class PeerSlotsReported:
     """A peer told how many idle slots it has, by minion group."""
 
     node: str
@@ -132,7 +132,7 @@
 
 
 @_message
-class WorkerPoked:
+class WorkerSyncRequested:
     """There is something to start or stop on a worker."""
 
     worker: str
@@ -151,7 +151,7 @@
     """A worker did not answer an order."""
 
     worker: str
-    problem: str
+    reason: str
 
 
 @_message
@@ -159,11 +159,11 @@
     """All minions, and whether this node still takes slots."""
 
     minions: tuple[MinionView, ...]
-    may_take: bool
+    may_take_slots: bool
 
 
 @_message
-class Acquire:
+class AcquireSlot:
     """Ask for a slot on a minion of a group.
 
     ``slot`` gets `Granted`, `LentByPeer` or `Refused`.
@@ -181,7 +181,7 @@
 
 
 @_message
-class Granted:
+class SlotGranted:
     """A slot is the asker's until it sends `Released`."""
 
     minion: str
@@ -189,14 +189,14 @@
 
 
 @_message
-class LentByPeer:
+class SlotAtPeer:
     """No slot is idle here, but a peer has some."""
 
     node: str
 
 
 @_message
-class Refused:
+class SlotRefused:
     """No slot, and when to come back."""
 
     reason: str
@@ -204,7 +204,7 @@
 
 
 @_message
-class Released:
+class SlotReleased:
     """A slot is idle again, after ``hold_seconds``.
 
     ``failed`` says that the minion did not answer well. A slot is held back where its
@@ -213,5 +213,5 @@
 
     minion: str
     failed: bool
-    seconds: float
-    hold_seconds: float = 0.0
+    duration_s: float
+    hold_s: float = 0.0
--- a/src/snowdock/node/metrics.py
+++ b/src/snowdock/node/metrics.py
@@ -12,10 +12,10 @@
 
 __all__ = ["Metrics"]
 
-_TIME_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0]
+_TIME_BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0]
 """Seconds: calls take some ms, placements some tens, runs seconds."""
 
-_QUANTILES = ((0.5, 0.02), (0.9, 0.01), (0.99, 0.001))
+_QUANTILE_ERRORS = ((0.5, 0.02), (0.9, 0.01), (0.99, 0.001))
 
 
 class Metrics:
@@ -29,7 +29,7 @@
         self._lock = threading.Lock()
         self._metrics: dict[str, aioprometheus.Collector] = {}
 
-    def _find(self, kind: type, name: str, doc: str, **options):
+    def _ensure_metric(self, kind: type, name: str, doc: str, **options):
         if name not in self._metrics:
             self._metrics[name] = kind(f"snowdock_{name}", doc, registry=self._registry, **options)
         return self._metrics[name]
@@ -37,29 +37,33 @@
     def count(self, name: str, doc: str, amount: float = 1, **labels: str) -> None:
         """Add to a counter."""
         with self._lock:
-            self._find(aioprometheus.Counter, name, doc).add(labels, amount)
+            self._ensure_metric(aioprometheus.Counter, name, doc).add(labels, amount)
 
     def set(self, name: str, doc: str, value: float, **labels: str) -> None:
         """Set a gauge."""
         with self._lock:
-            self._find(aioprometheus.Gauge, name, doc).set(labels, value)
+            self._ensure_metric(aioprometheus.Gauge, name, doc).set(labels, value)
 
     def observe(self, name: str, doc: str, value: float, **labels: str) -> None:
         """Add an observation to a summary with the quantiles 0.5, 0.9 and 0.99."""
         with self._lock:
-            found = self._find(aioprometheus.Summary, name, doc, invariants=_QUANTILES)
+            found = self._ensure_metric(
+                aioprometheus.Summary, name, doc, invariants=_QUANTILE_ERRORS
+            )
             found.observe(labels, value)
 
     def time(self, name: str, doc: str, seconds: float, **labels: str) -> None:
         """Add a time to a histogram."""
         with self._lock:
-            found = self._find(aioprometheus.Histogram, name, doc, buckets=_TIME_BUCKETS)
+            found = self._ensure_metric(
+                aioprometheus.Histogram, name, doc, buckets=_TIME_BUCKETS_SECONDS
+            )
             found.observe(labels, seconds)
 
     def render(self) -> tuple[bytes, str]:
         """Give all metrics in the text format, and its content type."""
         with self._lock:
-            self._find(
+            self._ensure_metric(
                 aioprometheus.Gauge,
                 "process_cpu_seconds",
                 "Processor time of this process in seconds.",
--- a/src/snowdock/node/peer_links.py
+++ b/src/snowdock/node/peer_links.py
@@ -5,15 +5,15 @@
 
 import zmq
 
-__all__ = ["BeatPlan", "PeerLinks"]
+__all__ = ["HeartbeatPlan", "PeerLinks"]
 
-_UNCONFIRMED_SECONDS = 2.0
+_CONFIRMATION_TIMEOUT_SECONDS = 2.0
 """A connection over which a peer has heard nothing for so long is made anew: it may have gone
 silent without a reset. Three of the less frequent heartbeats are due meanwhile."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BeatPlan:
+class HeartbeatPlan:
     """Which peers get a heartbeat at each turn; the others get one at each n-th.
 
     Attributes
@@ -25,8 +25,8 @@
         Gives the names of the peers that get one at each turn.
     """
 
-    seldom: int = 1
-    frequent: Callable[[], Collection[str]] = tuple
+    rare_interval: int = 1
+    frequent_peers: Callable[[], Collection[str]] = tuple
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -41,7 +41,7 @@
     socket: zmq.Socket
     confirmed_at: float
     is_new: bool = True
-    heard_at: float | None = None
+    last_heartbeat_at: float | None = None
 
 
 class PeerLinks:
@@ -58,13 +58,13 @@
     """
 
     def __init__(
-        self, make_socket: Callable[[], zmq.Socket], poller: zmq.Poller, plan: BeatPlan
+        self, make_socket: Callable[[], zmq.Socket], poller: zmq.Poller, plan: HeartbeatPlan
     ) -> None:
         self._make_socket = make_socket
         self._poller = poller
         self._plan = plan
         self._links: dict[str, _Link] = {}
-        self._turn = 0
+        self._tick_count = 0
 
     def __contains__(self, node: str) -> bool:
         return node in self._links
@@ -78,7 +78,7 @@
         if node not in self._links:
             self._links[node] = _Link(address, self._open(address), now)
 
-    def keep_only(self, addresses: dict[str, str], now: float) -> None:
+    def set_addresses(self, addresses: dict[str, str], now: float) -> None:
         """Connect to these peers, and to no others."""
         for node, link in list(self._links.items()):
             if addresses.get(node) != link.address:
@@ -86,28 +86,28 @@
         for node, address in addresses.items():
             self.connect(node, address, now)
 
-    def hear(self, node: str, heard_s: float | None, now: float) -> None:
+    def record_heartbeat(self, node: str, last_received_s: float | None, now: float) -> None:
         """Take over a heartbeat of a peer that last heard of this node so many seconds ago."""
         link = self._links.get(node)
         if link is None:
             return
-        link.heard_at = now
-        if heard_s is not None:
-            link.confirmed_at = max(link.confirmed_at, now - heard_s)
+        link.last_heartbeat_at = now
+        if last_received_s is not None:
+            link.confirmed_at = max(link.confirmed_at, now - last_received_s)
 
-    def renew_unconfirmed(self, now: float) -> list[str]:
+    def reconnect_unconfirmed(self, now: float) -> list[str]:
         """Make connections anew that seem to have gone silent; give the peers' names."""
-        renewed = []
+        reconnected = []
         for node, link in self._links.items():
-            if now - link.confirmed_at > _UNCONFIRMED_SECONDS:
+            if now - link.confirmed_at > _CONFIRMATION_TIMEOUT_SECONDS:
                 self._close(link.socket)
                 link.socket = self._open(link.address)
                 link.confirmed_at = now
                 link.is_new = True
-                renewed.append(node)
-        return renewed
+                reconnected.append(node)
+        return reconnected
 
-    def due_beats(self, now: float) -> Iterator[tuple[zmq.Socket, bool, float | None]]:
+    def due_heartbeats(self, now: float) -> Iterator[tuple[zmq.Socket, bool, float | None]]:
         """Give where heartbeats are due at this turn.
 
         Yields
@@ -116,19 +116,19 @@
             The socket, whether that peer gets one at each turn, and how many seconds ago it was
             heard itself; None where it never was.
         """
-        self._turn += 1
-        frequent = self._plan.frequent()
+        self._tick_count += 1
+        frequent_peers = self._plan.frequent_peers()
         for number, (node, link) in enumerate(self._links.items()):
-            is_frequent = node in frequent
+            is_frequent = node in frequent_peers
             # The less frequent ones are spread over the turns.
-            is_turn = (self._turn + number) % self._plan.seldom == 0
-            if is_frequent or is_turn or link.is_new:
+            is_scheduled = (self._tick_count + number) % self._plan.rare_interval == 0
+            if is_frequent or is_scheduled or link.is_new:
                 link.is_new = False
-                yield link.socket, is_frequent, self._heard_s(link, now)
+                yield link.socket, is_frequent, self._heartbeat_age_s(link, now)
 
     @staticmethod
-    def _heard_s(link: _Link, now: float) -> float | None:
-        return None if link.heard_at is None else now - link.heard_at
+    def _heartbeat_age_s(link: _Link, now: float) -> float | None:
+        return None if link.last_heartbeat_at is None else now - link.last_heartbeat_at
 
     def _open(self, address: str) -> zmq.Socket:
         socket = self._make_socket()
--- a/src/snowdock/node/peer_messages.py
+++ b/src/snowdock/node/peer_messages.py
@@ -7,16 +7,16 @@
 
 __all__ = [
     "NODE_MESSAGES",
-    "AnswerGiven",
-    "AnswerWanted",
-    "CallAnswered",
-    "CallForwarded",
     "CallOutcome",
     "CallRequest",
+    "ForwardedCallRequest",
+    "ForwardedCallResponse",
     "Heartbeat",
+    "KeptAnswerRequest",
+    "KeptAnswerResponse",
     "PeerMessage",
-    "StateGiven",
-    "StateWanted",
+    "StateRequest",
+    "StateResponse",
     "decode_peer_message",
     "encode_peer_message",
 ]
@@ -73,41 +73,41 @@
     idle_slots: dict[str, int]
 
 
-class StateWanted(_PeerMessage, tag="s"):
+class StateRequest(_PeerMessage, tag="s"):
     """A starting node that cannot read the log asks for the state."""
 
     number: int
 
 
-class StateGiven(_PeerMessage, tag="S"):
+class StateResponse(_PeerMessage, tag="S"):
     """The whole state, encoded."""
 
     number: int
     data: bytes
 
 
-class CallForwarded(_PeerMessage, tag="c"):
+class ForwardedCallRequest(_PeerMessage, tag="c"):
     """A request for which the sender has no idle slot."""
 
     number: int
     request: CallRequest
 
 
-class CallAnswered(_PeerMessage, tag="C"):
+class ForwardedCallResponse(_PeerMessage, tag="C"):
     """The end of a forwarded request."""
 
     number: int
     outcome: CallOutcome
 
 
-class AnswerWanted(_PeerMessage, tag="a"):
+class KeptAnswerRequest(_PeerMessage, tag="a"):
     """A caller asks again for a not-repeatable request that the receiver ran."""
 
     number: int
     request_id: str
 
 
-class AnswerGiven(_PeerMessage, tag="A"):
+class KeptAnswerResponse(_PeerMessage, tag="A"):
     """The kept answer, or None where it is not kept any more."""
 
     number: int
@@ -115,7 +115,13 @@
 
 
 PeerMessage = (
-    Heartbeat | StateWanted | StateGiven | CallForwarded | CallAnswered | AnswerWanted | AnswerGiven
+    Heartbeat
+    | StateRequest
+    | StateResponse
+    | ForwardedCallRequest
+    | ForwardedCallResponse
+    | KeptAnswerRequest
+    | KeptAnswerResponse
 )
 
 _encoder = msgspec.msgpack.Encoder()
@@ -145,6 +151,6 @@
     encode=encode_peer_message,
     decode=decode_peer_message,
     heartbeat=Heartbeat,
-    questions=(StateWanted, CallForwarded, AnswerWanted),
-    answers=(StateGiven, CallAnswered, AnswerGiven),
+    requests=(StateRequest, ForwardedCallRequest, KeptAnswerRequest),
+    responses=(StateResponse, ForwardedCallResponse, KeptAnswerResponse),
 )
--- a/src/snowdock/node/peers.py
+++ b/src/snowdock/node/peers.py
@@ -17,17 +17,17 @@
 from ..errors import InvalidInput, PlatformError
 from ..logs import log_error, log_event
 from ..threads import ServiceThread
-from .peer_links import BeatPlan, PeerLinks
+from .peer_links import HeartbeatPlan, PeerLinks
 
 __all__ = ["PeerMessages", "PeerOptions", "Peers"]
 
 _MAX_QUEUED_MESSAGES = 1000
 _MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-_ANSWERERS = 160
+_MAX_ANSWER_THREADS = 160
 """Threads that answer questions: with a slow store each of a leader's may wait for a second or two,
 and 100 jobs a second may come. They are started as they are needed."""
 
-_LONGEST_POLL_SECONDS = 0.25
+_MAX_POLL_SECONDS = 0.25
 """The longest wait for messages: also how late a stop may be noticed."""
 
 _LINK_HEARTBEAT_MS = 500
@@ -41,15 +41,15 @@
 _KEEPALIVE_PROBES = 3
 """Time between a kernel's probes of a connection without traffic, and how many may be missed."""
 
-_TAKEN_AT_A_TIME = 100
+_MAX_MESSAGES_PER_SOCKET = 100
 """The most messages taken from one socket before the others have their turn."""
 
-_RECONNECT_MS = 100
-_LONGEST_RECONNECT_MS = 1000
+_MIN_RECONNECT_MS = 100
+_MAX_RECONNECT_MS = 1000
 """Bounds of the pause before a connection is tried again; it doubles with each try."""
 
 
-_EVERY_BEAT = BeatPlan()
+_UNIFORM_PLAN = HeartbeatPlan()
 """Each peer gets each heartbeat."""
 
 
@@ -74,10 +74,10 @@
     """
 
     listen: str
-    beat_seconds: float
+    heartbeat_interval_s: float
     public_key: str = ""
     secret_key: str = ""
-    plan: BeatPlan = _EVERY_BEAT
+    plan: HeartbeatPlan = _UNIFORM_PLAN
     confirms_links: bool = False
 
 
@@ -99,8 +99,8 @@
     encode: Callable[[object], bytes]
     decode: Callable[[bytes], object]
     heartbeat: type
-    questions: tuple[type, ...]
-    answers: tuple[type, ...]
+    requests: tuple[type, ...]
+    responses: tuple[type, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Ask:
+class _PeerSend:
     """A question, or a message without an answer, on its way to a peer."""
 
     node: str
@@ -133,10 +133,10 @@
     data: bytes
 
 
-_Outgoing = _Addresses | _Connect | _Ask | _Reply
+_Outgoing = _Addresses | _Connect | _PeerSend | _Reply
 
 
-class _OneKey:
+class _SingleKeyProvider:
     """Knows the one public key whose holders are peers."""
 
     def __init__(self, public_key: str) -> None:
@@ -172,35 +172,37 @@
         self,
         options: PeerOptions,
         messages: PeerMessages,
-        answer: Callable[[object], object | None],
-        heard: Callable[[object], None],
-        make_beat: Callable[[float, float | None], object],
+        answer_request: Callable[[object], object | None],
+        on_heartbeat: Callable[[object], None],
+        make_heartbeat: Callable[[float, float | None], object],
     ) -> None:
         self._options = options
         self._messages = messages
-        self._answer = answer
-        self._heard = heard
-        self._make_beat = make_beat
+        self._answer_request = answer_request
+        self._on_heartbeat = on_heartbeat
+        self._make_heartbeat = make_heartbeat
         self._context = zmq.Context()
         self._outgoing: queue.SimpleQueue[_Outgoing] = queue.SimpleQueue()
         self._wake_lock = threading.Lock()
-        self._wake = self._context.socket(zmq.PAIR)
-        self._woken = self._context.socket(zmq.PAIR)
-        self._woken.bind("inproc://wake")
-        self._wake.connect("inproc://wake")
+        self._wake_sender = self._context.socket(zmq.PAIR)
+        self._wake_receiver = self._context.socket(zmq.PAIR)
+        self._wake_receiver.bind("inproc://wake")
+        self._wake_sender.connect("inproc://wake")
         self._authenticator = self._start_authenticator()
-        self._listener = self._socket(zmq.ROUTER)
+        self._listener = self._make_socket(zmq.ROUTER)
         self._listener.bind(f"tcp://{options.listen}")
         self._poller = zmq.Poller()
         self._poller.register(self._listener, zmq.POLLIN)
-        self._poller.register(self._woken, zmq.POLLIN)
-        self._links = PeerLinks(lambda: self._socket(zmq.DEALER), self._poller, options.plan)
-        self._numbers = itertools.count(1)
-        self._questions: dict[int, pykka.Future] = {}
-        self._questions_lock = threading.Lock()
-        self._answerers = concurrent.futures.ThreadPoolExecutor(_ANSWERERS, "peer-answer")
+        self._poller.register(self._wake_receiver, zmq.POLLIN)
+        self._links = PeerLinks(lambda: self._make_socket(zmq.DEALER), self._poller, options.plan)
+        self._request_numbers = itertools.count(1)
+        self._pending_requests: dict[int, pykka.Future] = {}
+        self._pending_lock = threading.Lock()
+        self._answer_pool = concurrent.futures.ThreadPoolExecutor(
+            _MAX_ANSWER_THREADS, "peer-answer"
+        )
         self._stopped = threading.Event()
-        self._next_beat = 0.0
+        self._next_heartbeat_at = 0.0
         self._thread = ServiceThread(self._run, "peers", self._stopped.is_set)
 
     def _start_authenticator(self) -> ThreadAuthenticator | None:
@@ -210,10 +212,10 @@
             return None
         authenticator = ThreadAuthenticator(self._context)
         authenticator.start()
-        authenticator.configure_curve_callback(credentials_provider=_OneKey(public))
+        authenticator.configure_curve_callback(credentials_provider=_SingleKeyProvider(public))
         return authenticator
 
-    def _socket(self, kind: int) -> zmq.Socket:
+    def _make_socket(self, kind: int) -> zmq.Socket:
         socket = self._context.socket(kind)
         options = self._options
         if options.public_key:
@@ -232,8 +234,8 @@
         socket.tcp_keepalive_intvl = _KEEPALIVE_SECONDS
         socket.tcp_keepalive_cnt = _KEEPALIVE_PROBES
         socket.connect_timeout = _LINK_TIMEOUT_MS
-        socket.reconnect_ivl = _RECONNECT_MS
-        socket.reconnect_ivl_max = _LONGEST_RECONNECT_MS
+        socket.reconnect_ivl = _MIN_RECONNECT_MS
+        socket.reconnect_ivl_max = _MAX_RECONNECT_MS
         socket.linger = 0
         socket.sndhwm = socket.rcvhwm = _MAX_QUEUED_MESSAGES
         socket.maxmsgsize = _MAX_MESSAGE_BYTES
@@ -247,14 +249,14 @@
         """Close all sockets."""
         self._stopped.set()
         self._thread.join()
-        self._answerers.shutdown(wait=False, cancel_futures=True)
+        self._answer_pool.shutdown(wait=False, cancel_futures=True)
         if self._authenticator is not None:
             self._authenticator.stop()
         self._context.destroy(linger=0)
 
     def set_addresses(self, addresses: dict[str, str]) -> None:
         """Name the peers and where they listen."""
-        self._hand_over(_Addresses(dict(addresses)))
+        self._enqueue_outgoing(_Addresses(dict(addresses)))
 
     def ask(self, node: str, make: Callable[[int], object], timeout: float) -> object:
         """Send a question to a peer and wait for the answer.
@@ -264,53 +266,53 @@
         PlatformError
             If there is no answer in time; the peer may have acted on the question.
         """
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         future = pykka.ThreadingFuture()
-        with self._questions_lock:
-            self._questions[number] = future
-        self._hand_over(_Ask(node, self._messages.encode(make(number))))
+        with self._pending_lock:
+            self._pending_requests[number] = future
+        self._enqueue_outgoing(_PeerSend(node, self._messages.encode(make(number))))
         try:
             return future.get(timeout=timeout)
         except pykka.Timeout as error:
             raise PlatformError(f"peer {node} did not answer") from error
         finally:
-            with self._questions_lock:
-                self._questions.pop(number, None)
+            with self._pending_lock:
+                self._pending_requests.pop(number, None)
 
     def tell(self, node: str, message: object) -> None:
         """Send a peer a message that it does not answer; it may get lost."""
-        self._hand_over(_Ask(node, self._messages.encode(message)))
+        self._enqueue_outgoing(_PeerSend(node, self._messages.encode(message)))
 
     def ask_address(self, address: str, make: Callable[[int], object], timeout: float) -> object:
         """Ask a peer that is known by its address only."""
-        self._hand_over(_Connect(address))
+        self._enqueue_outgoing(_Connect(address))
         return self.ask(address, make, timeout)
 
-    def _hand_over(self, item: _Outgoing) -> None:
+    def _enqueue_outgoing(self, item: _Outgoing) -> None:
         self._outgoing.put(item)
         # A full wake queue means that the thread has been woken often enough.
         with self._wake_lock, contextlib.suppress(zmq.Again):
-            self._wake.send(b"", zmq.NOBLOCK)
+            self._wake_sender.send(b"", zmq.NOBLOCK)
 
     def _run(self) -> None:
         while not self._stopped.is_set():
             ready = [socket for socket, _ in self._poller.poll(self._poll_ms())]
             for socket in ready:
-                self._serve_all(socket)
+                self._receive_pending(socket)
             # Last, since it may close sockets that are ready.
-            if self._woken in ready:
+            if self._wake_receiver in ready:
                 self._send_outgoing()
-            self._beat()
+            self._send_due_heartbeats()
 
-    def _serve_all(self, socket: zmq.Socket) -> None:
+    def _receive_pending(self, socket: zmq.Socket) -> None:
         """Take what has come over a socket."""
-        for _ in range(_TAKEN_AT_A_TIME):
+        for _ in range(_MAX_MESSAGES_PER_SOCKET):
             try:
                 frames = socket.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
             try:
-                self._serve(socket, frames)
+                self._dispatch_frames(socket, frames)
             except (InvalidInput, ValueError, zmq.ZMQError) as error:
                 log_error("peer_message_dropped", error)
             except Exception as error:
@@ -318,17 +320,17 @@
                 log_error("peer_message_failed", error)
 
     def _poll_ms(self) -> int:
-        until_beat = max(0.0, self._next_beat - steady_seconds())
-        return int(min(until_beat, _LONGEST_POLL_SECONDS) * 1000) + 1
+        until_heartbeat_s = max(0.0, self._next_heartbeat_at - steady_seconds())
+        return int(min(until_heartbeat_s, _MAX_POLL_SECONDS) * 1000) + 1
 
-    def _serve(self, socket: zmq.Socket, frames: list[bytes]) -> None:
-        if socket is self._woken:
+    def _dispatch_frames(self, socket: zmq.Socket, frames: list[bytes]) -> None:
+        if socket is self._wake_receiver:
             return
         if socket is self._listener:
             sender, data = frames
-            self._take(sender, self._messages.decode(data))
+            self._handle_message(sender, self._messages.decode(data))
         else:
-            self._take_answer(self._messages.decode(frames[0]))
+            self._handle_response(self._messages.decode(frames[0]))
 
     def _send_outgoing(self) -> None:
         while not self._outgoing.empty():
@@ -341,7 +343,7 @@
 
     def _send(self, item: _Outgoing) -> None:
         if isinstance(item, _Addresses):
-            self._links.keep_only(item.addresses, steady_seconds())
+            self._links.set_addresses(item.addresses, steady_seconds())
         elif isinstance(item, _Connect):
             self._links.connect(item.address, item.address, steady_seconds())
         elif isinstance(item, _Reply):
@@ -359,37 +361,39 @@
             # A full queue or a peer that went away; whoever asked runs into its timeout.
             log_error("peer_send_failed", error)
 
-    def _take(self, sender: bytes, message: object) -> None:
+    def _handle_message(self, sender: bytes, message: object) -> None:
         if isinstance(message, self._messages.heartbeat):
             if self._options.confirms_links:
-                self._links.hear(message.node, message.heard_s, steady_seconds())
-            self._heard(message)
-        elif isinstance(message, self._messages.questions):
-            self._answerers.submit(self._answer_one, sender, message)
+                self._links.record_heartbeat(message.node, message.heard_s, steady_seconds())
+            self._on_heartbeat(message)
+        elif isinstance(message, self._messages.requests):
+            self._answer_pool.submit(self._process_request, sender, message)
 
-    def _answer_one(self, sender: bytes, question: object) -> None:
-        answer = self._answer(question)
+    def _process_request(self, sender: bytes, request: object) -> None:
+        answer = self._answer_request(request)
         if answer is not None:
-            self._hand_over(_Reply(sender, self._messages.encode(answer)))
+            self._enqueue_outgoing(_Reply(sender, self._messages.encode(answer)))
 
-    def _take_answer(self, message: object) -> None:
-        if not isinstance(message, self._messages.answers):
+    def _handle_response(self, message: object) -> None:
+        if not isinstance(message, self._messages.responses):
             return
-        with self._questions_lock:
-            future = self._questions.pop(message.number, None)
+        with self._pending_lock:
+            future = self._pending_requests.pop(message.number, None)
         if future is not None:
             future.set(message)
 
-    def _beat(self) -> None:
+    def _send_due_heartbeats(self) -> None:
         now = steady_seconds()
-        if now < self._next_beat:
+        if now < self._next_heartbeat_at:
             return
         options = self._options
-        self._next_beat = now + options.beat_seconds
+        self._next_heartbeat_at = now + options.heartbeat_interval_s
         if options.confirms_links:
-            for node in self._links.renew_unconfirmed(now):
+            for node in self._links.reconnect_unconfirmed(now):
                 log_event("peer_link_renewed", peer=node)
-        for socket, is_frequent, heard_s in self._links.due_beats(now):
-            due_s = options.beat_seconds * (1 if is_frequent else options.plan.seldom)
-            beat = self._make_beat(due_s, heard_s)
-            self._try_send(socket, [self._messages.encode(beat)])
+        for socket, is_frequent, last_received_s in self._links.due_heartbeats(now):
+            due_s = options.heartbeat_interval_s * (
+                1 if is_frequent else options.plan.rare_interval
+            )
+            heartbeat = self._make_heartbeat(due_s, last_received_s)
+            self._try_send(socket, [self._messages.encode(heartbeat)])
--- a/src/snowdock/node/reports.py
+++ b/src/snowdock/node/reports.py
@@ -12,7 +12,7 @@
     WorkerReport,
     WorkReport,
 )
-from .state_actor import StateParts
+from .state_actor import StateView
 
 __all__ = [
     "cluster_status",
@@ -26,7 +26,7 @@
 ]
 
 
-def version_report(parts: StateParts, node: str) -> VersionReport:
+def version_report(parts: StateView, node: str) -> VersionReport:
     """Tell the version in force.
 
     Raises
@@ -34,17 +34,17 @@
     Starting
         If the node has not read the log far enough to know.
     """
-    _want_serving(parts)
+    _require_serving(parts)
     current = parts.state.configuration
     return VersionReport(current.version, current.author, node, parts.state.offset, parts.log_end)
 
 
-def _want_serving(parts: StateParts) -> None:
+def _require_serving(parts: StateView) -> None:
     if not parts.serving:
         raise Starting("the node is still reading the log; nothing was run")
 
 
-def configuration(parts: StateParts) -> Declarations:
+def configuration(parts: StateView) -> Declarations:
     """Give the declarations in force.
 
     Raises
@@ -52,11 +52,11 @@
     Starting
         If the node has not read the log far enough to know.
     """
-    _want_serving(parts)
+    _require_serving(parts)
     return parts.state.configuration.declarations
 
 
-def node_reports(parts: StateParts) -> list[NodeReport]:
+def node_reports(parts: StateView) -> list[NodeReport]:
     """List the members."""
     return [
         NodeReport(
@@ -71,7 +71,7 @@
     ]
 
 
-def worker_reports(parts: StateParts) -> list[WorkerReport]:
+def worker_reports(parts: StateView) -> list[WorkerReport]:
     """List the workers."""
     return [
         WorkerReport(
@@ -88,7 +88,7 @@
     ]
 
 
-def minion_reports(parts: StateParts) -> list[MinionReport]:
+def minion_reports(parts: StateView) -> list[MinionReport]:
     """List the minions."""
     return [
         MinionReport(minion.name, minion.group, minion.state.value, minion.hall, minion.shares)
@@ -96,7 +96,7 @@
     ]
 
 
-def _work_state(work: Work) -> str:
+def _describe_work_state(work: Work) -> str:
     if not work.finished_ms:
         return "open"
     if set(work.counts) == {TaskState.SUCCEEDED.value}:
@@ -104,7 +104,7 @@
     return "cancelled" if work.cancelled else "failed"
 
 
-def work_report(parts: StateParts, work: Work, with_tasks: bool) -> WorkReport:
+def work_report(parts: StateView, work: Work, with_tasks: bool) -> WorkReport:
     """Show one work."""
     tasks = [
         TaskReport(number, task.state.value, task.attempt, task.worker, task.failures)
@@ -115,7 +115,7 @@
         work.spec.kind,
         work.spec.name,
         work.spec.team,
-        _work_state(work),
+        _describe_work_state(work),
         work.counts,
         work.submitted_ms,
         work.started_ms,
@@ -125,12 +125,12 @@
     )
 
 
-def work_reports(parts: StateParts) -> list[WorkReport]:
+def work_reports(parts: StateView) -> list[WorkReport]:
     """List all works, the newest last."""
     return [work_report(parts, work, False) for work in parts.state.works.values()]
 
 
-def cluster_status(parts: StateParts) -> ClusterStatus:
+def cluster_status(parts: StateView) -> ClusterStatus:
     """Show the cluster at a glance."""
     state = parts.state
     live = [w for w in state.workers.values() if w.state == VmState.LIVE]
