--- a/src/snowdock/node/requests.py
+++ b/src/snowdock/node/requests.py
@@ -28,35 +28,43 @@
 from ..platform.minion_client import ForwardOutcome, ForwardResult, MinionClient
 from ..records import RequestEnded, RequestIntended
 from ..request_ids import request_time_ms
-from .answers import AnswerBook
-from .in_flight import InFlight
-from .messages import Acquire, Granted, LentByPeer, Propose, Refused, Released, View
+from .answer_cache import AnswerCache
+from .context import NodeContext
+from .in_flight import InFlightCounter
+from .messages import (
+    AcquireSlot,
+    Propose,
+    Query,
+    SlotAtPeer,
+    SlotGranted,
+    SlotRefused,
+    SlotReleased,
+)
 from .metrics import Metrics
-from .parts import Parts
 from .peer_messages import (
-    AnswerGiven,
-    AnswerWanted,
-    CallAnswered,
-    CallForwarded,
     CallOutcome,
     CallRequest,
+    ForwardedCallRequest,
+    ForwardedCallResponse,
+    KeptAnswerRequest,
+    KeptAnswerResponse,
 )
 from .peers import Peers
 from .reports import configuration
 from .traces import span
 
-__all__ = ["RequestHandler", "outcome_of"]
+__all__ = ["RequestHandler", "build_not_run_outcome"]
 
-_MAX_TRIES = 4
-_PEER_ASK_SECONDS = 2.0
+_MAX_ATTEMPTS = 4
+_PEER_TIMEOUT_SECONDS = 2.0
 _LOG_RETRY_SECONDS = 1.0
-_MIN_SECONDS = 0.001
-_ROUTER_SLACK_SECONDS = 5.0
-_THREADS_FOR_CALLS = 0.75
-_BUSY = Overloaded.status
+_MIN_TIMEOUT_SECONDS = 0.001
+_ROUTER_MARGIN_SECONDS = 5.0
+_CALL_THREAD_SHARE = 0.75
+_OVERLOADED_STATUS = Overloaded.status
 
 
-def outcome_of(error: SnowdockError) -> CallOutcome:
+def build_not_run_outcome(error: SnowdockError) -> CallOutcome:
     """Tell a caller of a failure before which nothing was run."""
     return CallOutcome(
         "not_run",
@@ -68,17 +76,17 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Try:
+class _CallState:
     """What is known while a request is worked on; ``deadline`` is on the monotonic clock."""
 
     request: CallRequest
     endpoint: Endpoint
     deadline: float
-    may_lend: bool
-    intended: bool = False
+    may_forward: bool
+    is_intent_recorded: bool = False
     may_have_run: bool = False
-    tries: int = 0
-    failed: set[str] = dataclasses.field(default_factory=set)
+    attempts: int = 0
+    failed_minions: set[str] = dataclasses.field(default_factory=set)
 
     @property
     def seconds_left(self) -> float:
@@ -89,16 +97,16 @@
 class RequestHandler:
     """Carries out requests; its methods are called on the HTTP API's and the peers' threads."""
 
-    def __init__(self, parts: Parts, client: MinionClient, metrics: Metrics) -> None:
-        self._parts = parts
+    def __init__(self, context: NodeContext, client: MinionClient, metrics: Metrics) -> None:
+        self._context = context
         self._client = client
         self._metrics = metrics
-        self._answers = AnswerBook()
-        self._budget = RetryBudget()
+        self._answer_cache = AnswerCache()
+        self._retry_budget = RetryBudget()
         self._peers: Peers | None = None
         self._draining = False
-        self._in_flight = InFlight()
-        self._most_in_flight = max(1, round(parts.settings.node.threads * _THREADS_FOR_CALLS))
+        self._in_flight = InFlightCounter()
+        self._max_in_flight = max(1, round(context.settings.node.threads * _CALL_THREAD_SHARE))
 
     @property
     def in_flight(self) -> int:
@@ -115,7 +123,7 @@
 
     # -- entry points ----------------------------------------------------------------------
 
-    def handle(self, request: CallRequest, may_lend: bool = True) -> CallOutcome:
+    def handle(self, request: CallRequest, may_forward: bool = True) -> CallOutcome:
         """Carry out a request.
 
         Parameters
@@ -134,7 +142,7 @@
             "request", request.trace, request=request.request_id, endpoint=request.endpoint
         ) as current:
             traced = msgspec.structs.replace(request, trace=current.traceparent)
-            outcome = self._handle(traced, may_lend)
+            outcome = self._handle(traced, may_forward)
         self._metrics.count(
             "requests_total",
             "Requests by endpoint and outcome.",
@@ -143,36 +151,42 @@
         )
         return outcome
 
-    def _handle(self, request: CallRequest, may_lend: bool) -> CallOutcome:
-        with self._in_flight.one_more():
-            return self._handle_counted(request, may_lend)
+    def _handle(self, request: CallRequest, may_forward: bool) -> CallOutcome:
+        with self._in_flight.track():
+            return self._handle_counted(request, may_forward)
 
-    def _handle_counted(self, request: CallRequest, may_lend: bool) -> CallOutcome:
+    def _handle_counted(self, request: CallRequest, may_forward: bool) -> CallOutcome:
         try:
             if self._draining:
                 raise Draining("the node is on its way out; nothing was run")
             # Requests that wait hold a thread of the HTTP server each. With all of them taken,
             # the next request would wait unseen, past its deadline, before it is refused.
-            if self._in_flight.count > self._most_in_flight:
+            if self._in_flight.count > self._max_in_flight:
                 raise Overloaded("too many requests are in flight here; nothing was run")
             endpoint = self._find_endpoint(request)
-            known = self._known(request)
+            known = self._find_known_outcome(request)
             if known is not None:
                 return known
             deadline = steady_seconds() + request.deadline_ms / 1000
-            return self._run(_Try(request, endpoint, deadline, may_lend))
+            return self._run(_CallState(request, endpoint, deadline, may_forward))
         except SnowdockError as error:
-            return outcome_of(error)
+            return build_not_run_outcome(error)
 
-    def answer_peer(self, question: CallForwarded | AnswerWanted) -> CallAnswered | AnswerGiven:
+    def answer_peer(
+        self, peer_request: ForwardedCallRequest | KeptAnswerRequest
+    ) -> ForwardedCallResponse | KeptAnswerResponse:
         """Answer a peer's question about a request."""
-        if isinstance(question, AnswerWanted):
-            return AnswerGiven(question.number, self._answers.find(question.request_id))
-        return CallAnswered(question.number, self.handle(question.request, may_lend=False))
+        if isinstance(peer_request, KeptAnswerRequest):
+            return KeptAnswerResponse(
+                peer_request.number, self._answer_cache.find(peer_request.request_id)
+            )
+        return ForwardedCallResponse(
+            peer_request.number, self.handle(peer_request.request, may_forward=False)
+        )
 
     def _find_endpoint(self, request: CallRequest) -> Endpoint:
-        found = self._parts.state.ask(
-            View(lambda parts: configuration(parts).endpoints.get(request.endpoint))
+        found = self._context.state.ask(
+            Query(lambda parts: configuration(parts).endpoints.get(request.endpoint))
         )
         if found is None:
             raise NotFound(f"no endpoint {request.endpoint}; nothing was run")
@@ -180,26 +194,26 @@
 
     # -- at most once ----------------------------------------------------------------------
 
-    def _known(self, request: CallRequest) -> CallOutcome | None:
+    def _find_known_outcome(self, request: CallRequest) -> CallOutcome | None:
         """Answer a not-repeatable request whose id is on the log already."""
         if request.repeatable:
             return None
         if request_time_ms(request.request_id) is None:
             raise InvalidInput("a not-repeatable request needs a version 7 UUID as its id")
-        found = self._parts.state.ask(
-            View(lambda parts: parts.state.requests.get(request.request_id))
+        found = self._context.state.ask(
+            Query(lambda parts: parts.state.requests.get(request.request_id))
         )
-        return None if found is None else self._tell_known(request, found)
+        return None if found is None else self._build_known_outcome(request, found)
 
-    def _tell_known(self, request: CallRequest, found) -> CallOutcome:
-        if found.outcome == "not_run":
+    def _build_known_outcome(self, request: CallRequest, record) -> CallOutcome:
+        if record.outcome == "not_run":
             return CallOutcome(
                 "not_run", 503, code="not_run", reason="this id was not run; use a new one"
             )
-        kept = self._kept_answer(request.request_id, found.node)
-        if kept is not None:
-            return kept
-        if found.outcome == "ran":
+        answer = self._find_kept_answer(request.request_id, record.node)
+        if answer is not None:
+            return answer
+        if record.outcome == "ran":
             return CallOutcome(
                 "ran", 410, code="answer_gone", reason="it ran; its answer is no longer kept"
             )
@@ -211,124 +225,130 @@
             retry_after_seconds=_LOG_RETRY_SECONDS,
         )
 
-    def _kept_answer(self, request_id: str, node: str) -> CallOutcome | None:
-        if node == self._parts.settings.node.name:
-            return self._answers.find(request_id)
+    def _find_kept_answer(self, request_id: str, node: str) -> CallOutcome | None:
+        if node == self._context.settings.node.name:
+            return self._answer_cache.find(request_id)
         try:
-            given = self._peers.ask(
-                node, lambda number: AnswerWanted(number, request_id), _PEER_ASK_SECONDS
+            response = self._peers.ask(
+                node, lambda number: KeptAnswerRequest(number, request_id), _PEER_TIMEOUT_SECONDS
             )
         except PlatformError:
             return None
-        return given.outcome
+        return response.outcome
 
-    def _intend(self, work: _Try, minion: str) -> CallOutcome | None:
+    def _record_intent(self, call: _CallState, minion: str) -> CallOutcome | None:
         """Put the intent on the log; an outcome means that the request must not be sent."""
-        request = work.request
+        request = call.request
         future = pykka.ThreadingFuture()
         record = RequestIntended(request.request_id, minion)
-        self._parts.writer.tell(Propose((record,), future.set))
+        self._context.writer.tell(Propose((record,), future.set))
         try:
-            result = future.get(timeout=max(work.seconds_left, _MIN_SECONDS))
+            result = future.get(timeout=max(call.seconds_left, _MIN_TIMEOUT_SECONDS))
         except pykka.Timeout:
             # The intent may come onto the log later, but this node does not act on it.
-            self._note_end(request, "not_run")
-            return _undecided(VerdictUnknown("the log was too slow"))
+            self._record_end(request, "not_run")
+            return _build_undecided_outcome(VerdictUnknown("the log was too slow"))
         if isinstance(result, SnowdockError):
-            return _undecided(result)
+            return _build_undecided_outcome(result)
         if isinstance(result[0], Accepted):
-            work.intended = True
+            call.is_intent_recorded = True
             return None
-        known = self._known(request)
+        known = self._find_known_outcome(request)
         if known is not None:
             return known
         raise InvalidInput(f"{result[0].reason}; nothing was run")
 
-    def _note_end(self, request: CallRequest, outcome: str) -> None:
-        self._parts.writer.tell(Propose((RequestEnded(request.request_id, outcome),)))
+    def _record_end(self, request: CallRequest, outcome: str) -> None:
+        self._context.writer.tell(Propose((RequestEnded(request.request_id, outcome),)))
 
     # -- trying ----------------------------------------------------------------------------
 
-    def _run(self, work: _Try) -> CallOutcome:
-        outcome = self._run_tries(work)
-        if work.intended:
-            self._answers.keep(work.request.request_id, outcome)
-            self._note_end(work.request, outcome.outcome)
+    def _run(self, call: _CallState) -> CallOutcome:
+        outcome = self._run_attempts(call)
+        if call.is_intent_recorded:
+            self._answer_cache.store(call.request.request_id, outcome)
+            self._record_end(call.request, outcome.outcome)
         return outcome
 
-    def _run_tries(self, work: _Try) -> CallOutcome:
+    def _run_attempts(self, call: _CallState) -> CallOutcome:
         while True:
-            slot = self._find_slot(work)
-            if isinstance(slot, Refused):
-                return _given_up(work, slot.reason, slot.retry_after_seconds)
-            if isinstance(slot, LentByPeer):
-                outcome = self._forward_to_peer(work, slot.node)
+            slot = self._find_slot(call)
+            if isinstance(slot, SlotRefused):
+                return _build_failure_outcome(call, slot.reason, slot.retry_after_seconds)
+            if isinstance(slot, SlotAtPeer):
+                outcome = self._forward_to_peer(call, slot.node)
                 if outcome is not None:
                     return outcome
-                work.may_lend = False
+                call.may_forward = False
                 continue
-            outcome = self._try_minion(work, slot)
+            outcome = self._try_minion(call, slot)
             if outcome is not None:
                 return outcome
 
-    def _find_slot(self, work: _Try):
-        request = work.request
+    def _find_slot(self, call: _CallState):
+        request = call.request
         future = pykka.ThreadingFuture()
-        self._parts.router.tell(
-            Acquire(
-                group=work.endpoint.minions,
-                queue_limit=work.endpoint.queue,
+        self._context.router.tell(
+            AcquireSlot(
+                group=call.endpoint.minions,
+                queue_limit=call.endpoint.queue,
                 priority=request.priority,
-                deadline=work.deadline,
-                excluded=frozenset(work.failed),
-                may_lend=work.may_lend and not work.intended,
-                may_wait=work.may_lend or work.tries > 0,
+                deadline=call.deadline,
+                excluded=frozenset(call.failed_minions),
+                may_lend=call.may_forward and not call.is_intent_recorded,
+                may_wait=call.may_forward or call.attempts > 0,
                 slot=future,
                 wanted=request.session,
             )
         )
         # The router answers every asker at its deadline; the slack covers a slow thread.
-        return future.get(timeout=max(work.seconds_left, 0) + _ROUTER_SLACK_SECONDS)
+        return future.get(timeout=max(call.seconds_left, 0) + _ROUTER_MARGIN_SECONDS)
 
-    def _forward_to_peer(self, work: _Try, node: str) -> CallOutcome | None:
+    def _forward_to_peer(self, call: _CallState, node: str) -> CallOutcome | None:
         """Let a peer run the request; None means that it surely was not run there."""
-        left = work.seconds_left
-        request = msgspec.structs.replace(work.request, deadline_ms=max(1, round(left * 1000)))
+        remaining_s = call.seconds_left
+        request = msgspec.structs.replace(
+            call.request, deadline_ms=max(1, round(remaining_s * 1000))
+        )
         try:
             with span("peer", request.trace, peer=node) as current:
                 traced = msgspec.structs.replace(request, trace=current.traceparent)
-                given = self._peers.ask(
-                    node, lambda number: CallForwarded(number, traced), max(left, _MIN_SECONDS)
+                response = self._peers.ask(
+                    node,
+                    lambda number: ForwardedCallRequest(number, traced),
+                    max(remaining_s, _MIN_TIMEOUT_SECONDS),
                 )
         except PlatformError as error:
-            work.may_have_run = True
-            return None if request.repeatable else _unknown(str(error))
-        was_refused = given.outcome.outcome == "not_run" and given.outcome.status == _BUSY
-        return None if was_refused else given.outcome
+            call.may_have_run = True
+            return None if request.repeatable else _build_unknown_outcome(str(error))
+        was_refused = (
+            response.outcome.outcome == "not_run" and response.outcome.status == _OVERLOADED_STATUS
+        )
+        return None if was_refused else response.outcome
 
-    def _try_minion(self, work: _Try, slot: Granted) -> CallOutcome | None:
-        request = work.request
+    def _try_minion(self, call: _CallState, slot: SlotGranted) -> CallOutcome | None:
+        request = call.request
         started = steady_seconds()
         exchange = ForwardResult(ForwardOutcome.NOT_RUN, reason="not sent")
         try:
-            if not request.repeatable and not work.intended:
-                refused = self._intend(work, slot.minion)
+            if not request.repeatable and not call.is_intent_recorded:
+                refused = self._record_intent(call, slot.minion)
                 if refused is not None:
                     return refused
-            exchange = self._send(work, slot)
+            exchange = self._send(call, slot)
         finally:
             # Where the request may still run at the minion, its slot is held back for as long
             # as any request may take: closing the connection does not end it there.
             seconds = steady_seconds() - started
-            failed = work.tries > 0 and exchange.outcome != ForwardOutcome.RAN
+            failed = call.attempts > 0 and exchange.outcome != ForwardOutcome.RAN
             is_unknown = exchange.outcome == ForwardOutcome.UNKNOWN
-            hold = work.endpoint.deadline_ms / 1000 if is_unknown else 0.0
-            self._parts.router.tell(Released(slot.minion, failed, seconds, hold))
-        return self._judge(work, slot, exchange)
+            hold = call.endpoint.deadline_ms / 1000 if is_unknown else 0.0
+            self._context.router.tell(SlotReleased(slot.minion, failed, seconds, hold))
+        return self._evaluate_exchange(call, slot, exchange)
 
-    def _send(self, work: _Try, slot: Granted) -> ForwardResult:
-        request = work.request
-        work.tries += 1
+    def _send(self, call: _CallState, slot: SlotGranted) -> ForwardResult:
+        request = call.request
+        call.attempts += 1
         with span("minion", request.trace, minion=slot.minion) as current:
             headers = {**request.headers, "traceparent": current.traceparent}
             return self._client.forward(
@@ -338,14 +358,16 @@
                 request.request_id,
                 headers,
                 request.body,
-                max(work.seconds_left, _MIN_SECONDS),
+                max(call.seconds_left, _MIN_TIMEOUT_SECONDS),
             )
 
-    def _judge(self, work: _Try, slot: Granted, exchange: ForwardResult) -> CallOutcome | None:
+    def _evaluate_exchange(
+        self, call: _CallState, slot: SlotGranted, exchange: ForwardResult
+    ) -> CallOutcome | None:
         """Decide after one try: the final outcome, or None for another try."""
-        request = work.request
+        request = call.request
         if exchange.outcome == ForwardOutcome.RAN:
-            self._budget.record_success()
+            self._retry_budget.record_success()
             answer = exchange.response
             return CallOutcome(
                 "ran", answer.status, answer.headers, answer.body, minion=slot.minion
@@ -354,20 +376,20 @@
             "try_failed", request=request.request_id, minion=slot.minion, reason=exchange.reason
         )
         if exchange.outcome == ForwardOutcome.UNKNOWN:
-            work.may_have_run = True
+            call.may_have_run = True
             if not request.repeatable:
-                return _unknown(exchange.reason)
-        work.failed.add(slot.minion)
-        pause = backoff_seconds(work.tries, secrets.SystemRandom().random())
-        is_last = work.tries >= _MAX_TRIES or pause >= work.seconds_left
-        if is_last or not self._budget.try_spend():
-            return _given_up(work, exchange.reason, _LOG_RETRY_SECONDS)
+                return _build_unknown_outcome(exchange.reason)
+        call.failed_minions.add(slot.minion)
+        backoff_s = backoff_seconds(call.attempts, secrets.SystemRandom().random())
+        is_last = call.attempts >= _MAX_ATTEMPTS or backoff_s >= call.seconds_left
+        if is_last or not self._retry_budget.try_spend():
+            return _build_failure_outcome(call, exchange.reason, _LOG_RETRY_SECONDS)
         self._metrics.count("retries_total", "Tries after the first one.")
-        time.sleep(pause)
+        time.sleep(backoff_s)
         return None
 
 
-def _unknown(reason: str) -> CallOutcome:
+def _build_unknown_outcome(reason: str) -> CallOutcome:
     return CallOutcome(
         "unknown",
         504,
@@ -377,7 +399,7 @@
     )
 
 
-def _undecided(error: SnowdockError) -> CallOutcome:
+def _build_undecided_outcome(error: SnowdockError) -> CallOutcome:
     """Tell of a not-repeatable request on whose intent no verdict was seen.
 
     "Not run" would be too much to say, although this try sent nothing: the caller may be
@@ -393,8 +415,10 @@
     )
 
 
-def _given_up(work: _Try, reason: str, retry_after_seconds: float) -> CallOutcome:
+def _build_failure_outcome(
+    call: _CallState, reason: str, retry_after_seconds: float
+) -> CallOutcome:
     """Tell the end of a request: "not run" only where no try of it may have run."""
-    if work.may_have_run:
-        return _unknown(reason)
-    return outcome_of(Overloaded(f"{reason}; nothing was run", retry_after_seconds))
+    if call.may_have_run:
+        return _build_unknown_outcome(reason)
+    return build_not_run_outcome(Overloaded(f"{reason}; nothing was run", retry_after_seconds))
--- a/src/snowdock/node/tokens.py
+++ b/src/snowdock/node/tokens.py
@@ -11,11 +11,11 @@
 from ..errors import Forbidden, TokensUnreadable, Unauthorized
 from ..logs import log_error, log_event
 
-__all__ = ["Role", "TokenBook", "read_tokens"]
+__all__ = ["Role", "TokenStore", "read_tokens"]
 
-_LOOK_SECONDS = 2.0
+_RELOAD_INTERVAL_SECONDS = 2.0
 _SCHEME = "Bearer "
-_SHORTEST = 16
+_MIN_TOKEN_CHARACTERS = 16
 
 
 class Role(enum.StrEnum):
@@ -43,7 +43,7 @@
     for section in parser.sections():
         role = section.partition(" ")[0]
         token = parser[section].get("token", "")
-        if role not in list(Role) or len(token) < _SHORTEST:
+        if role not in list(Role) or len(token) < _MIN_TOKEN_CHARACTERS:
             raise TokensUnreadable(f"{path} [{section}]: a role and a long token are needed")
         tokens[token.encode()] = Role(role)
     if not tokens:
@@ -51,7 +51,7 @@
     return tokens
 
 
-class TokenBook:
+class TokenStore:
     """The tokens in force.
 
     Parameters
@@ -68,14 +68,14 @@
     def __init__(self, path: str) -> None:
         self._path = path
         self._lock = threading.Lock()
-        self._changed_at = 0.0
-        self._next_look = 0.0
+        self._modified_at = 0.0
+        self._next_check_at = 0.0
         self._tokens: dict[bytes, Role] = {}
         if path:
-            self._changed_at = os.stat(path).st_mtime if os.path.exists(path) else 0.0
+            self._modified_at = os.stat(path).st_mtime if os.path.exists(path) else 0.0
             self._tokens = read_tokens(path)
 
-    def check(self, header: str, wanted: Role) -> None:
+    def authorize(self, header: str, required_role: Role) -> None:
         """Let a call pass, or refuse it.
 
         All tokens are compared, each in constant time, so that the time taken tells nothing.
@@ -89,28 +89,28 @@
         """
         if not self._path:
             return
-        self._look()
-        given = header.removeprefix(_SCHEME).encode() if header.startswith(_SCHEME) else b""
-        found = None
+        self._reload_if_changed()
+        token_bytes = header.removeprefix(_SCHEME).encode() if header.startswith(_SCHEME) else b""
+        matched_role = None
         for token, role in self._tokens.items():
-            if hmac.compare_digest(token, given):
-                found = role
-        if found is None:
+            if hmac.compare_digest(token, token_bytes):
+                matched_role = role
+        if matched_role is None:
             raise Unauthorized("a known bearer token is needed")
-        if wanted == Role.OPERATOR and found != Role.OPERATOR:
+        if required_role == Role.OPERATOR and matched_role != Role.OPERATOR:
             raise Forbidden("only an operator may do this")
 
-    def _look(self) -> None:
+    def _reload_if_changed(self) -> None:
         with self._lock:
-            if steady_seconds() < self._next_look:
+            if steady_seconds() < self._next_check_at:
                 return
-            self._next_look = steady_seconds() + _LOOK_SECONDS
+            self._next_check_at = steady_seconds() + _RELOAD_INTERVAL_SECONDS
             try:
-                changed_at = os.stat(self._path).st_mtime
-                if changed_at == self._changed_at:
+                modified_at = os.stat(self._path).st_mtime
+                if modified_at == self._modified_at:
                     return
                 self._tokens = read_tokens(self._path)
-                self._changed_at = changed_at
+                self._modified_at = modified_at
                 log_event("tokens_read", count=len(self._tokens))
             except (OSError, TokensUnreadable) as error:
                 log_error("tokens_unreadable", error)
--- a/src/snowdock/node/traces.py
+++ b/src/snowdock/node/traces.py
@@ -12,7 +12,7 @@
 __all__ = ["Span", "parse_traceparent", "span"]
 
 _TRACEPARENT = re.compile(r"^00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})$")
-_SAMPLED = 1
+_SAMPLED_FLAG = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     match = _TRACEPARENT.match(header)
     if match is None or set(match[1]) == {"0"} or set(match[2]) == {"0"}:
         return None
-    return Span(match[1], match[2], bool(int(match[3], 16) & _SAMPLED))
+    return Span(match[1], match[2], bool(int(match[3], 16) & _SAMPLED_FLAG))
 
 
 @contextlib.contextmanager
@@ -50,20 +50,20 @@
     **fields
         What else the span's line tells.
     """
-    before = parse_traceparent(parent)
-    trace_id = before.trace_id if before else secrets.token_hex(16)
-    current = Span(trace_id, secrets.token_hex(8), bool(before and before.sampled))
+    parent_span = parse_traceparent(parent)
+    trace_id = parent_span.trace_id if parent_span else secrets.token_hex(16)
+    current_span = Span(trace_id, secrets.token_hex(8), bool(parent_span and parent_span.sampled))
     started = time.perf_counter()
     try:
-        yield current
+        yield current_span
     finally:
-        if current.sampled:
+        if current_span.sampled:
             log_event(
                 "span",
                 name=name,
-                trace=current.trace_id,
-                span=current.span_id,
-                parent=before.span_id,
+                trace=current_span.trace_id,
+                span=current_span.span_id,
+                parent=parent_span.span_id,
                 seconds=time.perf_counter() - started,
                 **fields,
             )
--- a/src/snowdock/node/vm_watcher.py
+++ b/src/snowdock/node/vm_watcher.py
@@ -22,14 +22,14 @@
     WorkerSeen,
 )
 from ..state import State, VmState
-from .messages import Propose, Tick, View
-from .parts import Parts
-from .repeats import RepeatGuard
+from .context import NodeContext
+from .messages import Propose, Query, Tick
+from .throttle import ProposalThrottle
 
 __all__ = ["VmWatcher"]
 
 _LEAVING = "leaving"
-_REFRESH_SECONDS = 30.0
+_REPROPOSE_SECONDS = 30.0
 
 
 class VmWatcher(pykka.ThreadingActor):
@@ -39,30 +39,30 @@
     leases are waited for all the same.
     """
 
-    def __init__(self, parts: Parts, vms: VmListClient, workers: WorkerClient) -> None:
+    def __init__(self, context: NodeContext, vms: VmListClient, workers: WorkerClient) -> None:
         super().__init__()
-        self._parts = parts
-        self._list = vms
+        self._context = context
+        self._vm_list = vms
         self._workers = workers
         self._vms: dict[str, Vm] | None = None
         self._missing_since_ms: dict[str, int] = {}
-        self._repeats = RepeatGuard(_REFRESH_SECONDS)
+        self._throttle = ProposalThrottle(_REPROPOSE_SECONDS)
         self._failing = False
 
     def on_receive(self, message: object) -> None:
         """Look at the list when a `Tick` says that it is time."""
         if not isinstance(message, Tick):
             raise TypeError(type(message).__name__)
-        name = self._parts.settings.node.name
-        watches = self._parts.state.ask(
-            View(
+        name = self._context.settings.node.name
+        is_responsible = self._context.state.ask(
+            Query(
                 lambda parts: parts.ready and ownership.find_owner("vm-list", parts.active) == name
             )
         )
-        if not watches:
+        if not is_responsible:
             return
         try:
-            changed = self._list.read()
+            changed = self._vm_list.read()
         except PlatformError as error:
             if not self._failing:
                 log_error("vm_list_failed", error)
@@ -75,18 +75,20 @@
             self._compare(self._vms)
 
     def _compare(self, vms: dict[str, Vm]) -> None:
-        records = self._parts.state.ask(View(lambda parts: self._differences(parts.state, vms)))
+        records = self._context.state.ask(
+            Query(lambda parts: self._find_differences(parts.state, vms))
+        )
         seen = [vm for vm in records if isinstance(vm, Vm)]
         records = [record for record in records if not isinstance(record, Vm)]
         for vm in seen:
-            record = self._ask_worker(vm)
+            record = self._query_worker(vm)
             if record is not None:
                 records.append(record)
-        fresh = tuple(record for record in records if self._repeats.may_pass(record))
-        if fresh:
-            self._parts.writer.tell(Propose(fresh))
+        new_records = tuple(record for record in records if self._throttle.try_pass(record))
+        if new_records:
+            self._context.writer.tell(Propose(new_records))
 
-    def _ask_worker(self, vm: Vm) -> WorkerSeen | None:
+    def _query_worker(self, vm: Vm) -> WorkerSeen | None:
         try:
             answer = self._workers.status(vm.address)
         except PlatformError:
@@ -94,22 +96,22 @@
         capacity = Size(answer.cpu, answer.memory, answer.accelerators)
         return WorkerSeen(vm.name, answer.boot, capacity, vm.rack, vm.hall, vm.address)
 
-    def _differences(self, state: State, vms: dict[str, Vm]) -> list[Record | Vm]:
+    def _find_differences(self, state: State, vms: dict[str, Vm]) -> list[Record | Vm]:
         """Work out what is to be recorded; a `Vm` stands for a worker to be asked first."""
         found: list[Record | Vm] = []
         for vm in vms.values():
             if vm.role == "worker":
-                found.extend(_worker_differences(state, vm))
+                found.extend(_find_worker_differences(state, vm))
             elif vm.role == "minion":
-                found.extend(_minion_differences(state, vm))
+                found.extend(_find_minion_differences(state, vm))
         for worker in state.workers.values():
             if worker.name not in vms and worker.state != VmState.GONE:
                 found.append(WorkerGone(worker.name, worker.boot))
         found.extend(MinionGone(name) for name in state.minions if name not in vms)
-        found.extend(self._gone_nodes(state, vms))
+        found.extend(self._find_gone_nodes(state, vms))
         return found
 
-    def _gone_nodes(self, state: State, vms: dict[str, Vm]) -> list[Record]:
+    def _find_gone_nodes(self, state: State, vms: dict[str, Vm]) -> list[Record]:
         """Name the members whose VM is missing for so long that no lease of theirs holds."""
         now_ms = int(time.time() * 1000)
         limits = state.configuration.declarations.limits
@@ -125,7 +127,7 @@
         return found
 
 
-def _worker_differences(state: State, vm: Vm) -> list[Record | Vm]:
+def _find_worker_differences(state: State, vm: Vm) -> list[Record | Vm]:
     known = state.workers.get(vm.name)
     if known is None or known.state == VmState.GONE:
         return [vm] if vm.state != _LEAVING else []
@@ -134,7 +136,7 @@
     return []
 
 
-def _minion_differences(state: State, vm: Vm) -> list[Record | Vm]:
+def _find_minion_differences(state: State, vm: Vm) -> list[Record | Vm]:
     known = state.minions.get(vm.name)
     if known is None or known.address != vm.address:
         leaving = vm.state == _LEAVING
--- a/src/snowdock/node/worker_driver.py
+++ b/src/snowdock/node/worker_driver.py
@@ -11,36 +11,36 @@
 from ..errors import PlatformError
 from ..logs import log_event
 from ..platform.worker_client import AttemptReport, WorkerClient
+from .context import NodeContext
 from .messages import (
     AssignmentChanged,
     LogConfirmed,
+    Query,
     SyncAnswered,
     SyncFailed,
-    View,
-    WorkerPoked,
+    WorkerSyncRequested,
 )
-from .parts import Parts
 
 __all__ = ["WorkerDriver"]
 
-_CALLERS = 8
-_PAUSE_SECONDS = 1.5
+_MAX_CALL_THREADS = 8
+_PAUSE_THRESHOLD_SECONDS = 1.5
 _RETRY_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Driven:
+class _DrivenWorker:
     """One worker; ``due`` is on the monotonic clock."""
 
-    due: float
-    busy: bool = False
-    poked: bool = False
-    watched: bool = False
+    due_at: float
+    is_calling: bool = False
+    sync_requested: bool = False
+    has_active_order: bool = False
     reports: dict[str, AttemptReport] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Done:
+class _CallFinished:
     """A call to a worker is over."""
 
     worker: str
@@ -54,111 +54,113 @@
     node knows may be too old to renew anything by.
     """
 
-    def __init__(self, parts: Parts, client: WorkerClient) -> None:
+    def __init__(self, context: NodeContext, client: WorkerClient) -> None:
         super().__init__()
-        self._parts = parts
+        self._context = context
         self._client = client
-        self._interval = parts.settings.timing.sync_interval_ms / 1000
-        self._driven: dict[str, _Driven] = {}
-        self._last_seen = steady_seconds()
-        self._distrusted_since: float | None = None
-        self._callers = concurrent.futures.ThreadPoolExecutor(_CALLERS, "worker-call")
+        self._interval = context.settings.timing.sync_interval_ms / 1000
+        self._workers: dict[str, _DrivenWorker] = {}
+        self._last_message_at = steady_seconds()
+        self._paused_at: float | None = None
+        self._call_pool = concurrent.futures.ThreadPoolExecutor(_MAX_CALL_THREADS, "worker-call")
 
     def on_stop(self) -> None:
         """End the callers; a call on its way is not waited for."""
-        self._callers.shutdown(wait=False, cancel_futures=True)
+        self._call_pool.shutdown(wait=False, cancel_futures=True)
 
     def on_receive(self, message: object) -> None:
         """Take a change of what is to be driven, the end of a call, or the time."""
-        self._notice_pause()
-        if isinstance(message, WorkerPoked):
-            self._poke(message.worker)
-        elif isinstance(message, _Done):
-            self._done(message)
+        self._detect_pause()
+        if isinstance(message, WorkerSyncRequested):
+            self._request_sync(message.worker)
+        elif isinstance(message, _CallFinished):
+            self._handle_call_finished(message)
         elif isinstance(message, AssignmentChanged):
             self._assign(message)
         elif isinstance(message, LogConfirmed):
-            self._trust(message)
-        if self._distrusted_since is None:
+            self._resume_after_read(message)
+        if self._paused_at is None:
             self._call_due()
 
-    def _notice_pause(self) -> None:
+    def _detect_pause(self) -> None:
         now = steady_seconds()
-        if now - self._last_seen > _PAUSE_SECONDS:
-            self._distrusted_since = now
-            log_event("pause_noticed", seconds=now - self._last_seen)
-        self._last_seen = now
+        if now - self._last_message_at > _PAUSE_THRESHOLD_SECONDS:
+            self._paused_at = now
+            log_event("pause_noticed", seconds=now - self._last_message_at)
+        self._last_message_at = now
 
-    def _trust(self, message: LogConfirmed) -> None:
-        if self._distrusted_since is not None and message.asked_at > self._distrusted_since:
-            self._distrusted_since = None
+    def _resume_after_read(self, message: LogConfirmed) -> None:
+        if self._paused_at is not None and message.read_started_at > self._paused_at:
+            self._paused_at = None
 
     def _assign(self, message: AssignmentChanged) -> None:
         now = steady_seconds()
-        for name in self._driven.keys() - message.workers:
-            if not self._driven[name].busy:
-                del self._driven[name]
-        for name in message.workers - self._driven.keys():
-            self._driven[name] = _Driven(due=now)
-
-    def _poke(self, name: str) -> None:
-        driven = self._driven.get(name)
-        if driven is None:
+        for name in self._workers.keys() - message.workers:
+            if not self._workers[name].is_calling:
+                del self._workers[name]
+        for name in message.workers - self._workers.keys():
+            self._workers[name] = _DrivenWorker(due_at=now)
+
+    def _request_sync(self, name: str) -> None:
+        worker = self._workers.get(name)
+        if worker is None:
             return
-        driven.due = 0.0
-        driven.poked = driven.busy
+        worker.due_at = 0.0
+        worker.sync_requested = worker.is_calling
 
     def _call_due(self) -> None:
         now = steady_seconds()
-        due = [name for name, d in self._driven.items() if d.due <= now and not d.busy]
+        due = [name for name, d in self._workers.items() if d.due_at <= now and not d.is_calling]
         if not due:
             return
-        orders = self._parts.state.ask(View(lambda parts: self._build(parts.state, due)))
+        orders = self._context.state.ask(Query(lambda parts: self._build_orders(parts.state, due)))
         for name, order in orders.items():
-            driven = self._driven[name]
+            worker = self._workers[name]
             if order is None:
-                driven.due = now + self._interval
+                worker.due_at = now + self._interval
                 continue
-            driven.busy = True
-            driven.watched = bool(order.order.renew or order.order.start or order.order.stop)
-            self._callers.submit(self._call, name, order)
+            worker.is_calling = True
+            worker.has_active_order = bool(
+                order.order.renew or order.order.start or order.order.stop
+            )
+            self._call_pool.submit(self._call, name, order)
 
-    def _build(self, state, names: list[str]) -> dict[str, WorkerOrder | None]:
+    def _build_orders(self, state, names: list[str]) -> dict[str, WorkerOrder | None]:
         now_ms = int(time.time() * 1000)
         return {
-            name: build_order(state, name, self._driven[name].reports, now_ms) for name in names
+            name: build_order(state, name, self._workers[name].reports, now_ms) for name in names
         }
 
     def _call(self, name: str, order: WorkerOrder) -> None:
         try:
             answer = self._client.sync(order.address, order.order)
         except PlatformError as error:
-            self._tell(SyncFailed(name, str(error)), _Done(name, None))
+            self._report_result(SyncFailed(name, str(error)), _CallFinished(name, None))
             return
-        self._tell(SyncAnswered(name, answer), _Done(name, answer.attempts))
+        self._report_result(SyncAnswered(name, answer), _CallFinished(name, answer.attempts))
 
-    def _tell(self, result: object, done: _Done) -> None:
+    def _report_result(self, result: object, done: _CallFinished) -> None:
         try:
-            self._parts.state.tell(result)
+            self._context.state.tell(result)
             self.actor_ref.tell(done)
         except pykka.ActorDeadError:
             return
 
-    def _done(self, message: _Done) -> None:
-        driven = self._driven.get(message.worker)
-        if driven is None:
+    def _handle_call_finished(self, message: _CallFinished) -> None:
+        worker = self._workers.get(message.worker)
+        if worker is None:
             return
-        driven.busy = False
+        worker.is_calling = False
         now = steady_seconds()
         if message.reports is None:
-            driven.due = now + _RETRY_SECONDS
+            worker.due_at = now + _RETRY_SECONDS
         else:
-            driven.reports = message.reports
-            driven.due = now if driven.poked else now + self._interval_of(driven)
-        driven.poked = False
+            worker.reports = message.reports
+            worker.due_at = now if worker.sync_requested else now + self._sync_interval_s(worker)
+        worker.sync_requested = False
 
-    def _interval_of(self, driven: _Driven) -> float:
+    def _sync_interval_s(self, worker: _DrivenWorker) -> float:
         """Look sooner where something runs whose end somebody waits for."""
-        if not driven.watched and not driven.reports:
+        if not worker.has_active_order and not worker.reports:
             return self._interval
-        return min(self._interval, self._parts.settings.timing.watch_interval_ms / 1000)
+        return min(self._interval, self._context.settings.timing.watch_interval_ms / 1000)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -30,8 +30,8 @@
 from tests.standins.entry_cluster import CONFIGURATION, EntryCluster, EntryProcess, wait_until
 from tests.standins.proxy import Mode, Proxy
 
-STEP = {"count": 2, "cpu": 500, "mem_mb": 100, "estimate_ms": 200}
-ROOM = Size(4000, 16_000, 0)
+STEP_BODY = {"count": 2, "cpu": 500, "mem_mb": 100, "estimate_ms": 200}
+WORKER_CAPACITY = Size(4000, 16_000, 0)
 CALL_SECONDS = 3.0
 CALLERS = 4
 READY_SECONDS = 5.0
@@ -41,13 +41,13 @@
 """The longest until all accepted jobs have ended: a takeover waits up to ten seconds for
 workers that it never reached."""
 
-WIDER_FROM = 1000
+EXTENDED_FAULTS_FROM_SEED = 1000
 """Seeds from here on draw from more faults; those before play as they always did."""
 
-FAILING_FROM = 2000
+FAILURES_FROM_SEED = 2000
 """Seeds from here on draw from failing jobs and spoiling workers, too."""
 
-RETURNING_FROM = 3000
+RESTARTS_FROM_SEED = 3000
 """Seeds from here on draw from workers that restart under their ids, too."""
 
 CRASHING_SHARE = 0.04
@@ -76,8 +76,8 @@
     path: str
     body: dict
     accepted: bool = False
-    maybe: bool = False
-    ends: str = "completed"
+    may_have_run: bool = False
+    expected_state: str = "completed"
 
 
 class Caller(threading.Thread):
@@ -92,17 +92,17 @@
 
     def run(self) -> None:
         while not self._soak.finished.wait(SUBMIT_SECONDS * self._source.uniform(0.5, 1.5)):
-            steps = [STEP]
+            steps = [STEP_BODY]
             if self._source.random() < 0.3:
-                steps = [{**STEP, "gang": True, "count": 3}, {**STEP, "after": [0]}]
-            path, body = self._soak.cluster.job(steps)
+                steps = [{**STEP_BODY, "gang": True, "count": 3}, {**STEP_BODY, "after": [0]}]
+            path, body = self._soak.cluster.make_job(steps)
             submission = Submission(path, body)
-            if self._soak.is_wider and self._source.random() < CRASHING_SHARE:
+            if self._soak.has_extended_faults and self._source.random() < CRASHING_SHARE:
                 self._soak.cluster.workers.mark_crashing(path.rpartition("/")[2])
-                submission.ends = "failed"
+                submission.expected_state = "failed"
             elif self._soak.has_failures and self._source.random() < FAILING_SHARE:
-                self._soak.cluster.workers.failing.add(path.rpartition("/")[2])
-                submission.ends = "failed"
+                self._soak.cluster.workers.failing_jobs.add(path.rpartition("/")[2])
+                submission.expected_state = "failed"
             self.submissions.append(submission)
             for _ in range(3):
                 if not self._submit(submission):
@@ -124,12 +124,12 @@
         except urllib3.exceptions.NewConnectionError:
             return True
         except urllib3.exceptions.HTTPError:
-            submission.maybe = True
+            submission.may_have_run = True
             return True
         if reply.status == 200:
             submission.accepted = True
             return False
-        submission.maybe = submission.maybe or reply.status not in (429, 503)
+        submission.may_have_run = submission.may_have_run or reply.status not in (429, 503)
         return True
 
 
@@ -146,46 +146,46 @@
         self.cluster.workers.checks.is_undisturbed = False
         self._version = CONFIGURATION["version"]
         self._faults: list[Callable[[], None]] = [
-            self._kill,
-            self._pause,
-            self._stop,
-            self._hang_up,
+            self._kill_nodes,
+            self._pause_node,
+            self._stop_node,
+            self._reload_settings,
             self._configure,
             self._break_store_path,
             self._break_worker_path,
             self._break_store,
             self._crash_worker,
-            self._heal,
+            self._clear_faults,
         ]
-        if self.is_wider:
+        if self.has_extended_faults:
             self._faults += [self._resize_worker, self._write_foreign_entry]
         if self.has_failures:
-            self._faults.append(self._spoil)
-        if seed >= RETURNING_FROM:
+            self._faults.append(self._set_worker_failing)
+        if seed >= RESTARTS_FROM_SEED:
             self._faults += [self._restart_worker] * 2
 
     @property
-    def is_wider(self) -> bool:
+    def has_extended_faults(self) -> bool:
         """Whether this seed draws from all faults."""
-        return self.seed >= WIDER_FROM
+        return self.seed >= EXTENDED_FAULTS_FROM_SEED
 
     @property
     def has_failures(self) -> bool:
         """Whether this seed draws from failing jobs and spoiling workers."""
-        return self.seed >= FAILING_FROM
+        return self.seed >= FAILURES_FROM_SEED
 
     def run(self, kept_logs: pathlib.Path | None = None) -> list[str]:
         """Play; give what did not hold, and keep the daemons' logs where it did not."""
         try:
-            broken = self._play()
-            if broken and kept_logs is not None:
+            violations = self._run()
+            if violations and kept_logs is not None:
                 for node in self.cluster.nodes:
                     shutil.copy(node.log, kept_logs / f"seed-{self.seed}-{node.node}.log")
-            return broken
+            return violations
         finally:
             self.cluster.close()
 
-    def _play(self) -> list[str]:
+    def _run(self) -> list[str]:
         if not self.cluster.wait_ready(READY_SECONDS * len(self.cluster.nodes)):
             return ["the nodes did not become ready"]
         callers = [Caller(self, number) for number in range(CALLERS)]
@@ -198,7 +198,7 @@
         self.finished.set()
         for caller in callers:
             caller.join(4 * CALL_SECONDS)
-        self._heal()
+        self._clear_faults()
         return self._check([s for caller in callers for s in caller.submissions])
 
     # -- faults ----------------------------------------------------------------------------
@@ -206,31 +206,31 @@
     def _node(self) -> EntryProcess:
         return self._source.choice(self.cluster.nodes)
 
-    def _revive(self) -> None:
+    def _restart_ended_nodes(self) -> None:
         for node in self.cluster.nodes:
             if node.process.poll() is not None:
                 node.start()
 
-    def _kill(self) -> None:
+    def _kill_nodes(self) -> None:
         count = self._source.choice((1, 1, 2, len(self.cluster.nodes)))
         for node in self._source.sample(self.cluster.nodes, count):
             node.kill()
         time.sleep(self._source.uniform(0.0, 1.0))
-        self._revive()
+        self._restart_ended_nodes()
 
-    def _pause(self) -> None:
+    def _pause_node(self) -> None:
         node = self._node()
         if node.process.poll() is None:
             node.signal(signal.SIGSTOP)
             time.sleep(self._source.uniform(0.2, 4.0))
             node.signal(signal.SIGCONT)
 
-    def _stop(self) -> None:
+    def _stop_node(self) -> None:
         node = self._node()
         if node.process.poll() is None:
             node.signal(signal.SIGTERM)
 
-    def _hang_up(self) -> None:
+    def _reload_settings(self) -> None:
         node = self._node()
         if node.process.poll() is None:
             node.signal(signal.SIGHUP)
@@ -277,26 +277,26 @@
             return
         life = self._source.choice(up)
         share = self._source.choice((0.0, 0.2, 0.5, 1.0))
-        workers.resize(life, ROOM.scaled(share))
+        workers.resize(life, WORKER_CAPACITY.scaled(share))
 
     def _write_foreign_entry(self) -> None:
         data = self._source.choice(FOREIGN_ENTRIES)
         self.cluster.store.put_raw("keyed.servers", f"x-{self._source.randrange(9)}", data)
 
-    def _spoil(self) -> None:
+    def _set_worker_failing(self) -> None:
         models = list(self.cluster.workers.models.values())
         self._source.choice(models).fails_all_runs = self._source.random() < 0.5
 
-    def _heal(self) -> None:
+    def _clear_faults(self) -> None:
         for model in list(self.cluster.workers.models.values()):
             model.fails_all_runs = False
         for proxy in (*self.cluster.store_proxies, *self.cluster.workers.proxies):
             proxy.set(Mode.PASS)
-        if self.is_wider:
+        if self.has_extended_faults:
             for life, model in list(self.cluster.workers.models.items()):
-                if model.is_up and model.entry.capacity != ROOM:
-                    self.cluster.workers.resize(life, ROOM)
-        self._revive()
+                if model.is_up and model.entry.capacity != WORKER_CAPACITY:
+                    self.cluster.workers.resize(life, WORKER_CAPACITY)
+        self._restart_ended_nodes()
 
     # -- checks ----------------------------------------------------------------------------
 
@@ -308,9 +308,9 @@
 
     def _check(self, submissions: list[Submission]) -> list[str]:
         cluster = self.cluster
-        broken = [str(violation) for violation in cluster.workers.checks.violations]
+        violations = [str(violation) for violation in cluster.workers.checks.violations]
         accepted = [s for s in submissions if s.accepted]
-        open_paths = {s.path: s.ends for s in accepted}
+        open_paths = {s.path: s.expected_state for s in accepted}
 
         def all_ended() -> bool:
             for path, ends in list(open_paths.items()):
@@ -320,16 +320,18 @@
             return not open_paths
 
         if not wait_until(all_ended, SETTLE_SECONDS):
-            broken.append(f"accepted and not ended as they should: {sorted(open_paths)[:5]}")
+            violations.append(f"accepted and not ended as they should: {sorted(open_paths)[:5]}")
         started = {task.partition(".")[0] for task, _, _ in cluster.workers.starts}
         for submission in submissions:
             job = submission.path.rpartition("/")[2]
-            if not submission.accepted and not submission.maybe and job in started:
-                broken.append(f"{job} ran, though every answer was that it did not")
-        broken += [str(v) for v in cluster.workers.checks.violations if str(v) not in broken]
+            if not submission.accepted and not submission.may_have_run and job in started:
+                violations.append(f"{job} ran, though every answer was that it did not")
+        violations += [
+            str(v) for v in cluster.workers.checks.violations if str(v) not in violations
+        ]
         if not accepted:
-            broken.append("no job was accepted")
-        return broken
+            violations.append("no job was accepted")
+        return violations
 
 
 def main() -> None:
@@ -346,9 +348,9 @@
     for seed in range(int(first), int(last or first) + 1):
         began = time.monotonic()
         soak = Soak(seed, options.seconds, options.nodes, options.workers)
-        broken = soak.run(options.logs)
-        failed += bool(broken)
-        print(f"seed {seed}: {broken or 'held'} ({time.monotonic() - began:.0f} s)", flush=True)
+        violations = soak.run(options.logs)
+        failed += bool(violations)
+        print(f"seed {seed}: {violations or 'held'} ({time.monotonic() - began:.0f} s)", flush=True)
     sys.exit(1 if failed else 0)
 
 
--- a/tests/standins/_http.py
+++ b/tests/standins/_http.py
@@ -26,7 +26,7 @@
     path: str = ""
 
 
-class Answer(msgspec.Struct):
+class Response(msgspec.Struct):
     """An HTTP answer."""
 
     status: int
@@ -45,8 +45,8 @@
     agent: str
 
 
-def json_answer(value) -> Answer:
-    return Answer(200, msgspec.json.encode(value))
+def json_response(value) -> Response:
+    return Response(200, msgspec.json.encode(value))
 
 
 def now_ms() -> int:
@@ -56,13 +56,13 @@
 class Standin:
     """Serves a handler, with faults and a ledger in front of it."""
 
-    def __init__(self, handler: Callable[[Request], Answer]) -> None:
+    def __init__(self, handler: Callable[[Request], Response]) -> None:
         self._handler = handler
         self._faults: dict[str, Fault] = {}
         self._ledger: list[dict] = []
         self._lock = threading.Lock()
 
-    def note(self, event: str, **fields) -> None:
+    def record_event(self, event: str, **fields) -> None:
         """Write a line of the ledger."""
         with self._lock:
             self._ledger.append({"at_ms": now_ms(), "event": event, **fields})
@@ -74,21 +74,21 @@
                 return fault
         return Fault()
 
-    def answer(self, request: Request) -> Answer:
+    def answer(self, request: Request) -> Response:
         if request.path == "/faults":
             faults = msgspec.json.decode(request.body, type=dict[str, Fault])
             self._faults = faults
-            return json_answer({})
+            return json_response({})
         if request.path == "/ledger":
             with self._lock:
-                return json_answer(self._ledger)
+                return json_response(self._ledger)
         fault = self._fault(request)
         if fault.refuse:
-            return Answer(503)
+            return Response(503)
         if fault.slow_ms:
             time.sleep(fault.slow_ms / 1000)
         answer = self._handler(request)
-        return Answer(504) if fault.lose else answer
+        return Response(504) if fault.lose else answer
 
     def _application(self, environ, start_response):
         headers = {
@@ -103,8 +103,8 @@
             environ["REQUEST_METHOD"], environ["PATH_INFO"], query, headers, body, agent
         )
         answer = self.answer(request)
-        given = {"Content-Length": str(len(answer.body)), **answer.headers}
-        start_response(f"{answer.status} x", list(given.items()))
+        response_headers = {"Content-Length": str(len(answer.body)), **answer.headers}
+        start_response(f"{answer.status} x", list(response_headers.items()))
         return [answer.body]
 
     def serve(self, port: int) -> None:
@@ -116,7 +116,7 @@
         server.run()
 
 
-def parser(description: str) -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(description=description)
-    made.add_argument("--port", type=int, default=0)
-    return made
+def make_parser(description: str) -> argparse.ArgumentParser:
+    argument_parser = argparse.ArgumentParser(description=description)
+    argument_parser.add_argument("--port", type=int, default=0)
+    return argument_parser
--- a/tests/standins/swallower.py
+++ b/tests/standins/blackhole_server.py
@@ -9,7 +9,7 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 
 
-class Swallower:
+class BlackholeServer:
     """Answers each request; ``swallow`` silences all connections that are open by then.
 
     ``held`` keeps answers back while it is cleared, so that calls at the same time need a
@@ -17,26 +17,26 @@
     """
 
     def __init__(self) -> None:
-        self.held = threading.Event()
-        self.held.set()
+        self.may_answer = threading.Event()
+        self.may_answer.set()
         self.accepted = 0
         self.received = 0
-        self._silent: set[socket.socket] = set()
-        self._open: set[socket.socket] = set()
+        self._blackholed: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def swallow(self) -> None:
+    def blackhole_open(self) -> None:
         """Silence all connections that are open."""
-        self._silent |= self._open
+        self._blackholed |= self._connections
 
     def close(self) -> None:
         """Close the listener and all connections."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
-        for each in list(self._open):
+        for each in list(self._connections):
             each.close()
 
     def _accept(self) -> None:
@@ -44,17 +44,17 @@
             while True:
                 connection, _ = self._listener.accept()
                 self.accepted += 1
-                self._open.add(connection)
+                self._connections.add(connection)
                 threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
     def _serve(self, connection: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while _read_request(connection):
                 self.received += 1
-                self.held.wait(10.0)
-                if connection not in self._silent:
+                self.may_answer.wait(10.0)
+                if connection not in self._blackholed:
                     connection.sendall(ANSWER)
-        self._open.discard(connection)
+        self._connections.discard(connection)
 
 
 def _read_request(connection: socket.socket) -> bool:
--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -80,7 +80,7 @@
     def wait(self, seconds: float = WAIT_SECONDS) -> int:
         return self._process.wait(timeout=seconds)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         if self._process.poll() is None:
             # A stopped process takes no other signal.
             self._process.send_signal(signal.SIGCONT)
@@ -134,17 +134,17 @@
         self.addresses: dict[str, str] = {}
         self.peers: dict[str, str] = {}
         self._standins: list[Process] = []
-        self.log = self._standin("logs", "--retention", str(retention))
-        self.vms = self._standin("vms", "--lag-ms", str(lag_ms))
+        self.log = self._start_standin("logs", "--retention", str(retention))
+        self.vms = self._start_standin("vms", "--lag-ms", str(lag_ms))
         self.worker_names = [f"worker-{n:02}" for n in range(workers)]
         self.minion_names = [f"minion-{n:02}" for n in range(minions)]
         cpu, memory, accelerators = worker_size
-        self.workers = self._standin(
+        self.workers = self._start_standin(
             "workers",
             *("--names", ",".join(self.worker_names), "--cpu", str(cpu)),
             *("--memory", str(memory), "--accelerators", str(accelerators)),
         )
-        self.minions = self._standin("minions", "--names", ",".join(self.minion_names))
+        self.minions = self._start_standin("minions", "--names", ",".join(self.minion_names))
         self._rack = rack
         self._group = group
         self.set_vms([self.worker_vm(name) for name in self.worker_names])
@@ -158,17 +158,17 @@
 
     def close(self) -> None:
         for process in [*self.nodes.values(), *self._standins]:
-            process.end()
+            process.kill()
         self._folder.cleanup()
 
-    def _standin(self, name: str, *options: str) -> str:
+    def _start_standin(self, name: str, *options: str) -> str:
         process = Process(
             [f"tests.standins.{name}", *options], self.folder / f"{name}.log", pipe=True
         )
         self._standins.append(process)
         return process.first_line()
 
-    def _hall(self, number: int) -> str:
+    def _hall_name(self, number: int) -> str:
         return f"hall-{number % self._halls}"
 
     # -- the VM list -----------------------------------------------------------------------
@@ -181,7 +181,7 @@
             "role": "worker",
             "state": state,
             "address": f"{self.workers}/{name}",
-            "hall": self._hall(rack),
+            "hall": self._hall_name(rack),
             "rack": f"rack-{rack}",
         }
 
@@ -191,7 +191,7 @@
             "role": "minion",
             "state": state,
             "address": f"{self.minions}/{name}",
-            "hall": self._hall(self.minion_names.index(name)),
+            "hall": self._hall_name(self.minion_names.index(name)),
             "group": self._group,
         }
 
@@ -206,7 +206,7 @@
     def start_node(self, name: str, seeds: Iterable[str] = ()) -> Process:
         api = self.addresses.setdefault(name, f"127.0.0.1:{free_port()}")
         peer = self.peers.setdefault(name, f"127.0.0.1:{free_port()}")
-        hall = self._hall(len(self.nodes))
+        hall = self._hall_name(len(self.nodes))
         lines = ["[node]", f"name = {name}", f"hall = {hall}", f"api = {api}", f"peer = {peer}"]
         lines += [f"seeds = {', '.join(self.peers[seed] for seed in seeds)}"]
         lines += ["[platform]", f"log = {self.log}", f"vms = {self.vms}", "timeout_ms = 1000"]
@@ -243,7 +243,7 @@
         wait_for(lambda: self.request(name, "GET", "/readyz").status == 200, f"{name} is ready")
 
     def kill_node(self, name: str, vm_gone: bool = False) -> None:
-        self.nodes.pop(name).end()
+        self.nodes.pop(name).kill()
         if vm_gone:
             self.remove_vms([name])
 
@@ -322,7 +322,7 @@
 
         return wait_for(finished, f"work {number} ends", seconds)
 
-    def command(self, *arguments: str) -> subprocess.CompletedProcess:
+    def run_cli(self, *arguments: str) -> subprocess.CompletedProcess:
         """Run the command-line tool."""
         nodes = ",".join(self.addresses[name] for name in self.nodes)
         environment = {**os.environ, "PYTHONPATH": str(ROOT / "src"), "SNOWDOCK_NODES": nodes}
--- a/tests/standins/entry_cluster.py
+++ b/tests/standins/entry_cluster.py
@@ -68,9 +68,9 @@
 
 
 def free_port(ip: str) -> int:
-    with socket.socket() as found:
-        found.bind((ip, 0))
-        return found.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind((ip, 0))
+        return probe.getsockname()[1]
 
 
 def wait_until(condition, seconds: float = 15.0) -> bool:
@@ -129,21 +129,27 @@
                 stderr=log,
             )
 
-    def lines(self, event: str) -> list[str]:
+    def log_lines(self, event: str) -> list[str]:
         text = self.log.read_text(errors="replace")
         return [line for line in text.splitlines() if f"event={event} " in line + " "]
 
     @property
-    def leads(self) -> bool:
-        return len(self.lines("leading")) > len(self.lines("deposed")) + len(self.lines("draining"))
+    def is_leader(self) -> bool:
+        return len(self.log_lines("leading")) > len(self.log_lines("deposed")) + len(
+            self.log_lines("draining")
+        )
 
     def call(self, method: str, path: str, body=None, headers=None):
         """Make one call; gives status, decoded body and headers, or a status of 0."""
-        sent = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
-        given = {"Host": "jobs.example", "Content-Type": "application/json", **(headers or {})}
+        data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
+        request_headers = {
+            "Host": "jobs.example",
+            "Content-Type": "application/json",
+            **(headers or {}),
+        }
         pool = urllib3.HTTPConnectionPool(self.ip, self.front, retries=False, timeout=5)
         try:
-            reply = pool.request(method, path, body=sent, headers=given)
+            reply = pool.request(method, path, body=data, headers=request_headers)
         except urllib3.exceptions.HTTPError:
             return 0, None, {}
         try:
@@ -207,10 +213,10 @@
 
     @property
     def leader(self) -> EntryProcess | None:
-        found = [n for n in self.nodes if n.process.poll() is None and n.leads]
+        found = [n for n in self.nodes if n.process.poll() is None and n.is_leader]
         return found[-1] if found else None
 
-    def job(self, steps: list[dict], prefix: str = "/jobs/") -> tuple[str, dict]:
+    def make_job(self, steps: list[dict], prefix: str = "/jobs/") -> tuple[str, dict]:
         """Draw a job's path and body, known to the workers' stand-ins and checks."""
         from snowdock.platform.job_bodies import decode_job
 
--- a/tests/standins/witness.py
+++ b/tests/standins/ledger_checks.py
@@ -4,7 +4,7 @@
 
 from tests.standins.cluster import Cluster
 
-_ENDS = ("succeeded", "failed", "lapsed", "stopped")
+_END_EVENTS = ("succeeded", "failed", "lapsed", "stopped")
 
 
 def check_workers(ledger: list[dict], capacity: tuple[int, int, int]) -> list[str]:
@@ -32,7 +32,7 @@
             used = [sum(size[n] for size in running[worker].values()) for n in range(3)]
             if any(have > most for have, most in zip(used, capacity, strict=True)):
                 problems.append(f"{worker} runs {used} of {capacity}")
-        if event in _ENDS:
+        if event in _END_EVENTS:
             places.pop(entry["attempt"].rsplit(".", 1)[0], None)
             running.get(worker, {}).pop(entry["attempt"], None)
     problems += [f"attempt {name} started {n} times" for name, n in starts.items() if n > 1]
@@ -47,7 +47,7 @@
     return problems + [f"{entry['minion']} was given more than its slots" for entry in over]
 
 
-def check_promises(
+def check_ledgers(
     cluster: Cluster,
     capacity: tuple[int, int, int] = (16_000, 65_536, 0),
     once: frozenset[str] = frozenset(),
--- a/tests/standins/logs.py
+++ b/tests/standins/logs.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from tests.standins._http import Answer, Request, Standin, json_answer, parser
+from tests.standins._http import Request, Response, Standin, json_response, make_parser
 
-PAGE = 500
+PAGE_ENTRIES = 500
 
 
 class Log:
@@ -34,7 +34,7 @@
                 lambda: offset < self._first + len(self._entries), timeout=wait_ms / 1000
             )
             start = max(offset - self._first, 0)
-            page = self._entries[start : start + PAGE]
+            page = self._entries[start : start + PAGE_ENTRIES]
             return {
                 "first": self._first,
                 "end": self._first + len(self._entries),
@@ -45,20 +45,20 @@
 
 
 def main() -> None:
-    options = parser(__doc__)
+    options = make_parser(__doc__)
     options.add_argument("--retention", type=int, default=100_000)
     given = options.parse_args()
     log = Log(given.retention)
 
-    def handle(request: Request) -> Answer:
+    def handle(request: Request) -> Response:
         if request.path == "/append":
             offset = log.append(request.body)
-            standin.note("append", agent=request.agent, bytes=len(request.body))
-            return json_answer({"offset": offset})
+            standin.record_event("append", agent=request.agent, bytes=len(request.body))
+            return json_response({"offset": offset})
         if request.path == "/read":
             page = log.read(int(request.query["from"]), int(request.query["wait_ms"]))
-            return Answer(200, msgspec.msgpack.encode(page))
-        return Answer(404)
+            return Response(200, msgspec.msgpack.encode(page))
+        return Response(404)
 
     standin = Standin(handle)
     standin.serve(given.port)
--- a/tests/standins/minions.py
+++ b/tests/standins/minions.py
@@ -7,7 +7,7 @@
 import threading
 import time
 
-from tests.standins._http import Answer, Request, Standin, parser
+from tests.standins._http import Request, Response, Standin, make_parser
 
 HANG_SECONDS = 3
 
@@ -21,12 +21,12 @@
         self._note = note
         self._lock = threading.Lock()
 
-    def run(self, request: Request) -> Answer:
+    def run(self, request: Request) -> Response:
         request_id = request.headers.get("x-request-id", "")
         with self._lock:
             if self._free == 0:
                 self._note("over_slots", minion=self.name, request=request_id)
-                return Answer(503, b"", {"X-Not-Run": "true"})
+                return Response(503, b"", {"X-Not-Run": "true"})
             self._free -= 1
         try:
             return self._run(request, request_id)
@@ -34,10 +34,10 @@
             with self._lock:
                 self._free += 1
 
-    def _run(self, request: Request, request_id: str) -> Answer:
+    def _run(self, request: Request, request_id: str) -> Response:
         behave = request.headers.get("x-behave", "")
         if behave == "refuse":
-            return Answer(503, b"", {"X-Not-Run": "true"})
+            return Response(503, b"", {"X-Not-Run": "true"})
         self._note("ran", minion=self.name, request=request_id, agent=request.agent)
         time.sleep(float(request.headers.get("x-work-ms", "0")) / 1000)
         if behave == "hang":
@@ -48,21 +48,23 @@
             headers["X-Request-Id"] = "somebody-else"
         if behave == "truncate":
             headers["Content-Length"] = str(len(body) + 10)
-        return Answer(200, body, headers)
+        return Response(200, body, headers)
 
 
 def main() -> None:
-    options = parser(__doc__)
+    options = make_parser(__doc__)
     options.add_argument("--names", required=True)
     options.add_argument("--slots", type=int, default=8)
     given = options.parse_args()
 
-    def handle(request: Request) -> Answer:
+    def handle(request: Request) -> Response:
         name = request.path.split("/")[1]
         return minions[name].run(request)
 
     standin = Standin(handle)
-    minions = {name: Minion(name, given.slots, standin.note) for name in given.names.split(",")}
+    minions = {
+        name: Minion(name, given.slots, standin.record_event) for name in given.names.split(",")
+    }
     standin.serve(given.port)
 
 
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -31,8 +31,8 @@
 logging.getLogger("waitress").setLevel(logging.CRITICAL)
 
 THREADS = 48
-MOST_CONNECTIONS = 2000
-_PORT_SECONDS = 5.0
+MAX_CONNECTIONS = 2000
+_PORT_RELEASE_TIMEOUT_SECONDS = 5.0
 """How long a port may take to be free again."""
 
 
@@ -48,7 +48,7 @@
             host="127.0.0.1",
             port=port,
             threads=THREADS,
-            connection_limit=MOST_CONNECTIONS,
+            connection_limit=MAX_CONNECTIONS,
             # Descriptors beyond 1,023 end a server that selects: dozens of nodes have more.
             asyncore_use_poll=True,
         )
@@ -76,7 +76,7 @@
         self._server.task_dispatcher.shutdown(cancel_pending=True, timeout=0)
 
 
-def as_json(value: object, status: int = 200) -> Reply:
+def json_reply(value: object, status: int = 200) -> Reply:
     return status, json.dumps(value).encode()
 
 
@@ -103,14 +103,14 @@
 
     def __init__(self) -> None:
         self.refuse = False
-        self.old_news = False
+        self.hides_new_records = False
         self.silent = False
         self.lose = False
-        self.turned_away: set[str] = set()
+        self.refused_agents: set[str] = set()
         self.calls: list[str] = []
         self._parts: dict[tuple[str, int], Partition] = {}
         self._changed = threading.Condition()
-        self._server = Server(self._answer)
+        self._server = Server(self._handle)
         self.address = self._server.address
 
     def close(self) -> None:
@@ -134,7 +134,7 @@
             parts = [part for (name, _), part in self._parts.items() if name == topic]
             return {key.decode() for part in parts for key in part.newest}
 
-    def forget_history(self, topic: str) -> None:
+    def discard_history(self, topic: str) -> None:
         with self._changed:
             part = self.part(topic)
             part.first = part.end
@@ -152,9 +152,9 @@
         self._changed.notify_all()
         return offset
 
-    def _answer(self, method, path, query, body, environ) -> Reply:
+    def _handle(self, method, path, query, body, environ) -> Reply:
         self.calls.append(path)
-        if self.refuse or environ.get("HTTP_USER_AGENT") in self.turned_away:
+        if self.refuse or environ.get("HTTP_USER_AGENT") in self.refused_agents:
             return 503, b""
         if self.silent:
             time.sleep(3)
@@ -163,7 +163,7 @@
         with self._changed:
             part = self._parts.setdefault((topic, number), Partition())
             if path == "/v1/log-append":
-                reply = self._take_append(part, query, body)
+                reply = self._handle_append(part, query, body)
             elif path == "/v1/log-read":
                 return self._read(part, query)
             else:
@@ -172,7 +172,7 @@
             time.sleep(3)
         return reply
 
-    def _take_append(self, part: Partition, query, body: bytes) -> Reply:
+    def _handle_append(self, part: Partition, query, body: bytes) -> Reply:
         records = []
         position = 0
         while position < len(body):
@@ -186,39 +186,40 @@
             if refusal is not None:
                 return refusal
         if "as_of" in query and int(query["as_of"]) != part.end:
-            return as_json({"end": part.end}, 412)
+            return json_reply({"end": part.end}, 412)
         offset = self._append(part, records)
         if producer is not None and records:
             epoch, sequence = int(query["epoch"]), int(query["seq"])
             answers = part.producers[producer][2]
             answers[sequence] = offset
             part.producers[producer] = (epoch, sequence, answers)
-        return as_json({"offset": offset, "end": part.end})
+        return json_reply({"offset": offset, "end": part.end})
 
     @staticmethod
     def _check_producer(part: Partition, producer: str, query) -> Reply | None:
         epoch, sequence = int(query["epoch"]), int(query["seq"])
         seen_epoch, seen_sequence, answers = part.producers.get(producer, (-1, -1, {}))
         if epoch < seen_epoch:
-            return as_json({"reason": "fenced"}, 409)
+            return json_reply({"reason": "fenced"}, 409)
         if epoch > seen_epoch:
             part.producers[producer] = (epoch, sequence, {})
             return None
         if sequence in answers:
-            return as_json({"offset": answers[sequence], "end": part.end})
+            return json_reply({"offset": answers[sequence], "end": part.end})
         if sequence != seen_sequence + 1:
-            return as_json({"reason": "seq"}, 409)
+            return json_reply({"reason": "seq"}, 409)
         return None
 
     def _read(self, part: Partition, query) -> Reply:
         start = int(query["from"])
         wait = int(query.get("wait_ms", 0)) / 1000
         self._changed.wait_for(
-            lambda: (part.end > start and not self.old_news) or start < part.first, timeout=wait
+            lambda: (part.end > start and not self.hides_new_records) or start < part.first,
+            timeout=wait,
         )
         if start < part.first:
-            return as_json({"first": part.first}, 410)
-        if self.old_news:
+            return json_reply({"first": part.first}, 410)
+        if self.hides_new_records:
             return 200, struct.pack(">QQ", start, part.first)
         answer = struct.pack(">QQ", part.end, part.first)
         for key, value in part.records[start - part.first :]:
@@ -239,16 +240,16 @@
             }
             for key in page
         ]
-        return as_json({"items": items, "has_more": len(keys) > len(page), "end": part.end})
+        return json_reply({"items": items, "has_more": len(keys) > len(page), "end": part.end})
 
 
-_LOOK_SECONDS = 0.1
+_STARVATION_CHECK_SECONDS = 0.1
 """How often it is looked for jobs that starve."""
 
-_RETURN_SECONDS = 1.5
+_REPLACEMENT_DELAY_SECONDS = 1.5
 """After how long another worker stands in for one that a task has ended."""
 
-_SHRUNK_COUNTS_SECONDS = 4.5
+_SHRINK_GRACE_SECONDS = 4.5
 """Three seconds and one heartbeat, as long as a leader may go by what a worker said before."""
 
 
@@ -269,28 +270,28 @@
     ) -> None:
         self.checks = InvariantChecker()
         self.work_s = work_s
-        self.mute: set[str] = set()
-        self.crashing: set[str] = set()
-        self.failing: set[str] = set()
+        self.unresponsive: set[str] = set()
+        self.crashing_jobs: set[str] = set()
+        self.failing_jobs: set[str] = set()
         self._closed = False
-        self.accepted: list[str] = []
+        self.accepted_jobs: list[str] = []
         self.starvation = StarvationChecker(self.checks)
-        self._returned = itertools.count()
+        self._replacement_numbers = itertools.count()
         self.steps: dict[str, list[StepSpec]] = {}
         self.starts: list[tuple[str, int, str]] = []
         self._timeline = Timeline()
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._gangs = GangRegistry()
         self._lock = threading.Condition()
         self._store = store
         self.models: dict[str, WorkerModel] = {}
         self._servers: dict[str, Server] = {}
-        self._born: dict[str, int] = {}
+        self._born_ms: dict[str, int] = {}
         self._make_proxy = proxies
         self.proxies: list = []
         for number in range(count):
             self.add(f"i-{number}")
-        threading.Thread(target=self._pass_time, daemon=True).start()
+        threading.Thread(target=self._run_timeline, daemon=True).start()
 
     def close(self) -> None:
         self._closed = True
@@ -300,7 +301,7 @@
             server.close()
 
     def add(self, life: str) -> None:
-        server = Server(lambda *call, life=life: self._answer(life, *call))
+        server = Server(lambda *call, life=life: self._handle(life, *call))
         address = server.address
         if self._make_proxy is not None:
             self.proxies.append(self._make_proxy(address))
@@ -319,11 +320,13 @@
             WorkerTimings(lease_limit_s=6.0),
             self._gangs,
             self.checks,
-            lambda task, _: RunPlan(self.work_s, task.job in self.failing, self._ends_worker(task)),
-            crash=self._crash_and_return,
+            lambda task, _: RunPlan(
+                self.work_s, task.job in self.failing_jobs, self._crashes_worker(task)
+            ),
+            crash=self._crash_and_replace,
             clock_began=clock_began,
         )
-        self._born[entry.life] = time.time_ns() // 1_000_000
+        self._born_ms[entry.life] = time.time_ns() // 1_000_000
 
     def restart(self, worker: str, away_s: float = 0.0) -> None:
         """End a worker's life and begin the next one under its id and at its address."""
@@ -339,28 +342,28 @@
 
     def _serve_again(self, worker: str, port: int) -> Server:
         """Serve at the port of a server that is closing."""
-        end = time.monotonic() + _PORT_SECONDS
+        end = time.monotonic() + _PORT_RELEASE_TIMEOUT_SECONDS
         while True:
             try:
-                return Server(lambda *call: self._answer(worker, *call), port)
+                return Server(lambda *call: self._handle(worker, *call), port)
             except OSError:
                 if time.monotonic() > end:
                     raise
                 time.sleep(0.01)
 
-    def _ends_worker(self, task: TaskId) -> bool:
-        return task.job in self.crashing and (task.step, task.index) == (0, 0)
+    def _crashes_worker(self, task: TaskId) -> bool:
+        return task.job in self.crashing_jobs and (task.step, task.index) == (0, 0)
 
     def mark_crashing(self, job: str) -> None:
         """Have the first task of a job end each worker that starts it."""
-        self.crashing.add(job)
+        self.crashing_jobs.add(job)
         self.checks.crashing_tasks.add(TaskId(job, 0, 0, 0))
 
-    def _crash_and_return(self, life: str) -> None:
+    def _crash_and_replace(self, life: str) -> None:
         if self.models[life].is_up:
             self.crash(life)
-            returned = f"r-{next(self._returned)}"
-            self._timeline.call_after(_RETURN_SECONDS, lambda: self.add(returned))
+            returned = f"r-{next(self._replacement_numbers)}"
+            self._timeline.call_after(_REPLACEMENT_DELAY_SECONDS, lambda: self.add(returned))
 
     def resize(self, life: str, capacity: Size) -> None:
         """Have a worker's room shrink or grow."""
@@ -369,11 +372,13 @@
             model.entry = dataclasses.replace(model.entry, capacity=capacity)
             # Starts count against a shrunk room only a while after it was told.
             model.enforced_capacity = model.enforced_capacity.elementwise_max(capacity)
-            self._timeline.call_after(_SHRUNK_COUNTS_SECONDS, lambda: self._count(model, capacity))
+            self._timeline.call_after(
+                _SHRINK_GRACE_SECONDS, lambda: self._apply_counted_capacity(model, capacity)
+            )
         self.record(life)
 
     @staticmethod
-    def _count(model: WorkerModel, capacity: Size) -> None:
+    def _apply_counted_capacity(model: WorkerModel, capacity: Size) -> None:
         if model.entry.capacity == capacity:
             model.enforced_capacity = capacity
 
@@ -398,41 +403,41 @@
                 "slots": 8,
                 "cold_left_ms": 0,
                 "seq": 1,
-                "born": self._born[life],
+                "born": self._born_ms[life],
                 "state": state,
                 "capacity": capacity,
                 "labels": ["a", "r1-0"],
             },
         )
 
-    def _pass_time(self) -> None:
+    def _run_timeline(self) -> None:
         look_at = 0.0
         while not self._closed:
             time.sleep(0.005)
             with self._lock:
-                now = time.monotonic() - self._began
+                now = time.monotonic() - self._started_at
                 self._timeline.run_until(now)
                 if now >= look_at:
-                    look_at = now + _LOOK_SECONDS
-                    self.starvation.check(self.models.values(), self.accepted, now)
+                    look_at = now + _STARVATION_CHECK_SECONDS
+                    self.starvation.check(self.models.values(), self.accepted_jobs, now)
 
-    def _answer(self, life, method, path, query, body, environ) -> Reply:
-        if life in self.mute:
+    def _handle(self, life, method, path, query, body, environ) -> Reply:
+        if life in self.unresponsive:
             time.sleep(3)
             return 500, b""
         if environ.get("HTTP_X_EXPECTED_INSTANCE") != life or not self.models[life].is_up:
             return 421, b""
         call = json.loads(body)
         if path == "/v1/hold":
-            return self._renew(self.models[life], call)
+            return self._handle_renew(self.models[life], call)
         with self._lock:
-            self._timeline.run_until(time.monotonic() - self._began)
+            self._timeline.run_until(time.monotonic() - self._started_at)
             if not self.models[life].is_up:
                 # It has ended just now.
                 return 421, b""
-            return self._order(self.models[life], path, call)
+            return self._handle_order(self.models[life], path, call)
 
-    def _order(self, model: WorkerModel, path: str, call: dict) -> Reply:
+    def _handle_order(self, model: WorkerModel, path: str, call: dict) -> Reply:
         task = parse_task(call["task"])
         clock = {"clock_ms": model.clock_ms}
         if path == "/v1/run-stop":
@@ -445,12 +450,12 @@
             if refusal is None:
                 self.starts.append((format_task(task), call["run"], model.entry.life))
         if refusal is None:
-            return as_json(clock)
+            return json_reply(clock)
         reason = {Refusal.FENCED: "fence", Refusal.SUPERSEDED: "old", Refusal.LATE: "late"}
-        return as_json({**clock, "reason": reason[refusal]}, 409)
+        return json_reply({**clock, "reason": reason[refusal]}, 409)
 
-    def _renew(self, model: WorkerModel, call: dict) -> Reply:
-        given: list = []
+    def _handle_renew(self, model: WorkerModel, call: dict) -> Reply:
+        answers: list = []
         order = RenewOrder(
             call["fencing_token"],
             call["last_seen"],
@@ -459,20 +464,20 @@
             0.0,
         )
         with self._lock:
-            self._timeline.run_until(time.monotonic() - self._began)
-            model.renew(order, given.append)
+            self._timeline.run_until(time.monotonic() - self._started_at)
+            model.renew(order, answers.append)
         end = time.monotonic() + order.wait_ms / 1000 + 1
-        while not given and time.monotonic() < end:
+        while not answers and time.monotonic() < end:
             time.sleep(0.002)
-        if not given or given[0] is Refusal.FENCED:
-            return as_json({"clock_ms": model.clock_ms, "reason": "fence"}, 409)
-        report = given[0]
+        if not answers or answers[0] is Refusal.FENCED:
+            return json_reply({"clock_ms": model.clock_ms, "reason": "fence"}, 409)
+        report = answers[0]
         running = [[format_task(r.task), r.run, r.checkpoint, r.percent, 0] for r in report.running]
         ended = [
             [e.number, format_task(e.task), e.run, e.kind.value, e.checkpoint] for e in report.ended
         ]
-        told = {"clock_ms": report.clock_ms, "running": running, "ended": ended}
-        return as_json(told | {"born": self._born[model.entry.life]})
+        body = {"clock_ms": report.clock_ms, "running": running, "ended": ended}
+        return json_reply(body | {"born": self._born_ms[model.entry.life]})
 
 
 class AdviceStandin:
@@ -481,17 +486,17 @@
     def __init__(self) -> None:
         self.unfit: set[str] = set()
         self.silent = False
-        self.asked: list[str] = []
-        self._server = Server(self._answer)
+        self.requested_steps: list[str] = []
+        self._server = Server(self._handle)
         self.address = self._server.address
 
     def close(self) -> None:
         self._server.close()
 
-    def _answer(self, method, path, query, body, environ) -> Reply:
+    def _handle(self, method, path, query, body, environ) -> Reply:
         if self.silent:
             time.sleep(3)
         call = json.loads(body)
-        self.asked.append(call["step"])
+        self.requested_steps.append(call["step"])
         good = [[life, f"t-{life}"] for life in call["workers"] if life not in self.unfit]
-        return as_json({"good": good, "valid_ms": 2000})
+        return json_reply({"good": good, "valid_ms": 2000})
--- a/tests/standins/proxy.py
+++ b/tests/standins/proxy.py
@@ -7,9 +7,9 @@
 import threading
 import time
 
-CHUNK = 65_536
-ACCEPT_SECONDS = 0.2
-RESET = struct.pack("ii", 1, 0)
+CHUNK_BYTES = 65_536
+ACCEPT_TIMEOUT_SECONDS = 0.2
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.Enum):
@@ -34,10 +34,10 @@
         self.accepted = 0
         self._target = (host, int(port))
         self._listener = socket.create_server(("127.0.0.1", 0))
-        self._listener.settimeout(ACCEPT_SECONDS)
+        self._listener.settimeout(ACCEPT_TIMEOUT_SECONDS)
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         self._sockets: set[socket.socket] = set()
-        self._swallowed: set[socket.socket] = set()
+        self._blackholed: set[socket.socket] = set()
         self._lock = threading.Lock()
         self._closed = False
         threading.Thread(target=self._accept, daemon=True).start()
@@ -54,7 +54,7 @@
     def swallow_open(self) -> None:
         """Silence the connections that are open for good; those to come work."""
         with self._lock:
-            self._swallowed |= self._sockets
+            self._blackholed |= self._sockets
 
     def close(self) -> None:
         self._closed = True
@@ -63,7 +63,7 @@
     @staticmethod
     def _reset(each: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            each.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            each.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             each.shutdown(socket.SHUT_RDWR)
         with contextlib.suppress(OSError):
             each.close()
@@ -93,15 +93,17 @@
                 (client, server, Mode.CUT_REQUESTS),
                 (server, client, Mode.CUT_ANSWERS),
             ):
-                threading.Thread(target=self._pump, args=(source, sink, cut), daemon=True).start()
+                threading.Thread(
+                    target=self._forward, args=(source, sink, cut), daemon=True
+                ).start()
         self._listener.close()
 
-    def _pump(self, source: socket.socket, sink: socket.socket, cut: Mode) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket, cut: Mode) -> None:
         with contextlib.suppress(OSError):
-            while data := source.recv(CHUNK):
+            while data := source.recv(CHUNK_BYTES):
                 if self.mode is Mode.DELAY:
                     time.sleep(self.delay_s)
-                if self.mode not in (Mode.SILENT, cut) and source not in self._swallowed:
+                if self.mode not in (Mode.SILENT, cut) and source not in self._blackholed:
                     sink.sendall(data)
         with contextlib.suppress(OSError):
             sink.shutdown(socket.SHUT_RDWR)
--- a/tests/standins/thread_killer.py
+++ b/tests/standins/thread_killer.py
@@ -13,7 +13,7 @@
 from snowdock.jobs.events import Persist
 
 
-class Killed(BaseException):
+class ThreadKilled(BaseException):
     """Raised in the thread that is killed."""
 
 
@@ -26,12 +26,12 @@
             each._batches.put(Persist(0, ()))
 
 
-def kill(name: str) -> None:
+def kill_thread(name: str) -> None:
     """Raise an exception in a thread; one that waits meets it when it wakes."""
     for thread in threading.enumerate():
         if thread.name.startswith(name):
             number = ctypes.c_ulong(thread.ident)
-            ctypes.pythonapi.PyThreadState_SetAsyncExc(number, ctypes.py_object(Killed))
+            ctypes.pythonapi.PyThreadState_SetAsyncExc(number, ctypes.py_object(ThreadKilled))
             wake_queues()
             return
     print(f"no thread is named {name}", flush=True)
@@ -39,21 +39,21 @@
 
 def main() -> None:
     name = sys.argv.pop(1)
-    leads = threading.Event()
+    is_leading = threading.Event()
     start = LeaderHandle.start
 
-    def start_and_tell(self, job_offsets) -> None:
+    def start_and_signal(self, job_offsets) -> None:
         start(self, job_offsets)
-        leads.set()
+        is_leading.set()
 
-    LeaderHandle.start = start_and_tell
+    LeaderHandle.start = start_and_signal
 
-    def kill_once_it_leads() -> None:
-        leads.wait()
+    def kill_when_leading() -> None:
+        is_leading.wait()
         time.sleep(0.5)
-        kill(name)
+        kill_thread(name)
 
-    threading.Thread(target=kill_once_it_leads, daemon=True).start()
+    threading.Thread(target=kill_when_leading, daemon=True).start()
     daemon.main()
 
 
--- a/tests/standins/vms.py
+++ b/tests/standins/vms.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from tests.standins._http import Answer, Request, Standin, json_answer, parser
+from tests.standins._http import Request, Response, Standin, json_response, make_parser
 
 
-class VmBook:
+class VmHistory:
     """The VMs; ``POST /set`` adds or changes one, ``POST /remove`` ends one."""
 
     def __init__(self, lag_seconds: float) -> None:
@@ -18,12 +18,12 @@
 
     def change(self, vms: list[dict], removed: list[str]) -> None:
         with self._lock:
-            book = dict(self._history[-1][1])
+            vms_by_name = dict(self._history[-1][1])
             for vm in vms:
-                book[vm["name"]] = vm
+                vms_by_name[vm["name"]] = vm
             for name in removed:
-                book.pop(name, None)
-            self._history.append((time.monotonic(), book))
+                vms_by_name.pop(name, None)
+            self._history.append((time.monotonic(), vms_by_name))
 
     def read(self, since: int) -> dict:
         horizon = time.monotonic() - self._lag
@@ -35,25 +35,25 @@
 
 
 def main() -> None:
-    options = parser(__doc__)
+    options = make_parser(__doc__)
     options.add_argument("--lag-ms", type=int, default=200)
     given = options.parse_args()
-    book = VmBook(given.lag_ms / 1000)
+    book = VmHistory(given.lag_ms / 1000)
 
-    def handle(request: Request) -> Answer:
+    def handle(request: Request) -> Response:
         if request.path == "/vms":
-            return json_answer(book.read(int(request.query["since"])))
+            return json_response(book.read(int(request.query["since"])))
         if request.path == "/set":
             vms = msgspec.json.decode(request.body)
             book.change(vms, [])
-            standin.note("set", vms=[f"{vm['name']}:{vm['state']}" for vm in vms])
-            return json_answer({})
+            standin.record_event("set", vms=[f"{vm['name']}:{vm['state']}" for vm in vms])
+            return json_response({})
         if request.path == "/remove":
             names = msgspec.json.decode(request.body)
             book.change([], names)
-            standin.note("removed", vms=names)
-            return json_answer({})
-        return Answer(404)
+            standin.record_event("removed", vms=names)
+            return json_response({})
+        return Response(404)
 
     standin = Standin(handle)
     standin.serve(given.port)
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from snowdock.platform.worker_client import AttemptReport, SyncOrder, SyncReport
-from tests.standins._http import Answer, Request, Standin, json_answer, now_ms, parser
+from tests.standins._http import Request, Response, Standin, json_response, make_parser, now_ms
 
 TICK_SECONDS = 0.02
 
@@ -57,7 +57,7 @@
         attempt.state = state
         self._record(state, name)
 
-    def _room_for(self, order) -> bool:
+    def _has_room_for(self, order) -> bool:
         running = [a for a in self._attempts.values() if a.state == "running"]
         return (
             sum(a.cpu for a in running) + order.cpu <= self.size[0]
@@ -70,7 +70,7 @@
         if name in self._attempts or name in self._refused:
             return
         late = now_ms() > order.not_after_ms
-        if late or not self._room_for(order):
+        if late or not self._has_room_for(order):
             self._refused.add(name)
             reason = "late" if late else "no room"
             self._note("refused", worker=self.name, attempt=name, reason=reason)
@@ -111,13 +111,13 @@
                     self._end(stop.attempt, attempt, "stopped")
             named = {*order.renew, *(s.attempt for s in order.start)}
             named |= {s.attempt for s in order.stop}
-            answer = self._answer(named)
+            answer = self._make_answer(named)
             for name in order.renew:
                 if answer.attempts[name].state == "running":
                     del answer.attempts[name]
             return answer
 
-    def _answer(self, named: set[str]) -> SyncReport:
+    def _make_answer(self, named: set[str]) -> SyncReport:
         reports = {}
         for name in named | set(self._attempts):
             attempt = self._attempts.get(name)
@@ -129,11 +129,11 @@
 
     def status(self) -> SyncReport:
         with self._lock:
-            return self._answer(set())
+            return self._make_answer(set())
 
 
 def main() -> None:
-    options = parser(__doc__)
+    options = make_parser(__doc__)
     options.add_argument("--names", required=True)
     options.add_argument("--cpu", type=int, default=16_000)
     options.add_argument("--memory", type=int, default=65_536)
@@ -141,22 +141,22 @@
     given = options.parse_args()
     size = (given.cpu, given.memory, given.accelerators)
 
-    def handle(request: Request) -> Answer:
+    def handle(request: Request) -> Response:
         _, name, action = request.path.split("/")
         worker = workers[name]
         if action == "status":
-            return json_answer(worker.status())
+            return json_response(worker.status())
         if action == "sync":
             answer = worker.sync(msgspec.json.decode(request.body, type=SyncOrder))
-            return Answer(409) if answer is None else json_answer(answer)
+            return Response(409) if answer is None else json_response(answer)
         if action == "fail_all":
             worker.fail_all = request.query["on"] == "1"
-            return json_answer({})
+            return json_response({})
         if action == "reboot":
-            workers[name] = Worker(name, size, standin.note)
-            standin.note("rebooted", worker=name)
-            return json_answer({})
-        return Answer(404)
+            workers[name] = Worker(name, size, standin.record_event)
+            standin.record_event("rebooted", worker=name)
+            return json_response({})
+        return Response(404)
 
     def watch() -> None:
         while True:
@@ -165,7 +165,7 @@
                 worker.tick()
 
     standin = Standin(handle)
-    workers = {name: Worker(name, size, standin.note) for name in given.names.split(",")}
+    workers = {name: Worker(name, size, standin.record_event) for name in given.names.split(",")}
     threading.Thread(target=watch, daemon=True).start()
     standin.serve(given.port)
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -21,7 +21,7 @@
 from snowdock.errors import CallUnanswered
 from snowdock.platform.call_loop import CallLoop
 from snowdock.platform.http_channel import HttpChannel
-from tests.standins.swallower import Swallower
+from tests.standins.blackhole_server import BlackholeServer
 
 SUSPENDED_SECONDS = 9.0
 
@@ -94,9 +94,9 @@
 
     def test_call_times_out_after_suspension(self) -> None:
         """A call in flight times out if its time limit passed during a suspension."""
-        swallower = Swallower()
+        swallower = BlackholeServer()
         self.addCleanup(swallower.close)
-        swallower.held.clear()
+        swallower.may_answer.clear()
         loop = CallLoop("test-calls")
         loop.start()
         self.addCleanup(loop.stop)
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -23,7 +23,7 @@
 
     def test_job_runs_to_its_end(self) -> None:
         """Steps run in order, each task once, and the job's state becomes completed."""
-        path, body = self.cluster.job([SMALL, {**SMALL, "after": [0]}])
+        path, body = self.cluster.make_job([SMALL, {**SMALL, "after": [0]}])
         self.assertEqual(self.node.call("POST", path, body)[0], 200)
         self.assertTrue(self.cluster.wait_state(path, "completed"))
         job = path.rpartition("/")[2]
@@ -34,14 +34,14 @@
     def test_caller_with_a_short_deadline_is_served(self) -> None:
         """One attempt to record the job is made even for a very short deadline."""
         for given_ms in ("1", "120", "0"):
-            path, body = self.cluster.job([SMALL])
+            path, body = self.cluster.make_job([SMALL])
             status, _, _ = self.node.call("POST", path, body, {"X-Deadline-Ms": given_ms})
             self.assertEqual(status, 200)
 
     def test_gang_on_an_advised_queue(self) -> None:
         """All tasks of a gang start, and only on workers that the advice service accepts."""
         self.cluster.advice.unfit = {"i-0"}
-        path, body = self.cluster.job([{**SMALL, "count": 6, "gang": True}], "/jobs/advised/")
+        path, body = self.cluster.make_job([{**SMALL, "count": 6, "gang": True}], "/jobs/advised/")
         self.assertEqual(self.node.call("POST", path, body)[0], 200)
         self.assertTrue(self.cluster.wait_state(path, "completed"))
         job = path.rpartition("/")[2]
@@ -51,7 +51,7 @@
 
     def test_duplicate_submission_runs_once(self) -> None:
         """A job that is submitted twice runs once."""
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         for _ in range(2):
             self.assertEqual(self.node.call("POST", path, body)[0], 200)
         self.assertTrue(self.cluster.wait_state(path, "completed"))
@@ -62,7 +62,7 @@
 
     def test_submission_record_of_an_ended_job_is_dropped(self) -> None:
         """The submission record is deleted; submitting again does not run the job again."""
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         job = path.rpartition("/")[2]
         self.assertEqual(self.node.call("POST", path, body)[0], 200)
         self.assertTrue(self.cluster.wait_state(path, "completed"))
@@ -77,7 +77,7 @@
     def test_cancelled_job_stops(self) -> None:
         """The state of a cancelled job is shown, and its runs are stopped."""
         self.cluster.workers.work_s = 30.0
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         self.node.call("POST", path, body)
         self.assertTrue(self.cluster.wait_state(path, "running"))
         self.assertEqual(self.node.call("DELETE", path)[0], 200)
@@ -103,7 +103,7 @@
 
     def test_invalid_jobs_are_refused(self) -> None:
         """Invalid jobs are answered with 400, 413 or 431, and no job is recorded."""
-        path, _ = self.cluster.job([SMALL])
+        path, _ = self.cluster.make_job([SMALL])
         invalid = [
             b"{",
             b"\xff\xfe",
@@ -125,7 +125,7 @@
 
     def test_waiting_jobs_are_counted(self) -> None:
         """A queue's count includes a job that does not fit on any worker, until it is cancelled."""
-        path, body = self.cluster.job([{**SMALL, "cpu": 5000}])
+        path, body = self.cluster.make_job([{**SMALL, "cpu": 5000}])
         self.node.call("POST", path, body)
 
         def waiting() -> int:
@@ -142,7 +142,7 @@
         self.cluster.store.put("keyed.op", "config", newer)
         self.assertTrue(wait_until(lambda: self.node.call("GET", "/new/")[0] == 200))
         self.cluster.store.put("keyed.op", "config", CONFIGURATION)
-        self.cluster.store.forget_history("keyed.op")
+        self.cluster.store.discard_history("keyed.op")
         last = {
             **newer,
             "version": 9,
@@ -154,11 +154,13 @@
 
     def test_settings_are_reloaded(self) -> None:
         """SIGHUP and a changed file both cause a reload."""
-        before = len(self.node.lines("settings_reloaded"))
+        before = len(self.node.log_lines("settings_reloaded"))
         self.node.signal(signal.SIGHUP)
-        self.assertTrue(wait_until(lambda: len(self.node.lines("settings_reloaded")) > before))
+        self.assertTrue(wait_until(lambda: len(self.node.log_lines("settings_reloaded")) > before))
         self.node.write_settings()
-        self.assertTrue(wait_until(lambda: len(self.node.lines("settings_reloaded")) > before + 1))
+        self.assertTrue(
+            wait_until(lambda: len(self.node.log_lines("settings_reloaded")) > before + 1)
+        )
 
 
 class TestStoreFailures(unittest.TestCase):
@@ -172,7 +174,7 @@
 
     def test_refused_job_is_never_run(self) -> None:
         """A job refused because of the store gets a `Retry-After`, and never runs."""
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         self.cluster.store.refuse = True
         status, answer, headers = self.node.call("POST", path, body)
         self.assertEqual((status, answer["code"]), (503, "log_unavailable"))
@@ -183,7 +185,7 @@
 
     def test_unanswered_append_is_reported_as_unknown(self) -> None:
         """If an append may have been applied, the caller gets 504, and the job may run."""
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         self.cluster.store.lose = True
         status, answer, _ = self.node.call("POST", path, body)
         self.cluster.store.lose = False
@@ -194,7 +196,7 @@
     def test_running_tasks_survive_a_store_outage(self) -> None:
         """Running tasks are renewed during an outage that is longer than a lease."""
         self.cluster.workers.work_s = 8.0
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         self.node.call("POST", path, body)
         self.assertTrue(wait_until(lambda: len(self.cluster.workers.starts) == 2))
         self.cluster.store.refuse = True
@@ -215,9 +217,9 @@
 
     def test_one_leader_and_any_node_answers(self) -> None:
         """Exactly one node is elected, and every node accepts jobs and shows all of them."""
-        self.assertEqual(sum(len(n.lines("claim_won")) for n in self.cluster.nodes), 1)
+        self.assertEqual(sum(len(n.log_lines("claim_won")) for n in self.cluster.nodes), 1)
         for node in self.cluster.nodes:
-            path, body = self.cluster.job([SMALL])
+            path, body = self.cluster.make_job([SMALL])
             self.assertEqual(node.call("POST", path, body)[0], 200)
             for other in self.cluster.nodes:
                 self.assertTrue(
@@ -241,12 +243,12 @@
         """
         leader = self.cluster.leader
         other = next(node for node in self.cluster.nodes if node is not leader)
-        self.assertTrue(wait_until(lambda: other.lines("leader_seen")))
-        self.cluster.store.old_news = True
+        self.assertTrue(wait_until(lambda: other.log_lines("leader_seen")))
+        self.cluster.store.hides_new_records = True
         for node in (leader, other):
-            path, body = self.cluster.job([SMALL])
+            path, body = self.cluster.make_job([SMALL])
             self.repeat_until("completed", path, functools.partial(node.call, "POST", path, body))
-            path, body = self.cluster.job([{**SMALL, "long_running": True}])
+            path, body = self.cluster.make_job([{**SMALL, "long_running": True}])
             self.repeat_until("running", path, functools.partial(node.call, "POST", path, body))
             self.repeat_until("cancelled", path, functools.partial(node.call, "DELETE", path))
 
@@ -254,24 +256,24 @@
         """The node records jobs by way of the leader, and reports itself as not ready."""
         leader = self.cluster.leader
         node = next(node for node in self.cluster.nodes if node is not leader)
-        self.assertTrue(wait_until(lambda: node.lines("leader_seen")))
-        self.cluster.store.turned_away.add(f"snowdock/{node.node}")
+        self.assertTrue(wait_until(lambda: node.log_lines("leader_seen")))
+        self.cluster.store.refused_agents.add(f"snowdock/{node.node}")
         self.assertTrue(wait_until(lambda: node.probe() == 503))
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         self.assertEqual(node.call("POST", path, body)[0], 200)
         self.assertTrue(self.cluster.wait_state(path, "completed"))
-        self.cluster.store.turned_away.clear()
+        self.cluster.store.refused_agents.clear()
         self.assertTrue(wait_until(lambda: node.probe() == 200))
 
     def test_deposed_leader_drops_its_links(self) -> None:
         """A leader that the store refuses is deposed, and does not reopen links to its peers."""
         old = self.cluster.leader
-        self.cluster.store.turned_away.add(f"snowdock/{old.node}")
+        self.cluster.store.refused_agents.add(f"snowdock/{old.node}")
         # The old leader cannot read the new claim; it is deposed by the workers' refusals.
-        self.assertTrue(wait_until(lambda: old.lines("deposed")))
+        self.assertTrue(wait_until(lambda: old.log_lines("deposed")))
         time.sleep(5.0)
         lines = old.log.read_text().splitlines()
-        self.cluster.store.turned_away.clear()
+        self.cluster.store.refused_agents.clear()
         # Before that, links may be reopened, since the peers already follow the new leader.
         deposed = next(n for n, line in enumerate(lines) if "event=deposed " in line)
         renewed = [line for line in lines[deposed:] if "event=peer_link_renewed " in line]
@@ -280,7 +282,7 @@
     def test_killed_leader_is_replaced(self) -> None:
         """The next leader adopts running tasks, and no task runs twice."""
         self.cluster.workers.work_s = 4.0
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         leader = self.cluster.leader
         self.assertEqual(leader.call("POST", path, body)[0], 200)
         self.assertTrue(wait_until(lambda: len(self.cluster.workers.starts) == 2))
@@ -291,15 +293,15 @@
 
     def test_paused_leader_is_deposed(self) -> None:
         """A leader that was paused while it was replaced is deposed and follows the new one."""
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         leader = self.cluster.leader
         others = [node for node in self.cluster.nodes if node is not leader]
         leader.signal(signal.SIGSTOP)
-        self.assertTrue(wait_until(lambda: any(node.leads for node in others)))
+        self.assertTrue(wait_until(lambda: any(node.is_leader for node in others)))
         self.assertEqual(others[0].call("POST", path, body)[0], 200)
         leader.signal(signal.SIGCONT)
         self.assertTrue(self.cluster.wait_state(path, "completed"))
-        self.assertTrue(wait_until(lambda: leader.lines("deposed")))
+        self.assertTrue(wait_until(lambda: leader.log_lines("deposed")))
         self.assertTrue(wait_until(lambda: self.cluster.state(leader, path) == "completed"))
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
@@ -307,7 +309,7 @@
         """After all nodes have restarted, every accepted job is known and completes."""
         paths = []
         for number in range(6):
-            path, body = self.cluster.job([SMALL])
+            path, body = self.cluster.make_job([SMALL])
             self.assertEqual(self.cluster.nodes[number % 3].call("POST", path, body)[0], 200)
             paths.append(path)
         for node in self.cluster.nodes:
@@ -317,19 +319,19 @@
         for path in paths:
             self.assertTrue(self.cluster.wait_state(path, "completed"))
         # Advice is asked for through all nodes, so they must be connected to the new leader.
-        path, body = self.cluster.job([SMALL], "/jobs/advised/")
+        path, body = self.cluster.make_job([SMALL], "/jobs/advised/")
         self.assertTrue(
             wait_until(lambda: self.cluster.nodes[0].call("POST", path, body)[0] == 200)
         )
         self.assertTrue(self.cluster.wait_state(path, "completed"))
         for node in self.cluster.nodes:
-            self.assertEqual(node.lines("peer_unknown"), [])
+            self.assertEqual(node.log_lines("peer_unknown"), [])
         self.assertEqual(self.cluster.workers.checks.violations, [])
 
     def test_planned_stop_completes_requests(self) -> None:
         """A stopping leader reports itself as not ready, still answers, and exits with 0."""
         leader = self.cluster.leader
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         leader.signal(signal.SIGTERM)
         self.assertTrue(wait_until(lambda: leader.probe() == 503))
         self.assertEqual(leader.call("POST", path, body)[0], 200)
@@ -339,11 +341,11 @@
     def test_crashed_worker_is_replaced(self) -> None:
         """Runs of a crashed worker start again on another one after its leases have expired."""
         self.cluster.workers.work_s = 2.0
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         self.cluster.nodes[0].call("POST", path, body)
         self.assertTrue(wait_until(lambda: len(self.cluster.workers.starts) == 2))
         life = self.cluster.workers.starts[0][2]
-        self.cluster.workers.mute.add(life)
+        self.cluster.workers.unresponsive.add(life)
         self.cluster.workers.models[life].crash()
         self.assertTrue(self.cluster.wait_state(path, "completed", 30))
         self.assertEqual(self.cluster.workers.checks.violations, [])
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -13,7 +13,7 @@
 
 from snowdock.request_ids import new_request_id
 from tests.standins.cluster import Cluster, wait_for
-from tests.standins.witness import check_promises
+from tests.standins.ledger_checks import check_ledgers
 
 LEASE_MS = 1500
 DECLARATIONS = f"""
@@ -35,7 +35,7 @@
 memory_gb = 2
 run_seconds = {seconds}
 """
-LONGER_THAN_LEASE = LEASE_MS / 1000 * 2.5
+LONGER_THAN_LEASE_SECONDS = LEASE_MS / 1000 * 2.5
 
 
 class FailureCase(unittest.TestCase):
@@ -85,15 +85,15 @@
     def assert_succeeds(self, node: str, work: int) -> None:
         self.assertEqual(self.cluster.wait_work(node, work)["state"], "succeeded")
 
-    def assert_promises(self, once: frozenset[str] = frozenset()) -> None:
-        self.assertEqual(check_promises(self.cluster, once=once), [])
+    def assert_invariants(self, once: frozenset[str] = frozenset()) -> None:
+        self.assertEqual(check_ledgers(self.cluster, once=once), [])
 
     def events(self, kind: str) -> list[dict]:
         return [e for e in self.cluster.ledger(self.cluster.workers) if e["event"] == kind]
 
 
 class TestNodes(FailureCase):
-    def test_killed_node_and_vanished_worker_at_once(self) -> None:
+    def test_simultaneous_node_and_worker_loss(self) -> None:
         """Two faults together: a node is killed and a worker's VM ends; all work is done."""
         work = self.submit("node-1", "w", 12, 2)
         report = self.wait_running("node-1", work, 12)
@@ -102,35 +102,35 @@
         self.cluster.set_faults(self.cluster.workers, {"*": {"refuse": True, "path": f"/{lost}/"}})
         self.cluster.remove_vms([lost])
         self.assert_succeeds("node-1", work)
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_paused_node_renews_nothing_when_it_wakes(self) -> None:
+    def test_resumed_node_renews_no_expired_lease(self) -> None:
         """A node stopped for longer than a lease, with its worker lost meanwhile, does no harm."""
         work = self.submit("node-1", "w", 8, 4)
         report = self.wait_running("node-1", work, 8)
         self.cluster.nodes["node-0"].signal(signal.SIGSTOP)
         # The list is wrong: the worker goes on running what its lease covers.
         self.cluster.remove_vms([report["tasks"][0]["worker"]])
-        time.sleep(LONGER_THAN_LEASE)
+        time.sleep(LONGER_THAN_LEASE_SECONDS)
         self.cluster.nodes["node-0"].signal(signal.SIGCONT)
         self.assert_succeeds("node-1", work)
         self.cluster.wait_ready("node-0")
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_superseded_process_ends(self) -> None:
+    def test_superseded_process_exits(self) -> None:
         """A process that wakes up after another one joined as its node ends by itself."""
         old = self.cluster.nodes["node-0"]
         old.signal(signal.SIGSTOP)
-        self.addCleanup(old.end)
+        self.addCleanup(old.kill)
         del self.cluster.addresses["node-0"], self.cluster.peers["node-0"]
         self.cluster.start_node("node-0")
         self.cluster.wait_ready("node-0")
         old.signal(signal.SIGCONT)
         self.assertEqual(old.wait(), 1)
         self.assert_succeeds("node-1", self.submit("node-0", "w", 4, 0.2))
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_planned_stop_cuts_no_request(self) -> None:
+    def test_planned_stop_completes_requests(self) -> None:
         """A node told to stop answers what is in flight, whole, and ends with status 0."""
         with concurrent.futures.ThreadPoolExecutor(4) as callers:
             slow = [
@@ -157,9 +157,9 @@
             self.assertTrue(answer.data.endswith(b"slow"))
         self.assertEqual(self.cluster.nodes["node-0"].wait(), 0)
         wait_for(lambda: len(self.cluster.get("node-1", "/v1/nodes")) == 2, "it has left")
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_planned_stop_cuts_no_lent_request(self) -> None:
+    def test_planned_stop_completes_forwarded_requests(self) -> None:
         """A node told to stop also ends what it runs for a peer, so that none runs twice."""
 
         def ran() -> list[dict]:
@@ -177,7 +177,7 @@
         self.assertEqual(len(ran()), 20)
         self.assertEqual(self.cluster.nodes["node-1"].wait(), 0)
 
-    def test_session_outlives_its_node(self) -> None:
+    def test_session_survives_loss_of_its_node(self) -> None:
         """A session goes on at its minion through another node after its own was killed."""
         answer = self.cluster.call("node-0", b"first")
         minion = answer.headers["Snowdock-Session"]
@@ -191,7 +191,7 @@
         lost = self.cluster.call("node-1", b"x", **{"snowdock-session": "minion-99"})
         self.assertEqual(lost.headers["Snowdock-Outcome"], "not-run")
 
-    def test_idle_slots_return_from_a_killed_node(self) -> None:
+    def test_slots_of_killed_node_are_reassigned(self) -> None:
         """A killed node's slots are divided among the others once they must be idle."""
         self.cluster.kill_node("node-0", vm_gone=True)
 
@@ -202,11 +202,11 @@
             )
 
         wait_for(divided, "all slots are divided among two nodes")
-        self.assert_promises()
+        self.assert_invariants()
 
 
 class TestLog(FailureCase):
-    def test_work_outlives_an_outage(self) -> None:
+    def test_work_survives_log_outage(self) -> None:
         """With the log down for longer than a lease, running tasks go on and nothing is lost."""
         work = self.submit("node-0", "w", 6, 3)
         self.wait_running("node-0", work, 6)
@@ -219,15 +219,15 @@
             return answer.status == 503 and int(answer.headers["Retry-After"]) >= 1
 
         wait_for(refused, "new work is refused with Retry-After")
-        time.sleep(LONGER_THAN_LEASE)
+        time.sleep(LONGER_THAN_LEASE_SECONDS)
         self.cluster.set_faults(self.cluster.log, {})
         self.assert_succeeds("node-1", work)
         self.assertEqual(self.events("lapsed"), [])
-        late = self.submit_again("node-1", "late")
+        late = self.submit_until_accepted("node-1", "late")
         self.assert_succeeds("node-0", late)
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_requests_during_an_outage(self) -> None:
+    def test_requests_during_log_outage(self) -> None:
         """Repeatable requests go on; a not-repeatable one is unknown at worst, and not sent."""
         self.cluster.set_faults(self.cluster.log, {"*": {"refuse": True}})
         request_id = new_request_id()
@@ -238,9 +238,9 @@
         self.assertIn("Retry-After", answer.headers)
         ran = [e["request"] for e in self.cluster.ledger(self.cluster.minions)]
         self.assertNotIn(request_id, ran)
-        self.assert_promises(frozenset([request_id]))
+        self.assert_invariants(frozenset([request_id]))
 
-    def test_node_starts_during_an_outage(self) -> None:
+    def test_node_starts_during_log_outage(self) -> None:
         """A node that starts while the log is down has the configuration from its peers."""
         version = self.cluster.get("node-1", "/v1/version")["version"]
         self.cluster.set_faults(self.cluster.log, {"*": {"refuse": True}})
@@ -253,20 +253,20 @@
         self.cluster.set_faults(self.cluster.log, {})
         self.cluster.wait_ready("node-0")
         self.assert_succeeds("node-0", self.submit("node-0", "w", 2, 0.2))
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_lost_append_answers(self) -> None:
+    def test_lost_append_responses(self) -> None:
         """Appends whose answers are lost take effect once."""
         self.cluster.set_faults(self.cluster.log, {"*": {"lose": True, "path": "/append"}})
-        works = [self.submit_again(f"node-{n}", f"w{n}") for n in range(3)]
+        works = [self.submit_until_accepted(f"node-{n}", f"w{n}") for n in range(3)]
         self.cluster.set_faults(self.cluster.log, {})
         for work in works:
             self.assert_succeeds("node-1", work)
         self.assertEqual(len(self.cluster.get("node-0", "/v1/work")), 3)
         self.assertEqual(len(self.events("started")), 9)
-        self.assert_promises()
+        self.assert_invariants()
 
-    def submit_again(self, node: str, name: str) -> int:
+    def submit_until_accepted(self, node: str, name: str) -> int:
         """Submit as a caller does that is refused while an answer is in doubt: again."""
         text = BATCH.format(name=name, tasks=3, seconds=0.3).encode()
         headers = {"Content-Type": "text/plain", "Snowdock-Key": name}
@@ -277,7 +277,7 @@
         )
         return msgspec.json.decode(accepted.data)[0]["work"]
 
-    def test_node_cut_from_the_log(self) -> None:
+    def test_node_isolated_from_log(self) -> None:
         """A node that alone cannot reach the log serves its slots; the others do the work."""
         self.cluster.set_faults(self.cluster.log, {"node-0": {"refuse": True}})
         work = self.submit("node-1", "w", 8, 0.5)
@@ -285,7 +285,7 @@
         self.assert_succeeds("node-1", work)
         self.cluster.set_faults(self.cluster.log, {})
         self.cluster.wait_work("node-0", work)
-        self.assert_promises()
+        self.assert_invariants()
 
 
 class TestRetention(FailureCase):
@@ -302,20 +302,20 @@
         seen = {w["work"] for w in self.cluster.get("node-3", "/v1/work")}
         self.assertEqual(seen, {w["work"] for w in self.cluster.get("node-0", "/v1/work")})
         self.assert_succeeds("node-3", self.submit("node-3", "last", 2, 0.1))
-        self.assert_promises()
+        self.assert_invariants()
 
 
 class TestWorkers(FailureCase):
-    def test_lost_answers_of_starts(self) -> None:
+    def test_lost_start_responses(self) -> None:
         """Orders whose answers are lost start each attempt once."""
         self.cluster.set_faults(self.cluster.workers, {"*": {"lose": True, "path": "/sync"}})
         work = self.submit("node-0", "w", 6, 0.3)
         wait_for(lambda: len(self.events("started")) >= 6, "all started unseen")
         self.cluster.set_faults(self.cluster.workers, {})
         self.assert_succeeds("node-1", work)
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_late_orders_are_refused(self) -> None:
+    def test_expired_orders_are_rejected(self) -> None:
         """Orders that take longer on their way than they are valid start nothing."""
         self.cluster.set_faults(self.cluster.workers, {"*": {"slow_ms": 2500, "path": "/sync"}})
         work = self.submit("node-0", "w", 4, 0.3)
@@ -323,9 +323,9 @@
         self.assertEqual(self.events("started"), [])
         self.cluster.set_faults(self.cluster.workers, {})
         self.assert_succeeds("node-1", work)
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_worker_that_vanishes_from_the_list_but_runs(self) -> None:
+    def test_running_worker_missing_from_vm_list(self) -> None:
         """A task is placed elsewhere only after its lease lapsed where it still ran."""
         work = self.submit("node-0", "w", 8, 4)
         report = self.wait_running("node-0", work, 8)
@@ -333,7 +333,7 @@
         self.cluster.remove_vms([gone])
         self.assert_succeeds("node-1", work)
         self.assertTrue([e for e in self.events("lapsed") if e["worker"] == gone])
-        self.assert_promises()
+        self.assert_invariants()
 
     def test_rebooted_worker(self) -> None:
         """Tasks of a worker that started again are run again, and never twice at once."""
@@ -342,9 +342,9 @@
         name = report["tasks"][0]["worker"]
         self.cluster.post(f"{self.cluster.workers}/{name}/reboot", {})
         self.assert_succeeds("node-1", work)
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_leaving_worker_gets_nothing_new(self) -> None:
+    def test_leaving_worker_receives_no_new_tasks(self) -> None:
         """A leaving VM is given no new task, and its tasks move away by checkpoint."""
         name = self.cluster.worker_names[0]
         first = self.submit("node-0", "w", 16, 1)
@@ -358,19 +358,19 @@
         late = [e for e in self.events("started") if e["worker"] == name and e["at_ms"] > since]
         self.assertEqual(late, [])
         self.assertTrue([e for e in self.events("stopped") if e["worker"] == name])
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_worker_that_fails_everything_is_set_aside(self) -> None:
+    def test_worker_that_fails_all_tasks_is_quarantined(self) -> None:
         """A worker on which every task fails does not keep work from ending."""
         bad = self.cluster.worker_names[1]
         self.cluster.post(f"{self.cluster.workers}/{bad}/fail_all?on=1", {})
         work = self.submit("node-0", "w", 24, 0.2)
         self.assert_succeeds("node-1", work)
-        self.assert_promises()
+        self.assert_invariants()
 
 
 class TestPreemption(FailureCase):
-    def test_urgent_work_makes_room(self) -> None:
+    def test_urgent_work_preempts_other_work(self) -> None:
         """On a full cluster urgent work starts, and what made room for it is run again."""
         low = self.submit("node-0", "low", 32, 6)
         self.wait_running("node-0", low, 32)
@@ -382,11 +382,11 @@
         self.assertEqual(report["finished_ms"], 0, "the urgent work did not go first")
         self.assertGreaterEqual(len(self.events("stopped")), 4)
         self.assert_succeeds("node-0", low)
-        self.assert_promises()
+        self.assert_invariants()
 
 
 class TestMinions(FailureCase):
-    def test_leaving_minion_gets_nothing_new(self) -> None:
+    def test_leaving_minion_receives_no_new_requests(self) -> None:
         """A leaving minion is sent no new request once the nodes know."""
         name = self.cluster.minion_names[0]
         self.cluster.set_vms([self.cluster.minion_vm(name, "leaving")])
@@ -400,7 +400,7 @@
         ledger = self.cluster.ledger(self.cluster.minions)
         return [e for e in ledger if e["event"] == "ran" and e["minion"] == name]
 
-    def test_overload_is_refused_early_and_slots_are_kept(self) -> None:
+    def test_overload_is_rejected_early_within_slot_limits(self) -> None:
         """What is told as not run did not run, and no minion is overrun."""
 
         def call(number: int):
@@ -415,7 +415,7 @@
         for answer in refused:
             self.assertIn("Retry-After", answer.headers)
             self.assertNotIn(answer.headers["Snowdock-Request-Id"], ran)
-        self.assert_promises()
+        self.assert_invariants()
 
     def test_idle_slots_of_peers_are_used(self) -> None:
         """A node with more requests than slots hands some to peers, and all are answered."""
@@ -429,9 +429,9 @@
         ran = [e for e in self.cluster.ledger(self.cluster.minions) if e["event"] == "ran"]
         self.assertEqual(len(ran), 20)
         self.assertGreater(len({e["agent"] for e in ran}), 1)
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_wrong_and_late_answers_reach_nobody(self) -> None:
+    def test_wrong_and_late_responses_are_dropped(self) -> None:
         """An answer to another request, or one that comes too late, is given to no caller."""
         wrong = self.cluster.call("node-0", b"a", **{"x-behave": "wrong_id"})
         self.assertEqual(wrong.headers["Snowdock-Outcome"], "unknown")
@@ -443,9 +443,9 @@
             body = f"c{number}".encode()
             answer = self.cluster.call("node-0", body)
             self.assertTrue(answer.data.endswith(b": " + body))
-        self.assert_promises()
+        self.assert_invariants()
 
-    def test_not_run_is_never_said_after_an_unknown_try(self) -> None:
+    def test_outcome_is_unknown_after_an_ambiguous_attempt(self) -> None:
         """Once one try may have run, giving up later is told as unknown."""
         answer = self.cluster.call("node-0", b"a", **{"x-behave": "truncate"})
         self.assertEqual(answer.headers["Snowdock-Outcome"], "unknown")
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -5,15 +5,15 @@
 
 from snowdock.errors import CallUnanswered
 from snowdock.platform.http_pool import HttpPool
+from tests.standins.blackhole_server import BlackholeServer
 from tests.standins.entry_cluster import wait_until
-from tests.standins.swallower import Swallower
 
 CONNECTIONS = 4
 
 
 class TestSilentConnections(unittest.TestCase):
     def setUp(self) -> None:
-        self.server = Swallower()
+        self.server = BlackholeServer()
         self.addCleanup(self.server.close)
         self.pool = HttpPool(self.server.address, CONNECTIONS)
         self.addCleanup(self.pool.close)
@@ -28,7 +28,7 @@
 
     def call_concurrently(self) -> list[bool]:
         """Make as many calls at the same time as the pool keeps connections."""
-        self.server.held.clear()
+        self.server.may_answer.clear()
         received = self.server.received
         answered: list[bool] = []
         threads = [
@@ -38,7 +38,7 @@
         for thread in threads:
             thread.start()
         self.assertTrue(wait_until(lambda: self.server.received == received + CONNECTIONS))
-        self.server.held.set()
+        self.server.may_answer.set()
         for thread in threads:
             thread.join()
         return answered
@@ -46,7 +46,7 @@
     def test_silent_connections_cost_one_timeout(self) -> None:
         """Where all kept connections have gone silent, only the first call finds no answer."""
         self.assertEqual(self.call_concurrently(), [True] * CONNECTIONS)
-        self.server.swallow()
+        self.server.blackhole_open()
         self.assertFalse(self.call(0.3))
         self.assertEqual(self.call_concurrently(), [True] * CONNECTIONS)
 
--- a/tests/test_jobs_crashes.py
+++ b/tests/test_jobs_crashes.py
@@ -395,9 +395,9 @@
         self.addCleanup(cluster.close)
         self.assertTrue(cluster.wait_ready())
         step = {"count": 2, "cpu": 500, "mem_mb": 100, "estimate_ms": 100}
-        bad, bad_body = cluster.job([step])
+        bad, bad_body = cluster.make_job([step])
         cluster.workers.mark_crashing(bad.rpartition("/")[2])
-        good = [cluster.job([step]) for _ in range(4)]
+        good = [cluster.make_job([step]) for _ in range(4)]
         node = cluster.leader
         for path, body in [(bad, bad_body), *good]:
             self.assertEqual(node.call("POST", path, body)[0], 200)
@@ -405,7 +405,7 @@
         for path, _ in good:
             self.assertTrue(cluster.wait_state(path, "completed", 40.0))
         self.assertEqual(cluster.workers.checks.violations, [])
-        (line,) = node.lines("task_given_up")
+        (line,) = node.log_lines("task_given_up")
         self.assertIn("crashes=3", line)
 
 
--- a/tests/test_jobs_returning.py
+++ b/tests/test_jobs_returning.py
@@ -74,11 +74,11 @@
         self.assertTrue(cluster.wait_ready())
         step = {"count": 4, "cpu": 500, "mem_mb": 100, "estimate_ms": 100}
         node = cluster.nodes[0]
-        first, first_body = cluster.job([step])
+        first, first_body = cluster.make_job([step])
         self.assertEqual(node.call("POST", first, first_body)[0], 200)
         self.assertTrue(cluster.wait_state(first, "completed"))
         cluster.workers.restart("i-0")
-        second, second_body = cluster.job([step])
+        second, second_body = cluster.make_job([step])
         self.assertEqual(node.call("POST", second, second_body)[0], 200)
         self.assertTrue(cluster.wait_state(second, "completed"))
         job = second.rpartition("/")[2]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -334,7 +334,7 @@
                 self.assertTrue(
                     wait_until(lambda n=node, k=old: self.status_with_key(n, k) in (401, 503))
                 )
-                line = node.lines("configuration_in_force")[-1]
+                line = node.log_lines("configuration_in_force")[-1]
                 self.assertIn(f"version={number} ", line + " ")
                 self.assertIn("source=peer", line)
                 proxy.set(Mode.PASS)
@@ -346,7 +346,7 @@
         other_tenant = {**configuration["tenants"][0], "name": "u", "api_keys": ["key-one-of-u"]}
         configuration["tenants"] = [*configuration["tenants"], other_tenant]
         self.cluster.store.put("keyed.op", "config", configuration)
-        path, body = self.cluster.job([SMALL])
+        path, body = self.cluster.make_job([SMALL])
         own_headers = {"X-Api-Key": "key-one-of-t"}
         other_headers = {"X-Api-Key": "key-one-of-u"}
         for node in self.cluster.nodes:
--- a/tests/test_malformed_records.py
+++ b/tests/test_malformed_records.py
@@ -295,11 +295,11 @@
         node = cluster.leader
         for unreadable in ("0" * 16, "1" * 16):
             self.assertNotEqual(node.call("GET", f"/jobs/{unreadable}")[0], 410)
-        self.assertEqual(node.lines("leader_failed"), [])
-        self.assertTrue(node.lines("worker_entry_unusable"))
+        self.assertEqual(node.log_lines("leader_failed"), [])
+        self.assertTrue(node.log_lines("worker_entry_unusable"))
 
     def run_job(self, cluster: EntryCluster) -> None:
-        path, body = cluster.job([{"count": 2, "cpu": 500, "mem_mb": 100, "estimate_ms": 100}])
+        path, body = cluster.make_job([{"count": 2, "cpu": 500, "mem_mb": 100, "estimate_ms": 100}])
         node = cluster.leader
         self.assertTrue(wait_until(lambda: node.call("POST", path, body)[0] == 200))
         self.assertTrue(cluster.wait_state(path, "completed"))
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -6,13 +6,19 @@
 
 from snowdock.clocks import steady_seconds
 from snowdock.decisions.shares import MinionView
-from snowdock.node.messages import Acquire, Granted, MinionsChanged, Refused, Released
-from snowdock.node.parts import Parts
+from snowdock.node.context import NodeContext
+from snowdock.node.messages import (
+    AcquireSlot,
+    MinionsChanged,
+    SlotGranted,
+    SlotRefused,
+    SlotReleased,
+)
 from snowdock.node.router import Router
 from snowdock.settings import NodeSettings, PlatformSettings, Settings
 
-ANSWER_SECONDS = 10
-LONG, SHORT = 600.0, 0.06
+RESULT_TIMEOUT_SECONDS = 10
+LONG_DEADLINE_SECONDS, SHORT_DEADLINE_SECONDS = 600.0, 0.06
 SETTINGS = Settings(
     NodeSettings("n", "h", "127.0.0.1:0", "127.0.0.1:0"),
     PlatformSettings("http://127.0.0.1:1", "http://127.0.0.1:1"),
@@ -23,14 +29,14 @@
     """One minion with one slot, which is this node's."""
 
     def setUp(self) -> None:
-        self.router = Router.start(Parts(SETTINGS, "i"))
+        self.router = Router.start(NodeContext(SETTINGS, "i"))
         self.addCleanup(self.router.stop)
         minion = MinionView("m", "g", "h", "http://m", 1, 1, 0, True)
         self.router.ask(MinionsChanged((minion,), True))
 
     def acquire(self, seconds: float, priority: int = 50, **fields) -> pykka.Future:
-        slot = pykka.ThreadingFuture()
-        asked = Acquire(
+        result = pykka.ThreadingFuture()
+        request = AcquireSlot(
             group="g",
             queue_limit=fields.get("queue_limit", 10),
             priority=priority,
@@ -38,41 +44,47 @@
             excluded=fields.get("excluded", frozenset()),
             may_lend=False,
             may_wait=True,
-            slot=slot,
+            slot=result,
         )
-        self.router.ask(asked)
-        return slot
+        self.router.ask(request)
+        return result
 
-    def get(self, slot: pykka.Future):
-        return slot.get(timeout=ANSWER_SECONDS)
+    def wait_for_result(self, result: pykka.Future):
+        return result.get(timeout=RESULT_TIMEOUT_SECONDS)
 
     def release(self) -> None:
-        self.router.ask(Released("m", False, 0.05))
+        self.router.ask(SlotReleased("m", False, 0.05))
 
-    def test_who_cannot_be_served_in_time_is_refused_at_once(self) -> None:
+    def test_request_that_cannot_meet_its_deadline_is_refused(self) -> None:
         """A request whose deadline the queue would outlast does not join it (bench.overload)."""
-        self.assertIsInstance(self.get(self.acquire(LONG)), Granted)
-        refused = self.get(self.acquire(SHORT))
-        self.assertIsInstance(refused, Refused)
+        self.assertIsInstance(
+            self.wait_for_result(self.acquire(LONG_DEADLINE_SECONDS)), SlotGranted
+        )
+        refused = self.wait_for_result(self.acquire(SHORT_DEADLINE_SECONDS))
+        self.assertIsInstance(refused, SlotRefused)
         self.assertEqual(refused.reason, "the queue is too long")
         self.assertGreater(refused.retry_after_seconds, 0)
 
-    def test_priority_goes_before_order(self) -> None:
+    def test_higher_priority_is_served_first(self) -> None:
         """A freed slot goes to the highest priority, then to the earliest asker."""
-        self.get(self.acquire(LONG))
-        first, second = self.acquire(LONG), self.acquire(LONG)
-        urgent = self.acquire(LONG, priority=90)
+        self.wait_for_result(self.acquire(LONG_DEADLINE_SECONDS))
+        first, second = self.acquire(LONG_DEADLINE_SECONDS), self.acquire(LONG_DEADLINE_SECONDS)
+        urgent = self.acquire(LONG_DEADLINE_SECONDS, priority=90)
         for slot in (urgent, first, second):
             self.release()
-            self.assertIsInstance(self.get(slot), Granted)
+            self.assertIsInstance(self.wait_for_result(slot), SlotGranted)
 
-    def test_a_full_queue_refuses(self) -> None:
+    def test_full_queue_refuses_requests(self) -> None:
         """The queue's bound is kept."""
-        self.get(self.acquire(LONG))
-        self.acquire(LONG, queue_limit=1)
-        self.assertIsInstance(self.get(self.acquire(LONG, queue_limit=1)), Refused)
+        self.wait_for_result(self.acquire(LONG_DEADLINE_SECONDS))
+        self.acquire(LONG_DEADLINE_SECONDS, queue_limit=1)
+        self.assertIsInstance(
+            self.wait_for_result(self.acquire(LONG_DEADLINE_SECONDS, queue_limit=1)), SlotRefused
+        )
 
-    def test_no_waiting_where_every_minion_was_tried(self) -> None:
+    def test_request_that_excludes_all_minions_is_refused(self) -> None:
         """A request that tried all minions gets its final answer at once."""
-        refused = self.get(self.acquire(LONG, excluded=frozenset(["m"])))
+        refused = self.wait_for_result(
+            self.acquire(LONG_DEADLINE_SECONDS, excluded=frozenset(["m"]))
+        )
         self.assertEqual(refused.reason, "no other minion is left")
--- a/tests/test_security.py
+++ b/tests/test_security.py
@@ -10,17 +10,17 @@
 from hypothesis import strategies as st
 
 from snowdock.errors import Forbidden, InvalidInput, TokensUnreadable, Unauthorized
-from snowdock.node.peer_messages import StateWanted, decode_peer_message, encode_peer_message
-from snowdock.node.tokens import Role, TokenBook, read_tokens
+from snowdock.node.peer_messages import StateRequest, decode_peer_message, encode_peer_message
+from snowdock.node.tokens import Role, TokenStore, read_tokens
 from tests.standins.cluster import Cluster
 
 OPERATOR = "operator-token-0123456789"
 CALLER = "caller-token-0123456789"
 TOKENS = f"[operator ann]\ntoken = {OPERATOR}\n[caller desk]\ntoken = {CALLER}\n"
-STRANGER_MS = 1500
+STATE_REQUEST_TIMEOUT_MS = 1500
 
 
-class TestTokenBook(unittest.TestCase):
+class TestTokenStore(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -29,16 +29,16 @@
 
     def test_roles(self) -> None:
         """An operator may do all, a caller what callers do, and nobody else anything."""
-        book = TokenBook(str(self.path))
-        book.check(f"Bearer {OPERATOR}", Role.OPERATOR)
-        book.check(f"Bearer {CALLER}", Role.CALLER)
+        store = TokenStore(str(self.path))
+        store.authorize(f"Bearer {OPERATOR}", Role.OPERATOR)
+        store.authorize(f"Bearer {CALLER}", Role.CALLER)
         with self.assertRaises(Forbidden):
-            book.check(f"Bearer {CALLER}", Role.OPERATOR)
+            store.authorize(f"Bearer {CALLER}", Role.OPERATOR)
         for header in ("", "Bearer ", f"Basic {OPERATOR}", OPERATOR, f"Bearer {OPERATOR}x"):
             with self.subTest(header), self.assertRaises(Unauthorized):
-                book.check(header, Role.CALLER)
+                store.authorize(header, Role.CALLER)
 
-    def test_bad_files_are_refused_without_showing_tokens(self) -> None:
+    def test_invalid_files_are_rejected_without_leaking_tokens(self) -> None:
         """A file that is missing, broken or has weak tokens is refused by type."""
         for text in ("", "[operator a]\ntoken = short\n", f"[king a]\ntoken = {OPERATOR}\n", "[[["):
             self.path.write_text(text)
@@ -46,10 +46,10 @@
                 read_tokens(str(self.path))
             self.assertNotIn(OPERATOR, str(caught.exception))
         with self.assertRaises(TokensUnreadable):
-            TokenBook(str(self.path) + ".missing")
+            TokenStore(str(self.path) + ".missing")
 
 
-class TestGuardedCluster(unittest.TestCase):
+class TestAuthenticatedCluster(unittest.TestCase):
     """Two nodes with tokens and keys."""
 
     @classmethod
@@ -72,7 +72,7 @@
         headers = {"Authorization": f"Bearer {token}", "Content-Type": "application/json"}
         return self.cluster.request("node-0", method, path, body, headers).status
 
-    def test_callers_may_not_operate(self) -> None:
+    def test_callers_cannot_use_operator_endpoints(self) -> None:
         """Who may do what is kept over HTTP, and probes of the balancer stay open."""
         change = msgspec.json.encode({"base": 10**6, "files": {}})
         self.assertEqual(self.status("POST", "/v1/configuration", CALLER, change), 403)
@@ -83,12 +83,12 @@
         self.assertEqual(self.status("POST", "/call/x/", "wrong"), 401)
         self.assertEqual(self.status("GET", "/healthz", "wrong"), 200)
 
-    def test_peers_with_the_keys_hear_each_other(self) -> None:
+    def test_peers_with_cluster_keys_exchange_heartbeats(self) -> None:
         """Nodes that hold the cluster's keys see each other alive."""
         nodes = self.cluster.get("node-0", "/v1/nodes")
         self.assertTrue(all(node["seems_alive"] for node in nodes))
 
-    def _ask(self, public: bytes | None, secret: bytes | None) -> bool:
+    def _state_request_is_answered(self, public: bytes | None, secret: bytes | None) -> bool:
         """Ask node-0 for its state as a peer would, and tell whether it answered."""
         with zmq.Context() as context, context.socket(zmq.DEALER) as socket:
             socket.linger = 0
@@ -96,14 +96,14 @@
                 socket.curve_publickey, socket.curve_secretkey = public, secret
                 socket.curve_serverkey = self.keys[0]
             socket.connect(f"tcp://{self.cluster.peers['node-0']}")
-            socket.send(encode_peer_message(StateWanted(1)))
-            return bool(socket.poll(STRANGER_MS))
+            socket.send(encode_peer_message(StateRequest(1)))
+            return bool(socket.poll(STATE_REQUEST_TIMEOUT_MS))
 
-    def test_strangers_are_not_heard(self) -> None:
+    def test_requests_without_cluster_keys_are_dropped(self) -> None:
         """A question without keys, or with other keys, is dropped; with the keys answered."""
-        self.assertTrue(self._ask(*self.keys))
-        self.assertFalse(self._ask(None, None))
-        self.assertFalse(self._ask(*zmq.curve_keypair()))
+        self.assertTrue(self._state_request_is_answered(*self.keys))
+        self.assertFalse(self._state_request_is_answered(None, None))
+        self.assertFalse(self._state_request_is_answered(*zmq.curve_keypair()))
 
     @settings(max_examples=150, deadline=None, suppress_health_check=list(HealthCheck))
     @given(
@@ -141,7 +141,7 @@
             st.text(st.characters(min_codepoint=32, max_codepoint=126), max_size=20),
         ),
     )
-    def test_no_input_brings_a_500(self, method, path, suffix, kind, body, headers) -> None:
+    def test_no_input_causes_status_500(self, method, path, suffix, kind, body, headers) -> None:
         """Whatever is sent to the API, the answer is a typed one and the node goes on."""
         answer = self.cluster.request(
             "node-0", method, path + suffix, body, {**headers, "Content-Type": kind}
@@ -153,7 +153,7 @@
 
 class TestPeerMessages(unittest.TestCase):
     @given(st.binary(max_size=200))
-    def test_garbage_is_refused_by_type(self, data: bytes) -> None:
+    def test_invalid_bytes_raise_invalid_input(self, data: bytes) -> None:
         """Foreign bytes are a message or bring the typed failure."""
         try:
             decode_peer_message(data)
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -20,10 +20,10 @@
     encode_start,
     worker_headers,
 )
+from tests.standins.blackhole_server import BlackholeServer
 from tests.standins.entry_cluster import free_port, wait_until
 from tests.standins.platform import StoreStandin
 from tests.standins.proxy import Proxy
-from tests.standins.swallower import Swallower
 
 JOB = "0123456789abcdef"
 
@@ -138,13 +138,13 @@
     """Calls to workers and the advice service use a new connection after a timeout."""
 
     def setUp(self) -> None:
-        self.server = Swallower()
+        self.server = BlackholeServer()
         self.addCleanup(self.server.close)
 
     def check_reconnect(self, call) -> None:
         """Check a call that is answered, one on a silent connection, and one on a new one."""
         self.assertTrue(self.is_answered(call, 5.0))
-        self.server.swallow()
+        self.server.blackhole_open()
         self.assertFalse(self.is_answered(call, 0.2))
         self.assertTrue(self.is_answered(call, 5.0))
         self.assertEqual(self.server.accepted, 2)
--- a/tests/test_specs.py
+++ b/tests/test_specs.py
@@ -40,7 +40,7 @@
     slot_model,
     starvation_model,
 )
-from specs.check import SMALL, check
+from specs.check import SMALL_BOUNDS, check
 
 START_MS = 1_000_000
 WALKS = 60
@@ -50,7 +50,7 @@
 class TestModels(unittest.TestCase):
     def test_models_hold_and_can_finish(self) -> None:
         """Each model holds, and its work can always be finished, within small bounds."""
-        for module, bounds in SMALL.items():
+        for module, bounds in SMALL_BOUNDS.items():
             with self.subTest(module.__name__):
                 result = check(module, bounds)
                 self.assertIs(result.holds, True)
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -71,7 +71,7 @@
     def test_expired_records(self) -> None:
         """Reading what is no longer kept names the first offset that is."""
         self.append(record("a"))
-        self.store.forget_history(TOPIC)
+        self.store.discard_history(TOPIC)
         with self.assertRaises(LogExpired) as caught:
             self.client.read(TOPIC, 0, 0, 0.0)
         self.assertEqual(caught.exception.first, 1)
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -97,7 +97,7 @@
                 return f"{kind}: the process runs on"
             if node.process.returncode != LOST_THREAD_STATUS:
                 return f"{kind}: the process ended with {node.process.returncode}"
-            lost_lines = node.lines("thread_lost")
+            lost_lines = node.log_lines("thread_lost")
             if len(lost_lines) != 1 or f"thread={kind}" not in lost_lines[0]:
                 return f"{kind}: told {lost_lines}"
             return None
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -7,14 +7,14 @@
 
 from snowdock.request_ids import new_request_id
 from tests.standins.cluster import ROOT, Cluster, wait_for
-from tests.standins.witness import check_promises
+from tests.standins.ledger_checks import check_ledgers
 
 EXAMPLE = ROOT / "examples" / "merchant-settlement"
 BATCH = "[batch {name}]\nteam = payouts\ntasks = {tasks}\ncpu = 1\nmemory_gb = 1\n"
 BATCH += "run_seconds = 0.3\n"
 
 
-class TestWholePath(unittest.TestCase):
+class TestEndToEnd(unittest.TestCase):
     """One cluster of three nodes for all tests of the class."""
 
     @classmethod
@@ -22,7 +22,7 @@
         cls.cluster = Cluster(workers=6, minions=4)
         cls.addClassCleanup(cls.cluster.close)
         cls.cluster.start_nodes(3)
-        done = cls.cluster.command("apply", str(EXAMPLE), "--wait")
+        done = cls.cluster.run_cli("apply", str(EXAMPLE), "--wait")
         assert done.returncode == 0, done.stderr
 
     def test_work_of_each_kind_runs(self) -> None:
@@ -38,9 +38,9 @@
             ),
             "the service runs",
         )
-        self.assertEqual(check_promises(self.cluster), [])
+        self.assertEqual(check_ledgers(self.cluster), [])
 
-    def test_work_is_known_at_every_node_at_once(self) -> None:
+    def test_accepted_work_is_visible_at_every_node(self) -> None:
         """Work accepted through one node is never unknown at another (found by a failed run)."""
         for number in range(30):
             text = BATCH.format(name="seen", tasks=1)
@@ -48,20 +48,20 @@
             for node in ("node-1", "node-2"):
                 self.assertEqual(self.cluster.request(node, "GET", f"/v1/work/{work}").status, 200)
 
-    def test_waiting_is_told_in_metrics(self) -> None:
+    def test_waiting_time_is_reported_in_metrics(self) -> None:
         """After work has run, some node's metrics tell how long it waited."""
         work = self.cluster.submit("node-0", BATCH.format(name="seen", tasks=2), "metrics")[0]
         self.cluster.wait_work("node-0", work)
         pages = [self.cluster.request(f"node-{n}", "GET", "/metrics").data for n in range(3)]
         self.assertTrue(any(b'snowdock_waiting_seconds_count{kind="batch"}' in p for p in pages))
 
-    def test_same_key_is_same_work(self) -> None:
+    def test_submission_key_is_idempotent(self) -> None:
         """A submission that is sent again under its key is not run a second time."""
         text = BATCH.format(name="twice", tasks=2)
         first = self.cluster.submit("node-0", text, "twice")
         self.assertEqual(self.cluster.submit("node-1", text, "twice"), first)
 
-    def test_answer_is_whole_and_marked(self) -> None:
+    def test_response_has_request_id_and_outcome(self) -> None:
         """A caller gets its own answer, with the request's id and its outcome."""
         request_id = new_request_id()
         answer = self.cluster.call("node-1", b"fee?", **{"snowdock-request-id": request_id})
@@ -75,10 +75,10 @@
         headers = {"snowdock-request-id": request_id, "snowdock-repeatable": "no"}
         answers = [self.cluster.call(f"node-{n}", b"pay", **headers).data for n in (0, 1, 2, 0)]
         self.assertEqual(set(answers), {f"answer to {request_id}: pay".encode()})
-        problems = check_promises(self.cluster, once=frozenset([request_id]))
+        problems = check_ledgers(self.cluster, once=frozenset([request_id]))
         self.assertEqual(problems, [])
 
-    def test_not_repeatable_in_doubt_is_unknown_and_not_retried(self) -> None:
+    def test_ambiguous_not_repeatable_request_is_not_retried(self) -> None:
         """A truncated answer to a not-repeatable request is told as unknown, and ran once."""
         request_id = new_request_id()
         headers = {"snowdock-request-id": request_id, "snowdock-repeatable": "no"}
@@ -89,21 +89,21 @@
         ran = [e for e in self.cluster.ledger(self.cluster.minions) if e["event"] == "ran"]
         self.assertEqual(sum(e["request"] == request_id for e in ran), 1)
 
-    def test_refused_request_says_when_to_come_back(self) -> None:
+    def test_refused_request_has_retry_after(self) -> None:
         """Where no minion takes a request, the answer is not-run with Retry-After."""
         answer = self.cluster.call("node-0", b"x", **{"x-behave": "refuse"})
         self.assertEqual(answer.headers["Snowdock-Outcome"], "not-run")
         self.assertEqual(answer.status, 503)
         self.assertGreaterEqual(int(answer.headers["Retry-After"]), 1)
 
-    def test_racing_operators(self) -> None:
+    def test_concurrent_configuration_changes_conflict(self) -> None:
         """Of two changes made from the same version one is taken and the other told so."""
         files = {"c.ini": (EXAMPLE / "cluster.ini").read_text()}
         base = self.cluster.get("node-0", "/v1/version")["version"]
         statuses = [self.cluster.apply(f"node-{n}", files, base).status for n in (0, 1)]
         self.assertEqual(statuses, [200, 409])
 
-    def test_bad_input_is_refused_by_type(self) -> None:
+    def test_invalid_input_is_rejected_with_its_code(self) -> None:
         """Each kind of bad input gets its own code, and nothing of it is kept."""
         before = len(self.cluster.get("node-0", "/v1/work"))
         text = {"Content-Type": "text/plain", "Snowdock-Key": uuid.uuid4().hex}
@@ -137,7 +137,7 @@
                     self.assertIn(problem["code"], [code or problem["code"]])
         self.assertEqual(len(self.cluster.get("node-0", "/v1/work")), before)
 
-    def test_command_line_tells_mistakes_by_status(self) -> None:
+    def test_command_line_exit_statuses(self) -> None:
         """The command line ends with its documented status and without a traceback."""
         for arguments, status in (
             (("status", "12"), 3),
@@ -148,6 +148,6 @@
             (("call", "settlement", "--data", "x"), 0),
         ):
             with self.subTest(arguments):
-                done = self.cluster.command(*arguments)
+                done = self.cluster.run_cli(*arguments)
                 self.assertEqual(done.returncode, status, done.stderr)
                 self.assertNotIn("Traceback", done.stderr)
--- a/tests/test_worker_link.py
+++ b/tests/test_worker_link.py
@@ -13,7 +13,7 @@
 from snowdock.jobs.orders import Refusal, RenewOrder, StartOrder, StopOrder, WorkerReport
 from snowdock.node.metrics import Metrics
 from snowdock.platform.call_loop import CallLoop
-from tests.standins.platform import Server, as_json
+from tests.standins.platform import Server, json_reply
 
 TASK = TaskId("a" * 16, 0, 0, 0)
 START = StartOrder(TASK, 1, "payload", 7, 5000, "saved", "ticket")
@@ -27,7 +27,7 @@
         self.answers: list = []
         self.calls: list[dict] = []
         self.greetings: list[dict] = []
-        self.greeting_answer = as_json(EMPTY_REPORT)
+        self.greeting_answer = json_reply(EMPTY_REPORT)
         self.delay_greeting: Callable[[], object] = lambda: None
         self.server = Server(self.answer)
         self.posted: queue.Queue = queue.Queue()
@@ -65,7 +65,7 @@
 
     def test_start_sends_all_fields(self) -> None:
         """A start has the token, lease, checkpoint, ticket and the expected life."""
-        self.answers = [as_json({"clock_ms": 12})]
+        self.answers = [json_reply({"clock_ms": 12})]
         self.order(START)
         event = self.next_event()
         self.assertIsInstance(event, StartAnswered)
@@ -81,11 +81,11 @@
     def test_refusals(self) -> None:
         """Each refusal of a start is decoded to its `Refusal`."""
         cases = [
-            (as_json({"reason": "fence"}, 409), Refusal.FENCED),
-            (as_json({"reason": "old"}, 409), Refusal.SUPERSEDED),
-            (as_json({"reason": "late"}, 409), Refusal.LATE),
-            (as_json({"reason": "room"}, 409), Refusal.NO_ROOM),
-            (as_json({"reason": "ticket"}, 409), Refusal.TICKET),
+            (json_reply({"reason": "fence"}, 409), Refusal.FENCED),
+            (json_reply({"reason": "old"}, 409), Refusal.SUPERSEDED),
+            (json_reply({"reason": "late"}, 409), Refusal.LATE),
+            (json_reply({"reason": "room"}, 409), Refusal.NO_ROOM),
+            (json_reply({"reason": "ticket"}, 409), Refusal.TICKET),
             ((421, b""), Refusal.OTHER_LIFE),
             ((503, b""), Refusal.UNHEALTHY),
             ((429, b""), Refusal.UNHEALTHY),
@@ -98,14 +98,14 @@
 
     def test_unanswered_start_is_sent_again(self) -> None:
         """A start without a usable answer is repeated unchanged, and may then succeed."""
-        self.answers = [(500, b""), as_json({"clock_ms": 1})]
+        self.answers = [(500, b""), json_reply({"clock_ms": 1})]
         self.order(START)
         self.assertIsNone(self.next_event().result.refusal)
         self.assertEqual(self.calls[0], self.calls[1])
 
     def test_refusal_of_a_repeated_start_is_inconclusive(self) -> None:
         """The first attempt may have started the run, so the result is unknown."""
-        self.answers = [(500, b""), as_json({"reason": "old"}, 409)]
+        self.answers = [(500, b""), json_reply({"reason": "old"}, 409)]
         self.order(START)
         self.assertIsNone(self.next_event().result)
 
@@ -134,7 +134,7 @@
     def test_start_is_not_sent_to_the_next_life(self) -> None:
         """Neither the start nor any later call reaches the next life under the same id."""
         self.link = self.make_link("i-1@100", self.server.address)
-        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 200})
+        self.greeting_answer = json_reply(EMPTY_REPORT | {"born": 200})
         self.order(START)
         self.assertEqual(self.next_event().result.refusal, Refusal.NEXT_LIFE)
         self.renew(RENEW)
@@ -146,11 +146,11 @@
     def test_worker_restarts_between_two_starts(self) -> None:
         """A new connection is greeted before the next start is sent."""
         self.link = self.make_link("i-1@100", self.server.address)
-        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 100})
-        self.answers = [as_json({"clock_ms": 1})]
+        self.greeting_answer = json_reply(EMPTY_REPORT | {"born": 100})
+        self.answers = [json_reply({"clock_ms": 1})]
         self.order(START)
         self.assertIsNone(self.next_event().result.refusal)
-        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 200})
+        self.greeting_answer = json_reply(EMPTY_REPORT | {"born": 200})
         self.loop.submit(self.link._orders.channel.close_if_idle)
         self.order(START)
         self.assertEqual(self.next_event().result.refusal, Refusal.NEXT_LIFE)
@@ -159,10 +159,10 @@
     def test_repeated_start_meets_the_next_life(self) -> None:
         """A repeated start is reported as refused, since the life that received it has ended."""
         self.link = self.make_link("i-1@100", self.server.address)
-        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 100})
+        self.greeting_answer = json_reply(EMPTY_REPORT | {"born": 100})
 
         def hang() -> tuple[int, bytes]:
-            self.greeting_answer = as_json(EMPTY_REPORT | {"born": 200})
+            self.greeting_answer = json_reply(EMPTY_REPORT | {"born": 200})
             time.sleep(1.0)
             return 500, b""
 
@@ -173,8 +173,8 @@
     def test_greeting(self) -> None:
         """A greeting is sent once per connection; it has no lease and acknowledges no ends."""
         self.link = self.make_link("i-1@100", self.server.address)
-        self.greeting_answer = as_json(EMPTY_REPORT | {"born": 100})
-        self.answers = [as_json({"clock_ms": 1})] * 2
+        self.greeting_answer = json_reply(EMPTY_REPORT | {"born": 100})
+        self.answers = [json_reply({"clock_ms": 1})] * 2
         for _ in range(2):
             self.order(START)
             self.assertIsNone(self.next_event().result.refusal)
@@ -188,7 +188,7 @@
             self.greeting_answer = answer
             self.order(START)
             self.assertIs(self.next_event().result.refusal, Refusal.UNREACHABLE, answer)
-        self.greeting_answer = as_json({"reason": "fence"}, 409)
+        self.greeting_answer = json_reply({"reason": "fence"}, 409)
         self.order(START)
         self.assertIs(self.next_event().result.refusal, Refusal.FENCED)
         self.assertEqual(self.calls, [])
@@ -197,7 +197,7 @@
         """A greeting without an answer is repeated over another connection before the start."""
         waits = [1.0, 1.0]
         self.delay_greeting = lambda: time.sleep(waits.pop() if waits else 0.0)
-        self.answers = [as_json({"clock_ms": 1})]
+        self.answers = [json_reply({"clock_ms": 1})]
         self.order(START)
         self.assertIsNone(self.next_event().result.refusal)
         self.assertEqual((len(self.greetings), len(self.calls)), (3, 1))
@@ -213,7 +213,7 @@
 
     def test_orders_are_sent_in_sequence(self) -> None:
         """A stop is sent after the start before it has been answered."""
-        self.answers = [as_json({"clock_ms": 1})] * 6
+        self.answers = [json_reply({"clock_ms": 1})] * 6
         for _ in range(3):
             self.link.order(START)
             self.link.order(STOP)
@@ -234,7 +234,7 @@
 
     def test_closed_link(self) -> None:
         """Queued calls of a closed link are not sent."""
-        self.answers = [as_json({"clock_ms": 1})] * 2
+        self.answers = [json_reply({"clock_ms": 1})] * 2
         self.link.order(START)
         self.link.close()
         self.link.order(START)
@@ -244,7 +244,7 @@
 
     def test_stop(self) -> None:
         """The event of a stop shows whether it was answered."""
-        self.answers = [as_json({"clock_ms": 1}), (500, b"")]
+        self.answers = [json_reply({"clock_ms": 1}), (500, b"")]
         for answered in (True, False):
             self.order(STOP)
             event = self.next_event()
@@ -256,7 +256,7 @@
         name = f"{TASK.job}.0.0.0"
         good = {"clock_ms": 9, "running": [[name, 1, "", 40, 3]], "ended": []}
         good["ended"] = [[4, name, 1, "done", ""], [5, name, 2, "something new", "s"]]
-        self.answers = [as_json(good), as_json({"clock_ms": 9, "running": [["x"]]})]
+        self.answers = [json_reply(good), json_reply({"clock_ms": 9, "running": [["x"]]})]
         self.renew(RENEW)
         event = self.next_event()
         self.assertIsInstance(event, RenewAnswered)
