--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -10,7 +10,7 @@
 from bench.tools import fill, percentile
 from snowdock.decisions.capacity_index import CapacityIndex
 from snowdock.decisions.placements import place_tasks
-from snowdock.declarations import ZERO, Size, WorkSpec
+from snowdock.declarations import ZERO_SIZE, Size, WorkSpec
 from snowdock.policies import PolicySet
 from snowdock.records import TasksPlaced
 from snowdock.state import State, Task, Work
@@ -46,7 +46,7 @@
         size = SHAPES[number % len(SHAPES)]
         work = make_work(number, size, kind, tasks)
         started = time.perf_counter()
-        result = place_tasks(work, state, index, policies, ZERO)
+        result = place_tasks(work, state, index, policies, ZERO_SIZE)
         seconds.append(time.perf_counter() - started)
         if isinstance(result, TasksPlaced):
             placed += 1
@@ -69,8 +69,8 @@
         seconds.append(time.perf_counter() - started)
         held.append((name, size))
         while len(held) > 2 * len(free):
-            given_back, back = held.pop(0)
-            free[given_back] = free[given_back].plus(back)
+            released_worker, released_size = held.pop(0)
+            free[released_worker] = free[released_worker].plus(released_size)
     return seconds
 
 
@@ -84,7 +84,7 @@
     return random.choice([name for name, room in free.items() if room.holds(size)])
 
 
-def show(label: str, seconds: list[float], placed: str = "") -> float:
+def print_timings(label: str, seconds: list[float], placed: str = "") -> float:
     """Print a line of figures and give decisions a second."""
     rate = len(seconds) / sum(seconds)
     p50, p99 = percentile(seconds, 0.5) * 1e3, percentile(seconds, 0.99) * 1e3
@@ -99,14 +99,14 @@
         print(f"{workers} workers, {tasks} running tasks, {accelerators} accelerators")
         for kind in ("batch", "service"):
             seconds, placed = measure(state, kind, DECISIONS, 1)
-            rate = show(f"{kind}, one task", seconds, f"{placed} of {DECISIONS} placed")
+            rate = print_timings(f"{kind}, one task", seconds, f"{placed} of {DECISIONS} placed")
             if kind == "batch":
                 batch_rate = rate
         gang = min(GANG, workers)
         seconds, placed = measure(state, "gang", GANGS, gang)
-        show(f"gang of {gang}", seconds, f"{placed} of {GANGS} placed")
-        base = show("random fit", measure_baseline(state, random_fit))
-        show("first fit", measure_baseline(state, first_fit))
+        print_timings(f"gang of {gang}", seconds, f"{placed} of {GANGS} placed")
+        base = print_timings("random fit", measure_baseline(state, random_fit))
+        print_timings("first fit", measure_baseline(state, first_fit))
         print(f"  batch decisions are {batch_rate / base:.2f} times as fast as a random fit")
 
 
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -11,7 +11,7 @@
 from snowdock.node.peers import PeerOptions, Peers
 from snowdock.platform.advice import AdviceClient
 from snowdock.platform.call_loop import CallLoop
-from snowdock.platform.http_channel import Channel
+from snowdock.platform.http_channel import HttpChannel
 from snowdock.platform.store import KeyedRecord, StoreClient
 from snowdock.platform.worker_calls import (
     RENEWAL_PATH,
@@ -20,10 +20,10 @@
     encode_start,
     worker_headers,
 )
+from tests.standins.blackhole_server import BlackholeServer
 from tests.standins.entry_cluster import free_port, wait_until
 from tests.standins.platform import StoreStandin
 from tests.standins.proxy import Proxy
-from tests.standins.swallower import Swallower
 
 JOB = "0123456789abcdef"
 
@@ -138,13 +138,13 @@
     """Calls to workers and the advice service use a new connection after a timeout."""
 
     def setUp(self) -> None:
-        self.server = Swallower()
+        self.server = BlackholeServer()
         self.addCleanup(self.server.close)
 
     def check_reconnect(self, call) -> None:
         """Check a call that is answered, one on a silent connection, and one on a new one."""
         self.assertTrue(self.is_answered(call, 5.0))
-        self.server.swallow()
+        self.server.blackhole_open()
         self.assertFalse(self.is_answered(call, 0.2))
         self.assertTrue(self.is_answered(call, 5.0))
         self.assertEqual(self.server.accepted, 2)
@@ -173,7 +173,7 @@
         loop = CallLoop("worker-calls")
         loop.start()
         self.addCleanup(loop.stop)
-        channel = Channel(loop, self.server.address, worker_headers("w-1"))
+        channel = HttpChannel(loop, self.server.address, worker_headers("w-1"))
 
         def call(seconds: float) -> None:
             outcomes: queue.SimpleQueue = queue.SimpleQueue()
@@ -189,7 +189,7 @@
         """A request for advice is answered over a new connection."""
         client = AdviceClient(self.server.address)
         self.check_reconnect(
-            lambda seconds: client.ask(AdviceRequest(JOB, 0, 0, ("w-1",)), seconds)
+            lambda seconds: client.request_advice(AdviceRequest(JOB, 0, 0, ("w-1",)), seconds)
         )
 
 
