--- a/src/snowdock/platform/__init__.py
+++ b/src/snowdock/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to the outside systems: log, VM list, workers and minions.
+"""Adapters to the external systems: store, log, VM list, workers, minions and advice service.
 
-Nothing outside this package knows their URLs or field names.
+Their URLs and field names are used in this package only.
 """
--- a/src/snowdock/platform/_http.py
+++ b/src/snowdock/platform/_http.py
@@ -1,4 +1,4 @@
-"""One HTTP client for all adapters, with typed failures and a count of bytes."""
+"""HTTP client of the adapters; raises typed errors and counts bytes."""
 
 import threading
 
@@ -13,7 +13,7 @@
 
 
 class ByteCounter:
-    """Counts body bytes that went out and came in."""
+    """Count of body bytes sent and received; safe to use from several threads."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -22,25 +22,25 @@
 
     @property
     def total(self) -> int:
-        """Bytes in both directions."""
+        """Sum of the bytes sent and received."""
         return self._sent + self._received
 
     def add(self, sent: int, received: int) -> None:
-        """Count one exchange."""
+        """Add the body bytes of one request and its response."""
         with self._lock:
             self._sent += sent
             self._received += received
 
 
 class Client:
-    """An HTTP client that names its node and never retries by itself.
+    """HTTP client that sends its node's name as the user agent and never retries.
 
     Parameters
     ----------
     node
-        Sent as the user agent.
+        Name of the node, part of the user agent.
     timeout
-        Seconds for each exchange, unless a call names its own.
+        Default timeout of a request, in seconds.
     """
 
     def __init__(self, node: str, timeout: float) -> None:
@@ -56,28 +56,28 @@
     def exchange(
         self, method: str, url: str, body: bytes | None = None, timeout: float | None = None
     ) -> bytes:
-        """Send a request and give back the answer's body.
+        """Send a request and return the response's body.
 
         Raises
         ------
         PlatformError
-            If there is no whole answer with a status of 200. The request may have taken
-            effect all the same.
+            If there is no complete response with status 200. The request may have taken effect
+            even so.
         """
         response = self.exchange_any(method, url, body, timeout)
         if response.status != 200:
-            raise PlatformError(f"{method} {url} answered {response.status}")
+            raise PlatformError(f"{method} {url} returned status {response.status}")
         return response.data
 
     def exchange_any(
         self, method: str, url: str, body: bytes | None = None, timeout: float | None = None
     ) -> urllib3.BaseHTTPResponse:
-        """Send a request and give back the answer, whatever its status.
+        """Send a request and return the response, whatever its status.
 
         Raises
         ------
         PlatformError
-            If there is no whole answer.
+            If there is no complete response.
         """
         try:
             response = self._pool.request(
--- a/src/snowdock/platform/_json.py
+++ b/src/snowdock/platform/_json.py
@@ -1,4 +1,4 @@
-"""One way to decode what outside systems send: into a validated model, or a typed failure."""
+"""Decoding of JSON from external systems into validated models."""
 
 from typing import Annotated
 
@@ -10,33 +10,33 @@
 __all__ = ["Born", "born_ms_of", "decode_json"]
 
 Born = Annotated[int, Meta(ge=0)] | UnsetType
-"""When a worker's life began, in ms since 1970; may be left out, but is nothing other than that."""
+"""Start of a worker's life in ms since 1970; optional, but not null."""
 
 
 def born_ms_of(born: Born) -> int | None:
-    """Give when a life began; None where it is untold."""
+    """Return when a life began, in ms since 1970, or None if the field is absent."""
     return None if born is UNSET else born
 
 
 def decode_json(data: bytes, kind: type, subject: str = "answer"):
-    """Decode an outside system's JSON into a validated model.
+    """Decode JSON from an external system into a validated model.
 
     Parameters
     ----------
     data
-        What it sent.
-    kind
-        The model.
+        The JSON text, in UTF-8.
+    model
+        The type to decode into.
     subject
-        What it is, for the failure's text.
+        What the data is; used in the error message.
 
     Raises
     ------
     PlatformError
-        If it does not fit the model.
+        If the data is not valid JSON of the model's type.
     """
     try:
-        # Bytes in fields that nobody reads are to be text, too.
+        # Decode all of the data first: msgspec doesn't validate UTF-8 in fields that it skips.
         return msgspec.json.decode(data.decode(), type=kind)
     except UNREADABLE as error:
-        raise PlatformError(f"{subject} does not fit: {error}") from error
+        raise PlatformError(f"invalid {subject}: {error}") from error
--- a/src/snowdock/platform/advice.py
+++ b/src/snowdock/platform/advice.py
@@ -1,4 +1,4 @@
-"""The external service that tells which workers may run a step."""
+"""Client of the external advice service, which decides which workers may run a step."""
 
 import msgspec
 
@@ -12,38 +12,38 @@
 
 
 class _Answer(msgspec.Struct):
-    # Rows of worker and ticket.
+    # Pairs of worker id and ticket.
     good: list[tuple[str, str]] = []
 
 
 class AdviceClient:
-    """Asks the advice service; it handles one call of this node at a time."""
+    """Client of the advice service, which handles one call of a node at a time."""
 
     def __init__(self, address: str) -> None:
         headers = {"Content-Type": "application/json"}
         self._http = HttpPool(address, 1, headers) if address else None
 
     def ask(self, wanted: AdviceRequest, seconds: float) -> AdviceResult:
-        """Ask which of some workers may run a step.
+        """Return which of the request's workers may run its step, with their tickets.
 
         Raises
         ------
         StoreRefused
-            If the service turned the call away.
+            If the service rejected the call as overloaded.
         CallUnanswered, PlatformError
-            If there is no usable answer.
+            If there is no usable response.
         """
         if self._http is None:
-            raise PlatformError("the settings name no advice service")
+            raise PlatformError("no advice service is configured")
         step = f"{wanted.job}.{wanted.repetition}.{wanted.step}"
         # The service knows workers by their ids.
         lives = {worker_id_of(life): life for life in wanted.workers}
         body = msgspec.json.encode({"step": step, "workers": list(lives)})
         reply = self._http.call("POST", "/v1/advise", body, seconds)
         if reply.status in (429, 503):
-            raise StoreRefused(f"the advice service answered {reply.status}")
+            raise StoreRefused(f"the advice service returned status {reply.status}")
         if reply.status != 200:
-            raise PlatformError(f"the advice service answered {reply.status}")
+            raise PlatformError(f"the advice service returned status {reply.status}")
         answer = decode_json(reply.data, _Answer, "advice")
         good = {lives[worker]: ticket for worker, ticket in answer.good if worker in lives}
         return AdviceResult(wanted, good)
--- a/src/snowdock/platform/call_loop.py
+++ b/src/snowdock/platform/call_loop.py
@@ -1,7 +1,7 @@
-"""One thread that waits for many connections.
+"""Event loop that serves many connections from one thread.
 
-A leader calls each of hundreds of workers all the time, and most of those calls wait for an end.
-A thread a call costs a switch of threads at each answer; here one thread waits for all of them.
+A leader keeps long polls open to hundreds of workers. One thread per call would cost a thread
+switch at each response.
 """
 
 import collections
@@ -19,21 +19,21 @@
 __all__ = ["CallLoop"]
 
 _WAKE_BYTES = 4096
-"""The most wake-ups that are taken at a time."""
+"""Most wake-up bytes read at a time."""
 
 _IDLE_SECONDS = 1.0
-"""The longest wait for something to happen; a stop wakes the thread anyway."""
+"""Longest wait for events; a stop wakes the thread earlier."""
 
 
 class CallLoop:
-    """The thread that waits.
+    """An event loop with its thread.
 
-    What it watches belongs to it; what other threads want of that goes through `submit`.
+    Sockets and timers may be used on the loop's thread only; other threads call `submit`.
 
     Parameters
     ----------
     name
-        The thread's name.
+        Name of the thread.
     """
 
     def __init__(self, name: str) -> None:
@@ -53,34 +53,34 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Make no more calls; those on their way are left to themselves."""
+        """Stop the loop; calls in progress get no outcome."""
         self._stopped.set()
         self.flush()
 
     def submit(self, function: Callable[[], None]) -> None:
-        """Have a function called on the loop's thread, once the loop is flushed."""
+        """Queue a function to be called on the loop's thread; `flush` wakes that thread."""
         self._submitted.append(function)
 
     def flush(self) -> None:
-        """Wake the loop's thread for what was submitted: once for many calls."""
-        # A full pipe means that it has been woken often enough, a closed one that it has ended.
+        """Wake the loop's thread; one call is enough for several submitted functions."""
+        # If the socket's buffer is full, a wake-up is pending; if it is closed, the loop has ended.
         with contextlib.suppress(OSError):
             self._waking.send(b"w")
 
     def watch(self, sock: socket.socket, events: int, ready: Callable[[int], None]) -> None:
-        """Call a function whenever a socket is ready; on the loop's thread."""
+        """Call a function on the loop's thread whenever a socket is ready."""
         self._selector.register(sock, events, ready)
 
     def rewatch(self, sock: socket.socket, events: int) -> None:
-        """Watch a socket for other events."""
+        """Change the events that a socket is watched for."""
         self._selector.modify(sock, events, self._selector.get_key(sock).data)
 
     def unwatch(self, sock: socket.socket) -> None:
-        """Watch a socket no more."""
+        """Stop watching a socket."""
         self._selector.unregister(sock)
 
     def remind(self, at: float, due: Callable[[float], None]) -> None:
-        """Call a function with the steady time once it is ``at``, in seconds."""
+        """Call a function with the steady time once that reaches ``at``, both in seconds."""
         heapq.heappush(self._due, (at, next(self._numbers), due))
 
     def _take_wake(self, _events: int) -> None:
--- a/src/snowdock/platform/configuration.py
+++ b/src/snowdock/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the store holds it, decoded into types."""
+"""Decoding of the operators' configuration from its JSON form in the store."""
 
 import msgspec
 
@@ -34,7 +34,7 @@
 
 
 class _Tenant(msgspec.Struct):
-    # It also has a priority that no page explains; it decides nothing here.
+    # The platform also sends an undocumented priority, which is ignored.
     name: str
     api_keys: list[str] = []
     weight: float = 1.0
@@ -43,11 +43,10 @@
 
 class _Configuration(msgspec.Struct):
     version: int
-    # What the platform calls routes are queues here.
+    # Called queues elsewhere in this project.
     routes: list[_Route] = []
     services: list[Service] = []
-    # What the platform calls tenants are teams here.
-    # Without any such list, there are no keys.
+    # Called teams elsewhere in this project. Without a list, no API keys are checked.
     tenants: list[_Tenant] | None = None
     limits: Limits = msgspec.field(default_factory=Limits)
 
@@ -58,9 +57,9 @@
     Raises
     ------
     PlatformError
-        If it does not fit.
+        If the configuration is malformed.
     """
-    found = decode_json(data, _Configuration, "the configuration")
+    found = decode_json(data, _Configuration, "configuration")
     queues = tuple(
         Queue(
             name=route.name,
@@ -86,7 +85,7 @@
     return Team(
         name=tenant.name,
         weight=max(0.0, tenant.weight),
-        # A 0 stands for no bound.
+        # 0 means unlimited.
         quota=Size(*(amount or UNBOUNDED for amount in (most.cpu, most.mem_mb, most.gpu))),
         key_digests=frozenset(digest_key(key.encode()) for key in tenant.api_keys),
     )
--- a/src/snowdock/platform/http_channel.py
+++ b/src/snowdock/platform/http_channel.py
@@ -1,6 +1,6 @@
-"""HTTP calls to one address, one at a time, made by a loop that makes many others beside.
+"""Non-blocking HTTP calls to one address, one at a time, on a shared event loop.
 
-Requests are written and answers parsed as they come, by httptools; nothing here waits.
+Responses are parsed incrementally by httptools.
 """
 
 import dataclasses
@@ -19,39 +19,41 @@
 __all__ = ["Channel", "Greeting", "Outcome", "Reply"]
 
 _CONNECT_SECONDS = 1.0
-"""Longest wait for a connection: a path within a region answers in a few ms, a lost opening
-packet is repeated after about a second."""
+"""Connection timeout: a SYN within a region is answered in a few ms, and a lost one is
+retransmitted after about a second."""
 
 _READ_BYTES = 65_536
-"""The most that is read at a time; an answer has some hundred bytes."""
+"""Most bytes read by one call of ``recv``; most responses have a few hundred bytes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     data: bytes
 
 
 Outcome = Reply | CallUnanswered
-"""What came of a call; without an answer, it may have been carried out."""
+"""Result of a call; an unanswered call may have been carried out."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Greeting:
-    """A call that goes first over each new connection.
+    """Request that is sent first over each new connection, to check which process answers.
 
     Attributes
     ----------
     path, body
-        What is sent.
-    judge
-        Given its answer: None where calls may follow over this connection, else the outcome of the
-        call that waited for it, which is not sent.
-    seconds, tries
-        The longest wait for each part of its answer, and over how many connections it is sent for
-        one call at most: it changes nothing, so it is repeated sooner than a call.
+        Path and body of the request.
+    check
+        Called with the reply. Returns None if calls may follow over this connection, or else the
+        outcome of the pending call, which is then not sent.
+    timeout_s
+        Timeout for each part of the reply, in seconds. A handshake has no side effects, so this may
+        be shorter than a call's timeout.
+    max_attempts
+        Most handshakes sent for one call, each over a new connection.
     """
 
     path: str
@@ -62,21 +64,21 @@
 
 
 class Channel:
-    """Calls to one address, one at a time, over a connection that is kept between them.
+    """Calls to one address, one at a time, over a persistent connection.
 
-    A connection never outlives the process at its other end. So where a greeting has told which
-    process that is, all calls that follow over the connection reach it or nobody.
+    A connection never outlives the process at its other end, so every call after a handshake
+    reaches the process that was checked, or none.
 
     Parameters
     ----------
     loop
-        Makes the calls; all methods are to be called on its thread.
+        Event loop that makes the calls; all methods must be called on its thread.
     address
-        IP number and port.
+        IP address and port.
     headers
-        Sent with each call.
-    greeting
-        Sent first over each new connection, if given.
+        Headers sent with each call.
+    handshake
+        Request sent first over each new connection, if given.
     """
 
     def __init__(
@@ -112,26 +114,26 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a call is on its way."""
+        """Whether a call is in progress."""
         return self._answered is not None
 
     @property
     def _patience(self) -> float:
-        """The longest wait for a part of the answer to what is being sent, in seconds."""
+        """Timeout for each part of the reply to the current request, in seconds."""
         return self._greeting.seconds if self._is_greeting else self._seconds
 
     def call(
         self, path: str, body: bytes, seconds: float, answered: Callable[[Outcome], None]
     ) -> None:
-        """Post a body; only while no call is on its way.
+        """Send a POST request; no other call may be in progress.
 
         Parameters
         ----------
         path, body
-            What is sent.
-        seconds
-            The longest wait for each part of the answer.
-        answered
+            Path and body of the request.
+        timeout_s
+            Timeout for each part of the reply, in seconds.
+        on_outcome
             Called with the outcome, on the loop's thread.
         """
         self._answered = answered
@@ -153,20 +155,21 @@
         )
 
     def drop_idle(self) -> None:
-        """Use the connection no more if no call is on its way over it.
+        """Close the connection if no call is in progress.
 
-        Where one connection to an address has gone silent, others may have as well.
+        Used when another connection to the address has stopped responding, as this one may have
+        too.
         """
         if not self.is_busy:
             self._disconnect()
 
     def close(self) -> None:
-        """Close the connection; a call on its way gets no outcome any more."""
+        """Close the connection; a call in progress gets no outcome."""
         self._answered = None
         self._disconnect()
 
     def _check_time(self, now: float) -> None:
-        """Give the call up if its time is over."""
+        """Fail the call if its deadline has passed."""
         if not self.is_busy or self._reminded_at > now:
             return
         if self._limit_at > now:
@@ -177,7 +180,7 @@
             self._connect()
             return
         unsent = not self._is_connected
-        self._fail("no connection in time" if unsent else "no answer in time", unsent)
+        self._fail("connection timed out" if unsent else "response timed out", unsent)
 
     # -- the connection --------------------------------------------------------------------
 
@@ -188,7 +191,7 @@
         failure = self._socket.connect_ex((self._host, self._port))
         if failure not in (0, errno.EINPROGRESS):
             self._forget_socket()
-            # Told later: what is asked for in answer to it may fail at once, too.
+            # Deferred, because the callback may start a call that fails at once as well.
             refused = CallUnanswered(f"{self._call}: {_describe(failure)}", True)
             self._loop.submit(functools.partial(self._conclude, refused))
             return
@@ -211,7 +214,7 @@
 
     def _take_ready(self, ready: socket.socket, events: int) -> None:
         if ready is not self._socket:
-            # It was given up by what another socket that is ready brought about.
+            # The socket was closed by the callback of another socket in the same round.
             return
         if not self._is_connected:
             failure = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -228,7 +231,7 @@
     # -- one call --------------------------------------------------------------------------
 
     def _greet(self) -> None:
-        """Send the greeting over a new connection, or the call where there is none."""
+        """Send the handshake over a new connection, or the call if there is no handshake."""
         if self._greeting is None:
             self._begin(self._request)
             return
@@ -272,14 +275,14 @@
             self._end_connection("the connection was closed")
             return
         if not self.is_busy:
-            # Nothing was asked; what this answers is unknown.
+            # Data without a request in progress can't be matched to a call.
             self._disconnect()
             return
         self._limit_at = steady_seconds() + self._patience
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"not HTTP: {error}", unsent=False)
+            self._fail(f"invalid HTTP response: {error}", unsent=False)
             return
         if self._is_whole:
             self._finish()
@@ -305,13 +308,13 @@
             self._disconnect()
             self._conclude(instead)
         elif not self._is_kept:
-            self._fail("the connection was not kept after the greeting", unsent=True)
+            self._fail("the connection was closed after the handshake", unsent=True)
         else:
             self._is_greeting = False
             self._begin(self._request)
 
     def _fail(self, reason: str, unsent: bool) -> None:
-        # A call that waits for its greeting was not sent.
+        # A call that waits for the handshake was not sent.
         unsent = unsent or self._is_greeting
         self._disconnect()
         self._conclude(CallUnanswered(f"{self._call}: {reason}", unsent))
@@ -323,7 +326,7 @@
 
     def _limit(self, seconds: float) -> None:
         self._limit_at = steady_seconds() + seconds
-        # An earlier reminder that is still to come looks at the limit anew.
+        # An earlier pending timer is kept: it checks the deadline and sets the next timer.
         if self._reminded_at > self._limit_at or self._reminded_at <= steady_seconds():
             self._set_reminder(self._limit_at)
 
@@ -334,11 +337,11 @@
     # -- called by httptools ---------------------------------------------------------------
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the answer's body."""
+        """Append a part of the response's body."""
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Take note that the answer is whole, and whether the connection is kept."""
+        """Mark the response as complete and record whether the connection is kept alive."""
         self._is_whole = True
         self._is_kept = self._parser.should_keep_alive()
 
--- a/src/snowdock/platform/http_pool.py
+++ b/src/snowdock/platform/http_pool.py
@@ -1,4 +1,4 @@
-"""One pool of HTTP connections to one outside address, with typed failures."""
+"""Pool of HTTP connections to one address; raises typed errors."""
 
 import contextlib
 from collections.abc import Mapping
@@ -10,30 +10,30 @@
 __all__ = ["HttpPool", "HttpReply"]
 
 _CONNECT_SECONDS = 1.0
-"""Longest wait for a connection: a path within a region answers in a few ms, a lost opening
-packet is repeated after about a second."""
+"""Connection timeout: a SYN within a region is answered in a few ms, and a lost one is
+retransmitted after about a second."""
 
 _UNSENT = (
     urllib3.exceptions.NewConnectionError
     | urllib3.exceptions.ConnectTimeoutError
     | urllib3.exceptions.ClosedPoolError
 )
-"""Failures before there was a connection: nothing can have been done."""
+"""Errors raised before a connection was open: the request was not sent."""
 
 HttpReply = urllib3.BaseHTTPResponse
 
 
 class HttpPool:
-    """Connections to one address, kept open between calls and never retried.
+    """Persistent connections to one address, without retries.
 
     Parameters
     ----------
     address
-        IP number and port.
+        IP address and port.
     connections
-        Calls that may run at the same time; more of them open connections of their own.
+        Most connections that are kept open; further concurrent calls open temporary ones.
     headers
-        Sent with each call.
+        Default headers of a call.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
 
     @property
     def address(self) -> str:
-        """IP number and port."""
+        """IP address and port."""
         return self._address
 
     def call(
@@ -68,21 +68,21 @@
         seconds: float,
         headers: Mapping[str, str] | None = None,
     ) -> HttpReply:
-        """Make one call.
+        """Send a request and return the response.
 
         Parameters
         ----------
         method, target, body
-            What is sent; the target is path and query.
-        seconds
-            The longest wait for each part of the answer.
+            The request; the target is path and query.
+        timeout_s
+            Timeout for each part of the response, in seconds.
         headers
-            Sent in place of the pool's own.
+            Replace the pool's default headers.
 
         Raises
         ------
         CallUnanswered
-            If there is no whole answer; the call may have been carried out.
+            If there is no complete response; the call may have been carried out.
         """
         timeout = urllib3.Timeout(connect=min(seconds, _CONNECT_SECONDS), read=seconds)
         pool = self._pool
@@ -103,9 +103,9 @@
             raise CallUnanswered(f"{call}: {error}", isinstance(error, _UNSENT)) from error
 
     def _drop_idle(self, pool: urllib3.HTTPConnectionPool) -> None:
-        """Use no connection again that was idle when one has gone silent.
+        """Replace the pool after a read timeout, so that no connection idle by then is reused.
 
-        All of them may have, without a reset; each would cost a time-out of its own.
+        All of them may be broken without a reset, and each would cost a timeout of its own.
         """
         if self._pool is pool:
             self._pool = self._make_pool()
--- a/src/snowdock/platform/job_bodies.py
+++ b/src/snowdock/platform/job_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that callers send and get, decoded into and encoded from types."""
+"""Encoding and decoding of the bodies of callers' requests and responses."""
 
 import re
 from typing import Annotated
@@ -21,13 +21,13 @@
 ]
 
 READY_PATH = "/v1/readiness"
-"""Where the balancer asks whether a node wants new connections."""
+"""Path of the load balancer's readiness probe."""
 
 DEADLINE_HEADER = "HTTP_X_DEADLINE_MS"
-"""The WSGI name of the header that tells how long a caller waits, in ms."""
+"""WSGI name of the header with a caller's timeout in ms."""
 
 KEY_HEADER = "HTTP_X_API_KEY"
-"""The WSGI name of the header that holds the caller's key."""
+"""WSGI name of the header with the caller's API key."""
 
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 _PAYLOAD_BYTES = 4000
@@ -68,7 +68,7 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Tell whether a text can be a job's identifier."""
+    """Return whether a text has the form of a job id."""
     return _JOB_ID.fullmatch(text) is not None
 
 
@@ -78,19 +78,19 @@
     Parameters
     ----------
     queue
-        The queue that takes it.
+        Name of the queue that the job is submitted to.
     body
-        What the caller sent.
+        Body of the caller's request.
 
     Raises
     ------
     InvalidInput
-        If it is malformed; nothing was taken.
+        If the body is malformed.
     """
     try:
         job = msgspec.json.decode(body, type=_Job)
     except UNREADABLE as error:
-        raise InvalidInput(f"the job does not fit: {error}") from error
+        raise InvalidInput(f"invalid job: {error}") from error
     if len(job.spec.encode("utf-8", "surrogatepass")) > _PAYLOAD_BYTES:
         raise InvalidInput(f"spec is longer than {_PAYLOAD_BYTES} bytes")
     steps = tuple(_decode_step(number, step) for number, step in enumerate(job.steps))
@@ -99,7 +99,7 @@
 
 def _decode_step(number: int, step: _Step) -> StepSpec:
     if any(earlier >= number for earlier in step.after):
-        raise InvalidInput(f"step {number} may only follow earlier steps")
+        raise InvalidInput(f"step {number} may only come after steps with a lower number")
     return StepSpec(
         count=step.count,
         size=Size(step.cpu, step.mem_mb, step.gpu),
@@ -135,5 +135,5 @@
 
 
 def encode_waiting(count: int) -> bytes:
-    """Encode how many jobs of a queue wait."""
+    """Encode the number of waiting jobs of a queue."""
     return msgspec.json.encode({"waiting": count})
--- a/src/snowdock/platform/logs.py
+++ b/src/snowdock/platform/logs.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log service."""
+"""Client of the platform's append-only log service."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RawEntry:
-    """One append as the log holds it."""
+    """An entry of the log, still encoded."""
 
     offset: int
     data: bytes
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogPage:
-    """Entries read, and the offset that the next append will get."""
+    """Entries read, and the offset of the next append."""
 
     entries: list[RawEntry]
     end: int
@@ -40,38 +40,38 @@
 
 
 class LogClient:
-    """Appends to and reads from one stream of the log."""
+    """Client of one stream of the log."""
 
     def __init__(self, client: Client, url: str) -> None:
         self._client = client
         self._url = url
 
     def append(self, data: bytes) -> int:
-        """Append and give back the offset.
+        """Append an entry and return its offset.
 
         Raises
         ------
         PlatformError
-            If the answer did not come; the append may have taken effect.
+            If there is no complete, valid response; the append may have taken effect.
         """
         answer = self._client.exchange("POST", f"{self._url}/append", data)
         return decode_json(answer, _Appended).offset
 
     def read(self, offset: int, wait_seconds: float) -> LogPage:
-        """Read entries from an offset on, waiting a while for the first.
+        """Read entries from an offset on, waiting up to ``wait_seconds`` for the first.
 
         Raises
         ------
         LogExpired
             If the offset is older than the log's first entry.
         PlatformError
-            If there is no whole answer.
+            If there is no complete response.
         """
         url = f"{self._url}/read?from={offset}&wait_ms={round(wait_seconds * 1000)}"
         timeout = wait_seconds + _LONG_POLL_SLACK_SECONDS
         page = msgspec.msgpack.decode(self._read_page(url, timeout), type=_Page)
         if offset < page.first:
-            raise LogExpired(f"offset {offset} is gone, first is {page.first}", page.first)
+            raise LogExpired(f"offset {offset} has expired, the first is {page.first}", page.first)
         return LogPage([RawEntry(number, data) for number, data in page.entries], page.end)
 
     def _read_page(self, url: str, timeout: float) -> bytes:
--- a/src/snowdock/platform/minions.py
+++ b/src/snowdock/platform/minions.py
@@ -1,4 +1,4 @@
-"""Minions: forwards callers' requests and tells what surely did not run."""
+"""Client that forwards callers' requests to minions and detects requests that did not run."""
 
 import dataclasses
 import enum
@@ -14,9 +14,9 @@
 
 
 class ExchangeResult(enum.Enum):
-    """What is known of a request after one try.
+    """Whether a minion ran a request.
 
-    ``NOT_RUN`` is said only where no byte was sent or the minion refused expressly.
+    ``NOT_RUN`` is used only if no byte was sent or the minion refused explicitly.
     """
 
     RAN = "ran"
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MinionAnswer:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: dict[str, str]
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exchange:
-    """The end of one try; ``answer`` is there only for ``RAN``."""
+    """Result of forwarding a request once; ``response`` is set only for ``RAN``."""
 
     result: ExchangeResult
     answer: MinionAnswer | None = None
@@ -43,7 +43,7 @@
 
 
 class MinionClient:
-    """Forwards requests; how many go at once is bounded by the slots that its caller holds."""
+    """Forwards requests; concurrency is limited by the slots that the calling code holds."""
 
     def __init__(self, node: str, connections: int) -> None:
         self._agent = f"snowdock/{node}"
@@ -61,8 +61,8 @@
     ) -> Exchange:
         """Send a request to a minion once.
 
-        A connection on which anything went wrong is closed, so that a late answer can reach
-        nobody else.
+        A connection is closed after any error, so that a late response can't be returned for
+        another request.
         """
         sent = {**headers, "User-Agent": self._agent, _REQUEST_ID: request_id}
         try:
@@ -85,10 +85,10 @@
 
 def _judge(response: urllib3.BaseHTTPResponse, request_id: str) -> Exchange:
     if response.headers.get(_NOT_RUN) == "true":
-        return Exchange(ExchangeResult.NOT_RUN, reason="the minion refused")
+        return Exchange(ExchangeResult.NOT_RUN, reason="the minion refused the request")
     echoed = response.headers.get(_REQUEST_ID, request_id)
     if echoed != request_id:
-        return Exchange(ExchangeResult.UNKNOWN, reason=f"answer to another request {echoed}")
+        return Exchange(ExchangeResult.UNKNOWN, reason=f"response to another request: {echoed}")
     headers = {k: v for k, v in response.headers.items() if k.lower() in _PASSED_BACK}
     return Exchange(
         ExchangeResult.RAN, MinionAnswer(response.status, headers, bytes(response.data))
--- a/src/snowdock/platform/node_settings.py
+++ b/src/snowdock/platform/node_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file for one process, decoded into types."""
+"""Decoding of the settings file that the platform provides for a process."""
 
 import math
 import os
@@ -13,7 +13,7 @@
 __all__ = ["SETTINGS_VARIABLE", "NodeEnvironment", "StoreTerms", "read_node_environment"]
 
 SETTINGS_VARIABLE = "SNOWDOCK_CONFIG"
-"""The environment variable that holds the file's path."""
+"""Name of the environment variable with the file's path."""
 
 
 class _Listen(msgspec.Struct):
@@ -31,30 +31,30 @@
     lease_ms: float = 3000
     status_s: float = 120
     quota_overage: float = 0.0
-    # Whether a key that may have been taken away is to be refused.
+    # Whether to refuse a key that may have been revoked.
     strict_revoke: bool = False
     revoke_ms: float = 5000
 
 
 class _Limits(msgspec.Struct):
     max_fds: int = 1024
-    # A share of a core that runs "cores" times as fast as a usual one.
+    # Share of a core that is "cores" times as fast as a reference core.
     cpu_share: float = 1.0
     cores: float = 1.0
     link_mbps: float = 1000.0
 
 
 class StoreTerms(msgspec.Struct, frozen=True):
-    """What the platform's store takes.
+    """Address and limits of the platform's store.
 
     Attributes
     ----------
     address
-        IP number and port.
+        IP address and port.
     record_bytes, call_bytes
-        The most bytes of one record and of one append.
+        Most bytes of one record and of one append.
     parts
-        Partitions of each topic.
+        Number of partitions of each topic.
     """
 
     address: str
@@ -78,42 +78,44 @@
 
 
 class NodeEnvironment(msgspec.Struct, frozen=True):
-    """Where and within which bounds a node runs.
+    """Addresses and limits of a node, as set by the platform.
 
     Attributes
     ----------
     node, ip, hall
-        Its name, its own IP number and its data hall.
+        Name, IP address and data hall of the node.
     front_address, ready_address
-        Where callers, and the balancer's readiness probes, connect.
+        Addresses for callers and for the load balancer's readiness probes.
     peer_address
-        Where other nodes connect.
+        Address for other nodes.
     advice_address
-        The external advice service; empty where there is none.
+        Address of the external advice service; empty if there is none.
     store
         The platform's store.
-    lease_limit_s, status_s
-        The longest lease that a worker grants, in seconds.
+    lease_limit_s
+        Longest lease that a worker grants, in seconds.
+    status_s
+        How long a job's status stays available after its end, in seconds.
     stop_s
-        The longest that a worker takes to stop a run, in seconds.
+        Longest time that a worker takes to stop a run, in seconds.
     gang_wait_s
         How long a member of a gang waits for the others, in seconds.
     grace_s
-        Time between the request to stop and the kill, in seconds.
+        Time between the request to stop a node and its kill, in seconds.
     quota_overage
-        By what part of its quota a team may be over it in passing.
+        Share of its quota by which a team may exceed it temporarily.
     key_trust_s
-        For how many seconds keys are good while it is not known whether they were taken away.
+        How long API keys stay valid while their revocation can't be checked, in seconds.
     early_s
-        How far ahead of its time a repetition may start, in seconds.
+        How long before its due time a repetition may start, in seconds.
     worker_heartbeat_s
-        How often a worker renews its entry in the store, in seconds.
+        Interval at which a worker renews its entry in the store, in seconds.
     max_descriptors
-        Open files and sockets of the process.
+        Most open files and sockets of the process.
     cpu_cores
-        Processor, in usual cores.
+        Processor capacity, in reference cores.
     link_mbps
-        Bandwidth of its link, in Mbit/s.
+        Bandwidth of the network link, in Mbit/s.
     """
 
     node: str
@@ -139,7 +141,7 @@
 
 
 def read_node_environment(path: str | None = None) -> NodeEnvironment:
-    """Read the file that the platform names, or the one given.
+    """Read the settings file, by default the one that the environment variable names.
 
     Raises
     ------
--- a/src/snowdock/platform/store.py
+++ b/src/snowdock/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: a partitioned log with keyed topics."""
+"""Client of the platform's store, a partitioned log with keyed topics."""
 
 import base64
 import dataclasses
@@ -24,15 +24,14 @@
 _LENGTH = struct.Struct(">I")
 _BOUNDS = struct.Struct(">QQ")
 _LONG_POLL_SLACK_SECONDS = 0.7
-"""How much longer than its wait a long poll may take before it counts as unanswered: a store
-that has become 70 times as slow answers in some 0.3 s."""
+"""Added to the wait of a long poll for its timeout; leaves room for a store that takes 0.3 s."""
 
 _REFUSALS = (429, 503, 507)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a keyed topic; ``value`` is None where the key was dropped."""
+    """A record of a keyed topic; ``value`` is None if the key was deleted."""
 
     key: str
     value: bytes | None
@@ -41,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StorePage:
-    """Records read, and the offset from which to read on."""
+    """Records read, and the offset of the next read."""
 
     records: list[KeyedRecord]
     next_offset: int
@@ -49,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Producer:
-    """Who appends: a higher epoch shuts out all lower ones of the same name."""
+    """Identity of a writer; appends with a lower epoch of the same name are fenced off."""
 
     name: str
     epoch: int
@@ -93,7 +92,7 @@
         position += _LENGTH.size
         body = data[position : position + length]
         position += length
-        # A record of another writer may be empty, or shorter than its key is said to be.
+        # Another program's record may be empty, or shorter than its key length says.
         key_end = 1 + (body[0] if body else 0)
         value = body[key_end:]
         key = body[1:key_end].decode("utf-8", "replace")
@@ -102,7 +101,7 @@
 
 
 def _read_value(item: _Item) -> bytes:
-    """Give a record's bytes; what cannot be read is nothing that its reader can use."""
+    """Return a record's bytes; a value that isn't Base64 is returned as it is, for its decoder."""
     try:
         return base64.b64decode(item.value, validate=True)
     except ValueError:
@@ -110,20 +109,20 @@
 
 
 def _decode(reply: HttpReply, kind: type):
-    return decode_json(reply.data, kind, "the store's answer")
+    return decode_json(reply.data, kind, "store response")
 
 
 class StoreClient:
-    """Appends to and reads from topics of the store.
+    """Appends records to topics of the store and reads them.
 
     Parameters
     ----------
     address
-        IP number and port of the store.
+        IP address and port of the store.
     connections
-        Calls at the same time that keep their connections.
+        Most connections that are kept open.
     node
-        Named to the store as the user agent.
+        Name of the node, part of the user agent.
     """
 
     def __init__(self, address: str, connections: int, node: str = "") -> None:
@@ -134,11 +133,11 @@
 
     @property
     def answered_at(self) -> float:
-        """When a call was last answered well, in steady seconds."""
+        """Time of the last successful call, in steady seconds."""
         return self._answered_at
 
     def move(self, address: str) -> None:
-        """Call another address from now on."""
+        """Use another address for all later calls."""
         self._http = HttpPool(address, self._connections, self._headers)
 
     def append(
@@ -151,31 +150,31 @@
         producer: Producer | None = None,
         expected_end: int | None = None,
     ) -> int:
-        """Append records, all or none, and give the offset of the first.
+        """Append records, all or none, and return the offset of the first.
 
         Parameters
         ----------
         topic, part
             The keyed topic and its partition.
         records
-            What to append; none only sets the producer's epoch.
-        seconds
-            The longest wait.
+            Records to append; an empty list only sets the producer's epoch.
+        timeout_s
+            Timeout for each part of the response, in seconds.
         producer
-            Makes a repeated call harmless, and shuts out those with a lower epoch.
+            Makes the append idempotent and fences off producers with a lower epoch.
         expected_end
-            Append only if the partition ends here.
+            Append only if the partition ends at this offset.
 
         Raises
         ------
         StoreRefused
-            If nothing was done.
+            If the store rejected the append.
         AppendConflict
-            If the partition ends elsewhere, or the sequence number does not follow.
+            If the partition ends elsewhere, or the sequence number has a gap.
         ProducerFenced
-            If a higher epoch was seen.
+            If a producer with a higher epoch has appended.
         CallUnanswered
-            If it may have been done, or may still be.
+            If the append may have been carried out, or may be later.
         """
         target = f"/v1/log-append?topic={quote(topic)}&part={part}"
         if producer is not None:
@@ -189,7 +188,7 @@
         if reply.status == 200:
             return _decode(reply, _Appended).offset
         self._raise_for(reply)
-        raise CallUnanswered(f"append answered {reply.status}", False)
+        raise CallUnanswered(f"append returned status {reply.status}", False)
 
     def _call(self, method: str, target: str, body: bytes | None, seconds: float) -> HttpReply:
         reply = self._http.call(method, target, body, seconds)
@@ -200,28 +199,28 @@
     @staticmethod
     def _raise_for(reply: HttpReply) -> None:
         if reply.status in _REFUSALS:
-            raise StoreRefused(f"the store answered {reply.status}")
+            raise StoreRefused(f"the store returned status {reply.status}")
         if reply.status == 412:
-            raise AppendConflict("the partition ends elsewhere", _decode(reply, _Conflict).end)
+            raise AppendConflict("unexpected end of the partition", _decode(reply, _Conflict).end)
         if reply.status == 409:
             conflict = _decode(reply, _Conflict)
             if conflict.reason == "fenced":
                 raise ProducerFenced("a producer with a higher epoch has appended")
             raise AppendConflict(f"append conflict: {conflict.reason}", conflict.end)
         if reply.status == 410:
-            raise LogExpired("these records are gone", _decode(reply, _Conflict).first)
+            raise LogExpired("these records have expired", _decode(reply, _Conflict).first)
         if 400 <= reply.status < 500:
-            raise PlatformError(f"the store answered {reply.status}: {reply.data[:200]!r}")
+            raise PlatformError(f"the store returned status {reply.status}: {reply.data[:200]!r}")
 
     def read(self, topic: str, part: int, offset: int, wait_seconds: float) -> StorePage:
-        """Read records from an offset on, waiting a while for the first.
+        """Read records from an offset on, waiting up to ``wait_seconds`` for the first.
 
         Raises
         ------
         LogExpired
-            If records from there on are gone; read the newest of each key.
+            If records from that offset on have expired; call `newest` instead.
         StoreRefused, CallUnanswered, PlatformError
-            If there is no usable answer.
+            If there is no usable response.
         """
         wait_ms = round(wait_seconds * 1000)
         target = f"/v1/log-read?topic={quote(topic)}&part={part}&from={offset}&wait_ms={wait_ms}"
@@ -229,25 +228,26 @@
         reply = self._call("GET", target, None, seconds)
         if reply.status != 200:
             self._raise_for(reply)
-            raise CallUnanswered(f"read answered {reply.status}", False)
+            raise CallUnanswered(f"read returned status {reply.status}", False)
         if len(reply.data) < _BOUNDS.size:
-            raise PlatformError(f"the store's page has {len(reply.data)} bytes")
+            raise PlatformError(f"the store's page has only {len(reply.data)} bytes")
         end, _first = _BOUNDS.unpack_from(reply.data)
         records = _unframe(reply.data[_BOUNDS.size :], offset)
-        # A page may stop before the end; where there is nothing, the end is where to go on.
+        # A page may end before the partition does; an empty page leaves nothing before the end.
         next_offset = offset + len(records) if records else max(offset, end)
         return StorePage(records, next_offset)
 
     def newest(self, topic: str, part: int, seconds: float) -> StorePage:
         """Read the newest record of each key, page by page.
 
-        The pages are no snapshot: records appended meanwhile may show or not. ``next_offset``
-        is the end before the first page, so that reading on from it misses nothing.
+        The pages aren't a snapshot: records appended in the meantime may be included or not.
+        ``next_offset`` is the partition's end at the first page, so that reading on from there
+        misses no record.
 
         Raises
         ------
         StoreRefused, CallUnanswered, PlatformError
-            If there is no usable answer.
+            If there is no usable response.
         """
         found: list[KeyedRecord] = []
         first_end = None
@@ -259,7 +259,7 @@
             reply = self._call("GET", target, None, seconds)
             if reply.status != 200:
                 self._raise_for(reply)
-                raise CallUnanswered(f"newest answered {reply.status}", False)
+                raise CallUnanswered(f"newest returned status {reply.status}", False)
             page = _decode(reply, _Newest)
             first_end = page.end if first_end is None else first_end
             for item in page.items:
--- a/src/snowdock/platform/vms.py
+++ b/src/snowdock/platform/vms.py
@@ -1,4 +1,4 @@
-"""The platform's VM list: which VMs are live and which are leaving, with a lag."""
+"""Client of the platform's VM list, which shows the VMs' states with a delay."""
 
 import msgspec
 
@@ -21,14 +21,14 @@
 
 
 class VmList(msgspec.Struct, frozen=True):
-    """The list as it stood at a version; ``vms`` is None where nothing changed."""
+    """The list at a version; ``vms`` is None if nothing has changed."""
 
     version: int
     vms: list[Vm] | None = None
 
 
 class VmListClient:
-    """Reads the VM list, asking only for what is newer than the last answer."""
+    """Reads the VM list, requesting only changes since the last response."""
 
     def __init__(self, client: Client, url: str) -> None:
         self._client = client
@@ -36,12 +36,12 @@
         self._version = -1
 
     def read(self) -> list[Vm] | None:
-        """Give the list, or None where it is the same as last time.
+        """Return the list, or None if it is unchanged since the last call.
 
         Raises
         ------
         PlatformError
-            If there is no whole answer.
+            If there is no complete, valid response.
         """
         data = self._client.exchange("GET", f"{self._url}/vms?since={self._version}")
         answer = decode_json(data, VmList)
--- a/src/snowdock/platform/worker_calls.py
+++ b/src/snowdock/platform/worker_calls.py
@@ -1,4 +1,4 @@
-"""What is said to a worker and what it answers: start a run, stop it, renew the lease and look."""
+"""Encoding of requests to workers (start, stop, renew) and decoding of their replies."""
 
 import msgspec
 from msgspec import UNSET
@@ -45,16 +45,16 @@
 
 
 class _Answer(msgspec.Struct):
-    # The worker's own steady clock in ms; deadlines count on it.
+    # The worker's own steady clock in ms; deadlines refer to it.
     clock_ms: float = 0.0
     reason: str = ""
 
 
 class _Held(msgspec.Struct):
     clock_ms: float
-    # [task, run, checkpoint, percent, load over the last half second]
+    # [task, run, checkpoint, percent done, load over the last 0.5 s]
     running: list[list] = []
-    # [number, task, run, how it ended, checkpoint]
+    # [number, task, run, kind of end, checkpoint]
     ended: list[list] = []
     born: Born = UNSET
 
@@ -77,17 +77,17 @@
 
 
 def format_task(task: TaskId) -> str:
-    """Write a task's name as the platform does."""
+    """Return a task's name in the platform's form."""
     return f"{task.job}.{task.repetition}.{task.step}.{task.index}"
 
 
 def parse_task(name: str) -> TaskId:
-    """Read a task's name.
+    """Parse a task's name in the platform's form.
 
     Raises
     ------
     PlatformError
-        If it is malformed.
+        If the name is malformed.
     """
     try:
         job, repetition, step, index = name.rsplit(".", 3)
@@ -97,15 +97,15 @@
 
 
 def worker_headers(life: str) -> dict[str, str]:
-    """Give the headers of calls to one life of a worker; other workers refuse them.
+    """Return the headers of calls to a worker; workers with another id refuse them.
 
-    Another life under the same id does not: see `encode_greeting`.
+    Another life under the same id doesn't: see `encode_handshake`.
     """
     return {"X-Expected-Instance": worker_id_of(life), "Content-Type": _JSON}
 
 
 def encode_start(order: StartOrder) -> bytes:
-    """Write the body of a start."""
+    """Encode the body of a start request."""
     body = {
         "task": format_task(order.task),
         "run": order.run,
@@ -121,12 +121,12 @@
 
 
 def decode_start(reply: Reply) -> StartResult:
-    """Read the answer to a start.
+    """Decode the reply to a start request.
 
     Raises
     ------
     PlatformError
-        If the answer does not fit.
+        If the reply is malformed or has an unexpected status.
     """
     if reply.status == 200:
         return StartResult(None, _decode(reply, _Answer).clock_ms)
@@ -139,29 +139,29 @@
         return StartResult(Refusal.UNHEALTHY)
     if 400 <= reply.status < 500:
         return StartResult(Refusal.MALFORMED)
-    raise PlatformError(f"run-start answered {reply.status}")
+    raise PlatformError(f"run-start returned status {reply.status}")
 
 
 def encode_stop(order: StopOrder) -> bytes:
-    """Write the body of a stop; a run that is not there yet will then never start."""
+    """Encode the body of a stop request; a run that hasn't started by then never starts."""
     return _encode(
         {"task": format_task(order.task), "run": order.run, "fencing_token": order.token}
     )
 
 
 def decode_stop(reply: Reply) -> Refusal | None:
-    """Read the answer to a stop.
+    """Decode the reply to a stop request: the refusal, or None if it was accepted.
 
     Raises
     ------
     PlatformError
-        If the answer does not fit.
+        If the reply is malformed or has an unexpected status.
     """
     return _read_refusal(reply, "run-stop")
 
 
 def encode_renewal(order: RenewOrder) -> bytes:
-    """Write the body of a renewal of all that runs, which also asks what runs and has ended."""
+    """Encode the body of a renewal of all runs, whose reply lists running and ended runs."""
     body: dict[str, int] = {"fencing_token": order.token, "last_seen": order.last_recorded_end}
     if order.lease_until_ms:
         body["deadline_ms"] = order.lease_until_ms
@@ -171,17 +171,17 @@
 
 
 def encode_greeting(token: int) -> bytes:
-    """Write the body of a look at a worker that renews nothing and lets it forget nothing."""
+    """Encode the body of a handshake: a renewal that extends no lease and acknowledges no end."""
     return _encode({"fencing_token": token, "last_seen": 0})
 
 
 def decode_renewal(reply: Reply, life: str) -> WorkerReport | Refusal:
-    """Read the answer to a renewal or greeting that was meant for one life of a worker.
+    """Decode the reply to a renewal or handshake for the given life of a worker.
 
     Raises
     ------
     PlatformError
-        If the answer does not fit.
+        If the reply is malformed or has an unexpected status.
     """
     refusal = _read_refusal(reply, "hold")
     if refusal is not None:
@@ -193,7 +193,7 @@
         running = [_read_running(row) for row in held.running]
         ended = [_read_ended(row) for row in held.ended]
     except (IndexError, TypeError, ValueError) as error:
-        raise PlatformError(f"hold's answer does not fit: {error}") from error
+        raise PlatformError(f"invalid reply to hold: {error}") from error
     return WorkerReport(held.clock_ms, running, ended)
 
 
@@ -202,18 +202,18 @@
 
 
 def _read_refusal(reply: Reply, call: str) -> Refusal | None:
-    """Give why a worker refused a call; None where it did not."""
+    """Return why a worker refused a call, or None if it accepted."""
     if reply.status == _OTHER_LIFE:
         return Refusal.OTHER_LIFE
     if reply.status == 409:
         return _REFUSALS.get(_decode(reply, _Answer).reason, Refusal.MALFORMED)
     if reply.status != 200:
-        raise PlatformError(f"{call} answered {reply.status}")
+        raise PlatformError(f"{call} returned status {reply.status}")
     return None
 
 
 def _is_next_life(held: _Held, life: str) -> bool:
-    """Whether a list of runs comes from another life than the one named, as far as both tell."""
+    """Return whether a renewal comes from another life; False if either start time is unknown."""
     born_ms = born_ms_of(held.born)
     worker = worker_id_of(life)
     return born_ms is not None and worker != life and format_life(worker, born_ms) != life
@@ -225,10 +225,10 @@
 
 
 def _read_ended(row: list) -> EndedRun:
-    # An unknown way to end counts as the run being broken off from outside.
+    # An unknown kind of end counts as an external abort.
     kind = _ENDS.get(row[3], EndKind.GANG_BROKEN)
     return EndedRun(int(row[0]), parse_task(row[1]), int(row[2]), kind, str(row[4] or ""))
 
 
 def _decode(reply: Reply, kind: type):
-    return decode_json(reply.data, kind, "the worker's answer")
+    return decode_json(reply.data, kind, "worker reply")
--- a/src/snowdock/platform/worker_list.py
+++ b/src/snowdock/platform/worker_list.py
@@ -1,7 +1,7 @@
-"""The entries that workers keep in the platform's store, decoded into types.
+"""Decoding of the workers' entries in the platform's store.
 
-An entry may come from another writer. One that lacks a field, or holds one of another type, out of
-its range, or with a word that is not known here, names no worker: nothing in it is guessed.
+Entries are validated strictly, because other programs may write to the same topic: an entry with a
+missing field, a wrong type, an unknown value or a value out of range is rejected.
 """
 
 import ipaddress
@@ -37,12 +37,11 @@
     zone: str
     version: str
     slots: _Amount
-    # A draining worker takes nothing new.
+    # A draining worker accepts no new tasks.
     state: Literal["ready", "draining"]
     cold_left_ms: Annotated[float, Meta(ge=0)]
     capacity: _Capacity
-    # The worker's kind and its rack, in this order of usefulness but not of position: the
-    # rack is the label that names a rack, e.g. "r1-3".
+    # In no fixed order; one of them is the rack, e.g. "r1-3".
     labels: list[str]
     seq: Annotated[int, Meta(ge=0)]
     born: Born = UNSET
@@ -50,14 +49,20 @@
 
 
 def _check_address(address: str) -> None:
-    """Tell an IP number and port from anything else; a call to anything else could not be made."""
+    """Check that an address is an IPv4 address and a port.
+
+    Raises
+    ------
+    PlatformError
+        If it is anything else.
+    """
     host, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
     except ValueError as error:
-        raise PlatformError(f"not an address: {address[:60]!r}") from error
+        raise PlatformError(f"invalid IP address in {address[:60]!r}") from error
     if not (port.isascii() and port.isdigit() and 0 < int(port) <= _LARGEST_PORT):
-        raise PlatformError(f"not a port: {address[:60]!r}")
+        raise PlatformError(f"invalid port in {address[:60]!r}")
 
 
 def _find_rack(labels: list[str]) -> str:
@@ -73,7 +78,7 @@
     Raises
     ------
     PlatformError
-        If it does not fit.
+        If the entry is malformed.
     """
     entry = decode_json(data, _Entry, f"worker entry {key[:60]!r}")
     _check_address(entry.address)
--- a/src/snowdock/platform/workers.py
+++ b/src/snowdock/platform/workers.py
@@ -1,4 +1,4 @@
-"""Workers: one call renews, starts, stops and reports everything on one VM."""
+"""Client of the workers' sync API: one call renews, starts, stops and reports a VM's attempts."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class StartOrder(msgspec.Struct, frozen=True):
-    """Start an attempt, once; refused after ``not_after_ms`` or where there is no room."""
+    """Order to start an attempt once; refused after ``not_after_ms`` or without enough room."""
 
     attempt: str
     cpu: int
@@ -20,18 +20,18 @@
 
 
 class StopOrder(msgspec.Struct, frozen=True):
-    """End an attempt; ``how`` is ``checkpoint`` or ``stop``."""
+    """Order to end an attempt; ``how`` is ``checkpoint`` or ``stop``."""
 
     attempt: str
     how: str
 
 
 class SyncOrder(msgspec.Struct, frozen=True):
-    """All that a node wants of a worker at one time.
+    """All orders of a node to a worker in one call.
 
-    The worker refuses the whole order after ``not_after_ms``, so that one delayed on its way
-    neither starts nor renews anything, and where ``boot`` is not its own: then the sender
-    knows too little of it.
+    The worker refuses the whole call after ``not_after_ms``, so that a delayed call neither starts
+    nor renews anything. It also refuses a call whose ``boot`` isn't its own, as the sender's view
+    of the worker is then outdated.
     """
 
     boot: str
@@ -44,7 +44,7 @@
 
 
 class AttemptReport(msgspec.Struct, frozen=True):
-    """What a worker tells of one attempt: ``running``, or an outcome."""
+    """State of one attempt: ``running``, or an outcome."""
 
     state: str
     cpu: int = 0
@@ -52,10 +52,9 @@
 
 
 class SyncAnswer(msgspec.Struct, frozen=True):
-    """A worker's answer; ``boot`` names the start of its VM.
+    """A worker's response; ``boot`` identifies the start of its VM.
 
-    ``attempts`` leaves out what was named to be renewed and still runs: most calls change
-    nothing, and saying so for each task would be most of their bytes.
+    ``attempts`` omits attempts that were renewed and still run, which keeps most responses short.
     """
 
     worker: str
@@ -67,28 +66,28 @@
 
 
 class WorkerClient:
-    """Talks to workers by address."""
+    """Client of all workers, called by address."""
 
     def __init__(self, client: Client) -> None:
         self._client = client
 
     def status(self, address: str) -> SyncAnswer:
-        """Ask for a worker's boot, capacity and attempts.
+        """Return a worker's boot, capacity and attempts.
 
         Raises
         ------
         PlatformError
-            If there is no whole answer.
+            If there is no complete, valid response.
         """
         return decode_json(self._client.exchange("GET", f"{address}/status"), SyncAnswer)
 
     def sync(self, address: str, order: SyncOrder) -> SyncAnswer:
-        """Give orders and get the state of every attempt that is not just running on.
+        """Send orders and return the state of every attempt but those renewed and still running.
 
         Raises
         ------
         PlatformError
-            If there is no whole answer; the order may have been carried out.
+            If there is no complete, valid response; the orders may have been carried out.
         """
         body = msgspec.json.encode(order)
         return decode_json(self._client.exchange("POST", f"{address}/sync", body), SyncAnswer)
