--- a/src/snowdock/emulator/__init__.py
+++ b/src/snowdock/emulator/__init__.py
@@ -1,7 +1,7 @@
-"""An emulator of the systems served: workers, store and advice in virtual time.
+"""An emulator of workers, store and advice service in virtual time.
 
-The real decisions run against it, without network or waiting: for trying a policy before it
-is published, and for tests that break things at random and check what must always hold.
+The leader's real decision code runs against it, without network or waiting. It serves to try a
+policy before it is published, and in tests that inject random faults and check invariants.
 """
 
 from .checks import Violation
--- a/src/snowdock/emulator/checks.py
+++ b/src/snowdock/emulator/checks.py
@@ -1,4 +1,4 @@
-"""What must always hold, checked from what the workers see."""
+"""Check of invariants, based on the runs at the workers."""
 
 import dataclasses
 from collections.abc import Iterable, Iterator
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that did not hold."""
+    """A violation of an invariant."""
 
     rule: str
     at: float
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _History:
-    """What happened to one task."""
+    """History of one task."""
 
     running: dict[str, int] = dataclasses.field(default_factory=dict)
     done_runs: set[int] = dataclasses.field(default_factory=set)
@@ -35,7 +35,7 @@
 
 
 def tasks_of(job: str, spec: JobSpec, repetition: int = 0) -> Iterator[TaskId]:
-    """Give all tasks of one time of a job."""
+    """Yield all tasks of one repetition of a job."""
     for number, step in enumerate(spec.steps):
         for index in range(step.count):
             yield TaskId(job, repetition, number, index)
@@ -43,22 +43,22 @@
 
 _MOST_CRASHES = 3
 _MOST_STARTS_AFTER = 2
-"""After so many crashes under a task that ends its workers, so many more starts of it."""
+"""Most further starts of a crashing task after `_MAX_CRASHES` crashes."""
 
 
 class Checks:
-    """Watches starts and ends at all workers.
+    """Checks starts and ends at all workers.
 
     Attributes
     ----------
-    is_calm
-        Whether nothing is disturbed; only then no member of a gang may wait in vain.
+    is_undisturbed
+        Whether no fault is in effect; if so, a gang member that times out is a violation.
     quotas
-        What teams have running.
+        Checker of the teams' quotas.
     violations
-        What did not hold so far.
-    crashing
-        Tasks that end each worker that starts them.
+        Violations found so far.
+    crashing_tasks
+        Tasks that crash each worker that starts them.
     """
 
     def __init__(self, quota_overage: float = 0.0) -> None:
@@ -71,26 +71,26 @@
         self.crashing: set[TaskId] = set()
 
     def submitted(self, job: str, spec: JobSpec, max_attempts: int) -> None:
-        """Note a job that some caller submitted."""
+        """Record a submitted job."""
         self._jobs[job] = (spec, max_attempts)
 
     def spec_of(self, job: str) -> JobSpec:
-        """Give what was submitted."""
+        """Return a job as it was submitted."""
         return self._jobs[job][0]
 
     def is_over(self, job: str) -> bool:
-        """Whether a job was cancelled, or one of its tasks has failed as often as it may."""
+        """Return whether a job was cancelled or one of its tasks has used up its attempts."""
         spec, most = self._jobs[job]
         if job in self._cancelled:
             return True
         return any(len(self._history(task).failed_runs) >= most for task in tasks_of(job, spec))
 
     def may_be_given_up(self, job: str) -> bool:
-        """Whether two workers, as users allow, have crashed under a task of a job."""
+        """Return whether a task of a job has crashed two workers, so that the job may fail."""
         return any(self.crashes_under(task) > 1 for task in tasks_of(job, self.spec_of(job)))
 
     def cancelled(self, job: str, at: float) -> None:
-        """Note a cancelling that was acknowledged."""
+        """Record an acknowledged cancellation."""
         self._cancelled.setdefault(job, at)
 
     def _broken(self, rule: str, at: float, task: TaskId, detail: str) -> None:
@@ -109,10 +109,24 @@
         at: float,
         cancel_s: float,
     ) -> None:
-        """Check a start; ``there`` is all that takes room at the worker, the start included."""
+        """Check a start and record it.
+
+        Parameters
+        ----------
+        task, run, life
+            The task, its run and the worker's life.
+        capacity
+            The worker's capacity.
+        occupants
+            Tasks that take room at the worker, with their sizes; includes this one.
+        at
+            Virtual time of the start, in seconds.
+        cancel_s
+            How long after its job's cancellation a task may still start, in seconds.
+        """
         known = self._jobs.get(task.job)
         if known is None:
-            self._broken("unasked", at, task, "nobody submitted it")
+            self._broken("unasked", at, task, "its job was not submitted")
             return
         spec, max_attempts = known
         step = spec.steps[task.step]
@@ -122,8 +136,8 @@
         if others:
             self._broken("twice", at, task, f"also on {sorted(others)}")
         if history.is_done_noted:
-            self._broken("twice", at, task, "its good end had been taken note of")
-        # Forbidden only if a leader gets to know of these ends after all.
+            self._broken("twice", at, task, "its success was acknowledged before")
+        # A violation only if a leader acknowledges one of these ends later.
         history.restarted_after |= history.done_runs
         if len(history.failed_runs) >= max_attempts:
             self._broken("budget", at, task, f"failed {len(history.failed_runs)} times")
@@ -145,7 +159,7 @@
             self._broken("quota", at, task, over)
 
     def is_done(self, task: TaskId) -> bool:
-        """Whether a task, or another member of its gang, has ended well."""
+        """Return whether a task, or another member of its gang, has succeeded."""
         if self._history(task).done_runs:
             return True
         step = self.spec_of(task.job).steps[task.step]
@@ -176,7 +190,7 @@
                 self._broken("spread", at, task, f"{same} on {life}")
 
     def ended(self, task: TaskId, run: int, life: str, kind: EndKind, at: float) -> None:
-        """Note an end."""
+        """Record the end of a run."""
         history = self._history(task)
         history.running.pop(life, None)
         self.quotas.ended(task, life)
@@ -186,16 +200,19 @@
             self._broken("alone", at, task, f"run {run} waited too long on {life}")
 
     def crashed(self, tasks: Iterable[TaskId]) -> None:
-        """Note that a worker crashed on which tasks ran."""
+        """Record a worker's crash for the tasks that ran there."""
         for task in tasks:
             self._history(task).crashes += 1
 
     def crashes_under(self, task: TaskId) -> int:
-        """Give how many workers crashed while they ran a task."""
+        """Return the number of workers that crashed while they ran a task."""
         return self._history(task).crashes
 
     def noted(self, task: TaskId, run: int, kind: EndKind, lease_held: bool, at: float) -> None:
-        """Note that a worker may forget an end; ``lease_held`` since that end."""
+        """Record a leader's acknowledgement of an end.
+
+        ``lease_held`` is whether the worker's lease has not expired since that end.
+        """
         history = self._history(task)
         if kind is EndKind.FAILED:
             history.failed_runs.add(run)
@@ -203,16 +220,16 @@
             return
         history.is_done_noted = True
         if run in history.restarted_after:
-            self._broken("twice", at, task, "started after a good end that was noted later")
+            self._broken("twice", at, task, "started after a success acknowledged later")
 
     def vanished(self, life: str) -> None:
-        """Note that a worker's life is over with all that ran there."""
+        """Record the end of a worker's life and of all runs there."""
         for history in self._tasks.values():
             history.running.pop(life, None)
         self.quotas.vanished(life)
 
     def shown(self, job: str, is_completed: bool, at: float) -> None:
-        """Check a status that callers are shown."""
+        """Check a published status of a job."""
         known = self._jobs.get(job)
         if known is None or not is_completed:
             return
@@ -220,5 +237,5 @@
         for repetition in range(max(1, spec.repetitions)):
             for task in tasks_of(job, spec, repetition):
                 if not self.is_done(task):
-                    self._broken("completed", at, task, "shown before it was done")
+                    self._broken("completed", at, task, "published before it was done")
                     return
--- a/src/snowdock/emulator/emulator.py
+++ b/src/snowdock/emulator/emulator.py
@@ -1,4 +1,4 @@
-"""Runs the real decisions of one leader after the other against modelled systems."""
+"""Runs the leaders' real decision code against modelled systems."""
 
 import random
 from collections.abc import Callable
@@ -48,14 +48,14 @@
 __all__ = ["Emulator"]
 
 _STATUS_SECONDS = 120.0
-"""For how long after its end callers may ask for a job."""
+"""How long a job's status stays available after its end."""
 
 _QUOTA_OVERAGE = 0.1
-"""By what part of its quota a team may be over it in passing."""
+"""Share of its quota by which a team may exceed it temporarily."""
 
 
 class _Leader:
-    """One leadership: a cell, and whether it still takes events."""
+    """One leadership: its cell, and whether it still handles events."""
 
     def __init__(self, cell: Cell) -> None:
         self.cell = cell
@@ -63,33 +63,33 @@
 
 
 class Emulator:
-    """The emulated cluster.
+    """An emulated cluster with its leaders.
 
     Parameters
     ----------
     seed
-        Draws delays, faults and advice.
+        Seed of delays, faults and advice.
     options
-        The cluster.
+        Options of the cluster.
     jobs
-        What is submitted.
+        Jobs to submit.
 
     Attributes
     ----------
     timeline
-        The virtual time.
+        The virtual clock.
     checks
-        What must hold, and what did not.
+        Checker of the invariants, with the violations found.
     starvation
-        Jobs that ran nothing beside free room.
+        Checker for jobs that starve beside free room.
     faults
-        What goes wrong now; may be changed between runs.
+        Faults in effect; may be changed between calls of `run_until`.
     fleet
-        The workers, and what becomes of them.
+        The workers and their lives.
     statuses
-        What callers were last shown, by job.
+        Last published status of each job.
     finished_at
-        When callers were first shown that a job has ended, in virtual seconds.
+        When a final status of each job was first published, in virtual seconds.
     """
 
     def __init__(self, seed: int, options: EmulatorOptions, jobs: list[DrawnJob]) -> None:
@@ -145,22 +145,22 @@
 
     @property
     def workers(self) -> dict[str, WorkerModel]:
-        """All workers that ever were, by life."""
+        """All workers since the start, by life."""
         return self.fleet.workers
 
-    # -- what happens from outside ---------------------------------------------------------
+    # -- external events -------------------------------------------------------------------
 
     def run_until(self, end: float) -> None:
-        """Let virtual time pass until a moment."""
+        """Run the cluster until a virtual time, in seconds."""
         self.timeline.run_until(end)
 
     def listen(self, kind: type, hear: Callable[[object], None]) -> None:
-        """Hear of all effects of a kind that is not carried out here, such as decisions told."""
+        """Set the handler of a kind of effects that the emulator ignores, such as `LogDecision`."""
         self._handlers[kind] = lambda _, effect: hear(effect)
 
     @property
     def leader_cell(self) -> Cell:
-        """What the newest leader knows."""
+        """The newest leader's cell."""
         return self._leaders[-1].cell
 
     def cancel(self, job: str) -> None:
@@ -171,7 +171,7 @@
         self._tell_all(JobCancelled(name))
 
     def change_teams(self, teams: tuple[Team, ...]) -> None:
-        """Put a configuration with other teams, or other quotas, in force."""
+        """Apply a configuration with other teams or quotas."""
         version = self._configuration.version + 1
         self._configuration = msgspec.structs.replace(
             self._configuration, version=version, teams=TeamBook(teams)
@@ -180,17 +180,17 @@
         self._tell_all(ConfigurationChanged(self._configuration))
 
     def kill_leader(self, pause: float) -> None:
-        """Kill the leader; another one is elected after a pause."""
+        """Kill all leaders; another one is elected after a pause in seconds."""
         for leader in self._leaders:
             leader.is_alive = False
         self.timeline.after(pause, self.elect)
 
     def depose_leader(self) -> None:
-        """Elect another leader while the old one does not know of it and goes on."""
+        """Elect another leader while the old one goes on without noticing."""
         self.elect()
 
     def elect(self) -> None:
-        """Start a leader from what is on record."""
+        """Start a leader that restores its state from the recorded jobs."""
         self._epoch += 1
         now = self.timeline.now
         options = self._options
@@ -269,7 +269,7 @@
         return RunPlan(job.work_s[task.step][task.index], fails, task == job.crashing)
 
     def _watch_starvation(self) -> None:
-        """Look for jobs that run nothing, while nothing excuses it."""
+        """Check for starving jobs, unless a fault explains them."""
         if self.faults.store_down or self.faults.cut or not self._leaders[-1:]:
             self.starvation.disturb()
         else:
@@ -319,7 +319,7 @@
     def _may_run(self, job: str, step: int, life: str) -> bool:
         key = (job, step, life)
         if key not in self._rules:
-            # Drawn by itself: who looks at it, and when, changes nothing else of a day.
+            # Seeded by its key, so that the order of requests changes no other random value.
             drawn = random.Random(f"{self._seed}/{job}/{step}/{life}").random()
             self._rules[key] = drawn < self._jobs[job].mix.fit_share
         return self._rules[key]
@@ -338,4 +338,4 @@
 
 
 def _ignore(*_: object) -> None:
-    """Do nothing, for effects without a counterpart here."""
+    """Do nothing; handles effects that aren't emulated."""
--- a/src/snowdock/emulator/fleet.py
+++ b/src/snowdock/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""The workers of an emulated cluster: how they come, change and go, and what of it is listed."""
+"""The workers of an emulated cluster: their lives, changes of capacity, and store entries."""
 
 import dataclasses
 import random
@@ -17,52 +17,53 @@
 __all__ = ["Fleet"]
 
 _RETURN_SECONDS = 3.5
-"""After how long another life stands where a task has ended a worker."""
+"""Delay of the replacement of a worker that a task has crashed."""
 
 _CRASH_KNOWN_SECONDS = 5.0
-"""Within so long a leader may take a crashed worker's runs as over: another life answers, or the
-leases are over by the worker's own clock."""
+"""Time within which a leader can detect that a crashed worker's runs have ended: another life
+answers at its address, or the leases have expired."""
 
 _ENTRY_GOES_SECONDS = 4.5
-"""How long after its end a crashed worker's entry goes: three heartbeats of silence."""
+"""Time until a crashed worker's entry is deleted: three missed heartbeats."""
 
 _BEGAN_MS = 1_700_000_000_000
-"""The time of day at the emulator's start, in ms since 1970."""
+"""Wall-clock time of the emulator's start, in ms since 1970."""
 
 _LATEST_CLOCK_SECONDS = 3000.0
-"""The latest that the clock of a worker's next life tells at its start: it may be below or above
-that of the life before."""
+"""Upper bound of a steady clock's reading at the start of a worker's next life; it may be below or
+above that of the previous life."""
 
 _HEARTBEAT_SECONDS = 1.5
+"""Interval at which workers write their entries."""
+
 _SHRUNK_COUNTS_SECONDS = 4.5
-"""How often workers' entries are written, and how much later than a change of room starts beyond
-it count: three seconds and one heartbeat."""
+"""How long after a change of capacity starts are checked against it: 3 s and one heartbeat."""
 
 
 class Fleet:
-    """The workers.
+    """The workers of a cluster.
 
     Parameters
     ----------
-    source
-        Draws how fast workers are, and when entries change.
+    rng
+        Random source of the workers' speeds and of delays.
     options
-        The cluster.
+        Options of the cluster.
     timeline
-        The virtual time.
+        The virtual clock.
     checks
-        Told of all starts and ends.
-    work
-        How runs go.
-    tell
-        Called with what leaders learn of entries.
+        Records all starts and ends.
+    plan_run
+        Returns the plan of a run.
+    post
+        Called with the leaders' events on workers' entries.
     excuse
-        Called with tasks that may run nothing, and until when.
+        Called with tasks whose jobs are exempt from starvation checks, and until when.
 
     Attributes
     ----------
     workers
-        All workers that ever were, by life.
+        All workers since the start, by life.
     """
 
     def __init__(
@@ -91,7 +92,7 @@
             self.add(number)
 
     def entries(self) -> list[WorkerEntry]:
-        """Give the entries that a leader finds when it begins."""
+        """Return the entries that a new leader finds."""
         lingering = self._lingering if self._options.entries_linger else ()
         return [
             model.entry
@@ -100,7 +101,7 @@
         ]
 
     def add(self, rack: int, address: str = "") -> str:
-        """Add a worker, at an address of its own unless one is given; give its life."""
+        """Add a worker, by default at a new address, and return its life."""
         self._lives += 1
         entry = WorkerEntry(
             life=format_life(f"w-{self._lives}", self._born_ms()),
@@ -132,14 +133,14 @@
         return round(self._timeline.now * 1000) + _BEGAN_MS
 
     def crash(self, life: str, returns_after: float | None = None) -> None:
-        """End a worker's life; its entry goes a few seconds later.
+        """End a worker's life; its entry is deleted a few seconds later.
 
         Parameters
         ----------
         life
-            The worker.
-        returns_after
-            After how many seconds another life stands at its address; None for never.
+            The worker's life.
+        return_delay_s
+            Delay of another worker at the same address, in seconds; None for no other worker.
         """
         model = self.workers[life]
         if not model.is_up:
@@ -149,7 +150,7 @@
             self._timeline.after(returns_after, lambda: self._bring_back(model))
 
     def restart(self, life: str, returns_after: float) -> None:
-        """End a worker's life; the next one begins under its id some seconds later."""
+        """End a worker's life; the next life under the same id begins after a delay."""
         model = self.workers[life]
         if model.is_up:
             self._end_life(model)
@@ -168,9 +169,9 @@
             self._tell(WorkerDelisted(life))
 
     def _begin_next_life(self, model: WorkerModel) -> None:
-        """Begin a worker's next life under its id: it knows nothing of before.
+        """Begin a worker's next life under the same id, without any state.
 
-        Until its first heartbeat, its entry is that of the life before.
+        Until its first heartbeat, the entry of the previous life stays in the store.
         """
         life = format_life(model.entry.worker, self._born_ms())
         model.successor = life
@@ -191,7 +192,7 @@
         model.successor = self.add(rack, model.entry.address)
 
     def resize(self, life: str, capacity: Size) -> None:
-        """Have a worker's room shrink or grow; its entry tells so within a heartbeat."""
+        """Change a worker's capacity; its entry follows within one heartbeat."""
         model = self.workers[life]
         model.entry = dataclasses.replace(model.entry, capacity=capacity)
         model.counted_capacity = model.counted_capacity.at_least(capacity)
@@ -209,7 +210,7 @@
             model.counted_capacity = capacity
 
     def drain(self, life: str) -> None:
-        """Have a worker state that it leaves, and leave some seconds later."""
+        """Mark a worker as draining, and end its life some seconds later."""
         model = self.workers[life]
         model.entry = dataclasses.replace(model.entry, draining=True)
         self._tell(WorkerListed(model.entry))
--- a/src/snowdock/emulator/options.py
+++ b/src/snowdock/emulator/options.py
@@ -1,4 +1,4 @@
-"""What an emulated cluster is like, and what goes wrong in it."""
+"""Options of an emulated cluster, and its faults."""
 
 import dataclasses
 
@@ -15,18 +15,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong now; may be changed while the emulator runs.
+    """Faults in effect; may be changed while the emulator runs.
 
     Attributes
     ----------
-    lost_answers
-        Share of calls to workers that are carried out and not answered.
-    late_orders
-        Share of orders that are not answered and carried out seconds later.
-    store_down
-        Whether the store takes nothing.
-    cut
-        Lives of workers that no leader reaches; they run on.
+    lost_answer_share
+        Share of calls to workers that are carried out but not answered.
+    late_order_share
+        Share of orders that are not answered, and are carried out some seconds later.
+    is_store_down
+        Whether the store refuses all appends.
+    unreachable_lives
+        Lives of workers that run but can't be reached by any leader.
     """
 
     lost_answers: float = 0.0
@@ -37,24 +37,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EmulatorOptions:
-    """The emulated cluster.
+    """Options of an emulated cluster.
 
     Attributes
     ----------
     workload
-        What is submitted, and the queues it is submitted to.
+        The queues, and the jobs that are submitted to them.
     workers, capacity, racks
-        Workers at the start, the room of each, and the racks they stand in.
-    call_s, store_s
-        What a call to a worker, and an append to the store, usually take, in seconds.
-    askers
-        Nodes that can ask the advice service.
-    terms
-        Times of all workers.
+        Number of workers at the start, capacity of each, and number of racks.
+    typical_call_s, typical_append_s
+        Typical duration of a call to a worker and of an append to the store, in seconds.
+    advice_node_count
+        Number of nodes that can call the advice service.
+    timings
+        Timings of all workers.
     lease_s
-        The lease that renewals ask for, in seconds.
-    entries_linger
-        Whether a leader that begins still finds the entries of workers that crashed just before.
+        Length of the lease that renewals request, in seconds.
+    lists_crashed_workers
+        Whether a new leader still finds the entries of workers that crashed shortly before.
     """
 
     workload: WorkloadOptions
--- a/src/snowdock/emulator/quota_checks.py
+++ b/src/snowdock/emulator/quota_checks.py
@@ -1,4 +1,4 @@
-"""Whether teams keep their quotas, checked from what the workers see."""
+"""Check of the teams' quotas, based on the runs at the workers."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -10,29 +10,29 @@
 __all__ = ["QuotaChecks"]
 
 _IN_FORCE_SECONDS = 15.0
-"""A quota that was lowered still allows what was ordered before: an order may be carried out some
-seconds after it was sent."""
+"""How long a lowered quota's old value is accepted: orders sent before may be carried out some
+seconds later."""
 
 
 _HALF = 0.5
-"""A team that has more than this part of its quota running may have jobs that wait."""
+"""A team that uses more than this share of its quota may have waiting jobs."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Version:
-    """The teams that came into force at a time."""
+    """The teams in effect from a time on."""
 
     at: float
     teams: dict[str, Team]
 
 
 class QuotaChecks:
-    """Counts what each team has running.
+    """Tracks the running tasks of each team and checks them against its quota.
 
     Parameters
     ----------
     overage
-        By what part of its quota a team may be over it.
+        Share of its quota by which a team may exceed it.
     """
 
     def __init__(self, overage: float) -> None:
@@ -43,15 +43,15 @@
         self._used: dict[str, Size] = {}
 
     def configure(self, teams: Iterable[Team], at: float) -> None:
-        """Note the quotas in force from now on."""
+        """Record the teams and quotas in effect from a time on."""
         self._versions.append(_Version(at, {team.name: team for team in teams}))
 
     def submitted(self, job: str, team: str) -> None:
-        """Note whose job it is."""
+        """Record the team of a job."""
         self._teams[job] = team
 
     def started(self, task: TaskId, life: str, size: Size, at: float) -> str:
-        """Count a start; tell what it breaks, or nothing."""
+        """Record a start; return the quota violation, or an empty string."""
         team = self._teams.get(task.job, "")
         before = self._used.get(team, ZERO)
         if not team or (task, life) in self._running:
@@ -64,14 +64,14 @@
         return f"{team} had {before} running of {most}"
 
     def ended(self, task: TaskId, life: str) -> None:
-        """Count a run no more."""
+        """Record the end of a run."""
         size = self._running.pop((task, life), None)
         if size is not None:
             team = self._teams[task.job]
             self._used[team] = self._used[team].minus(size)
 
     def has_spare(self, job: str, need: Size) -> bool:
-        """Whether a job's team has under half of its newest quota running, and the need fits."""
+        """Return whether the need fits the team's newest quota and at most half of that is used."""
         team = self._versions[-1].teams.get(self._teams.get(job, "")) if self._versions else None
         if team is None:
             return True
@@ -79,13 +79,13 @@
         return team.quota.scaled(_HALF).holds(used) and team.quota.holds(used.plus(need))
 
     def vanished(self, life: str) -> None:
-        """Count nothing more of what ran in a worker's life."""
+        """Record the end of all runs in a worker's life."""
         for task, other in list(self._running):
             if other == life:
                 self.ended(task, life)
 
     def _most(self, name: str, at: float) -> Size | None:
-        """Give the most that a team may have had running before a start; None for no bound."""
+        """Return the most that a team may have had running before a start; None if unlimited."""
         most = None
         for number, version in enumerate(self._versions):
             following = self._versions[number + 1 : number + 2]
--- a/src/snowdock/emulator/report.py
+++ b/src/snowdock/emulator/report.py
@@ -1,4 +1,4 @@
-"""What an emulated day was worth, by queue."""
+"""Report on an emulated day: the value of its jobs, by queue."""
 
 import collections
 import dataclasses
@@ -11,15 +11,15 @@
 __all__ = ["QueueReport", "Report", "format_report", "make_report"]
 
 _LATE_SHARE = 0.2
-"""What a late job still earns."""
+"""Share of its worth that a late job earns."""
 
 _LATE_FACTOR = 3.0
-"""Up to so many times its objective a job is late; after that it earns nothing."""
+"""A job that takes longer than this multiple of its objective earns nothing."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueReport:
-    """One queue's day; times in seconds from submission to the shown end."""
+    """Results of one queue; times are from submission to the published end, in seconds."""
 
     queue: str
     jobs: int
@@ -32,9 +32,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """A day: its queues, the share of all worth that was earned, and what did not hold.
-
-    ``worst_teams`` is that share for the tenth of the teams that were served worst.
+    """Results of a day.
+
+    Attributes
+    ----------
+    queues
+        Results by queue.
+    worth
+        Earned share of the worth of all jobs.
+    violations
+        Number of violated invariants.
+    worst_teams
+        Mean earned share of the tenth of the teams with the lowest shares.
     """
 
     queues: list[QueueReport]
@@ -67,7 +76,7 @@
 
 
 def make_report(emulator: Emulator, jobs: list[DrawnJob]) -> Report:
-    """Reckon what an emulated day was worth."""
+    """Compute the report on an emulated day."""
     queues = []
     teams: dict[str, list[float]] = collections.defaultdict(lambda: [0.0, 0.0])
     earned_total = owed_total = 0.0
@@ -105,7 +114,7 @@
 
 
 def format_report(report: Report) -> str:
-    """Write a report as a table."""
+    """Return a report as a table."""
     lines = [
         f"{'queue':<16}{'jobs':>6}{'in time':>9}{'late':>6}{'open':>6}{'worth':>8}{'p50 s':>8}"
     ]
--- a/src/snowdock/emulator/starvation.py
+++ b/src/snowdock/emulator/starvation.py
@@ -1,8 +1,8 @@
-"""Whether jobs run nothing beside free room, judged from what the workers see.
+"""Check for starving jobs, based on the runs at the workers.
 
-A job starves when, for longer than users allow, nothing of it runs though a task's turn has come,
-its service has room for that task twice over, and less than half of the service, and of its team's
-quota, is in use.
+A job starves if for longer than users accept, none of its tasks runs, although one is ready to
+start, its service has room for twice that task, and at most half of the service and of its team's
+quota is in use.
 """
 
 import dataclasses
@@ -16,18 +16,18 @@
 __all__ = ["ALLOWED_SECONDS", "Starvation", "Starved"]
 
 ALLOWED_SECONDS = 3.0
-"""How long users let a job run nothing beside free room."""
+"""How long users accept that a job runs nothing beside free room."""
 
 _MOSTLY_FREE = 0.5
 _SPARE_FACTOR = 2
 
 MayRun = Callable[[str, int, str], bool]
-"""(job, step, worker's life) -> whether advice lets the step run there."""
+"""(job, step, worker's life) -> whether the advice service lets the step run there."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Starved:
-    """A job that ran nothing: from when, for how many seconds so far, and its step."""
+    """A starving job: its first ready step, since when it starves, and for how many seconds."""
 
     job: str
     step: int
@@ -36,19 +36,19 @@
 
 
 class Starvation:
-    """Looks at all jobs and workers from time to time.
+    """Checks jobs and workers for starvation at regular intervals.
 
     Parameters
     ----------
     checks
-        Knows what was submitted and how runs ended.
+        Holds the submitted jobs and the ends of their runs.
     may_run
-        What advice says; the room of other workers does not count.
+        The advice service's decision; room at other workers is not counted.
 
     Attributes
     ----------
-    found
-        Jobs that starved, each with its longest time.
+    starved_jobs
+        Jobs that starved, each with its longest period.
     """
 
     def __init__(self, checks: Checks, may_run: MayRun = lambda *_: True) -> None:
@@ -59,16 +59,16 @@
         self._excused_until: dict[str, float] = {}
 
     def excuse(self, tasks: Iterable[TaskId], until: float) -> None:
-        """Let the jobs of tasks that went with their worker wait until that can be known."""
+        """Exempt the jobs of tasks lost with their worker until the loss can be detected."""
         for task in tasks:
             self._excused_until[task.job] = until
 
     def disturb(self) -> None:
-        """Begin anew, since something went wrong that excuses waiting."""
+        """Forget since when jobs are idle, because a fault explains their waiting."""
         self._idle_since.clear()
 
     def look(self, workers: Iterable[WorkerModel], open_jobs: Iterable[str], now: float) -> None:
-        """Look at the jobs that are accepted and have not ended."""
+        """Check the jobs that are accepted and have not ended."""
         up = [worker for worker in workers if worker.takes_work]
         idle: dict[str, float] = {}
         if _is_mostly_free(up):
@@ -88,7 +88,7 @@
             self.found[job] = Starved(job, step, since, seconds)
 
     def _next_step(self, job: str, workers: list[WorkerModel]) -> int | None:
-        """Give a step whose turn has come and that finds room twice over, if there is one."""
+        """Return the first ready step with room for twice its need, or None."""
         spec = self._checks.spec_of(job)
         if self._checks.is_over(job):
             return None
--- a/src/snowdock/emulator/timeline.py
+++ b/src/snowdock/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""Virtual time: calls that are due at given moments, in order."""
+"""Virtual clock with scheduled calls."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 
 class Timeline:
-    """A queue of calls by virtual time, in seconds."""
+    """Scheduled calls in order of virtual time, in seconds."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -21,11 +21,11 @@
         return self._now
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
-        """Have something called some time from now."""
+        """Schedule a call after a number of seconds."""
         heapq.heappush(self._due, (self._now + max(0.0, seconds), next(self._numbers), call))
 
     def run_until(self, end: float) -> None:
-        """Make all calls that are due until a moment."""
+        """Make all calls that are due by a time, and advance the clock to it."""
         while self._due and self._due[0][0] <= end:
             self._now, _, call = heapq.heappop(self._due)
             call()
--- a/src/snowdock/emulator/worker_calls.py
+++ b/src/snowdock/emulator/worker_calls.py
@@ -1,4 +1,4 @@
-"""Calls of emulated leaders to modelled workers, with their delays and losses."""
+"""Calls of emulated leaders to modelled workers, with delays and lost messages."""
 
 import random
 from collections.abc import Callable
@@ -22,40 +22,40 @@
 __all__ = ["Post", "WorkerCalls", "draw_delay"]
 
 _ORDER_TIMEOUT_SECONDS = 0.4
-"""When an order without an answer counts as unanswered, as at a real leader."""
+"""Timeout of an order; the same as a real leader's."""
 
 _RENEW_SLACK_SECONDS = 0.3
-"""How much longer than its wait a renewal may take, as at a real leader."""
+"""Added to a renewal's wait for its timeout; the same as a real leader's."""
 
 _LOST = object()
-"""Stands for a stop's answer that never came; a worker's own answer may be None."""
+"""Marks a stop without an answer; an answer itself may be None."""
 
 Post = Callable[[Event], None]
-"""Tells the leader that made a call of its answer."""
+"""Posts the event with a call's answer to the leader that made the call."""
 
 
 def draw_delay(source: random.Random, mean: float) -> float:
-    """Draw a delay around a typical one, in its unit."""
+    """Return a random delay around a typical one, in the same unit."""
     return mean * source.uniform(0.7, 1.6)
 
 
 class WorkerCalls:
-    """Carries orders and renewals to workers.
+    """Delivers orders and renewals to workers.
 
     Parameters
     ----------
     timeline
-        The virtual time.
-    source
-        Draws delays and faults.
+        The virtual clock.
+    rng
+        Random source of delays and faults.
     faults
-        What goes wrong now.
+        Faults in effect.
     workers
         All workers, by life.
-    call_s
-        What a call usually takes, in seconds.
-    spec_of
-        Gives the step that an order starts a task of.
+    typical_call_s
+        Typical duration of a call, in seconds.
+    find_step
+        Returns the step of the task that an order starts.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         return model if model.is_up and life not in self._faults.cut else None
 
     def _refusal_for(self, life: str) -> Refusal | None:
-        """Give what another life answers at a worker's address; None where none answers."""
+        """Return the refusal by a later life at a worker's address; None if none answers there."""
         last = self._workers[life]
         while last.successor:
             last = self._workers[last.successor]
@@ -92,7 +92,7 @@
         return Refusal.NEXT_LIFE if is_next else Refusal.OTHER_LIFE
 
     def send_start(self, post: Post, effect: SendStart) -> None:
-        """Send a start; its answer, or the lack of one, is posted."""
+        """Send a start and post its answer, or that there is none."""
         order = effect.order
         self._send_order(
             post,
@@ -103,7 +103,7 @@
         )
 
     def send_stop(self, post: Post, effect: SendStop) -> None:
-        """Send a stop; its answer, or the lack of one, is posted."""
+        """Send a stop and post its answer, or that there is none."""
         order = effect.order
 
         def answer(result) -> StopAnswered:
@@ -160,7 +160,7 @@
         self._timeline.after(seconds, arrive)
 
     def send_renew(self, post: Post, effect: SendRenewal) -> None:
-        """Send a renewal; its answer, or the lack of one, is posted."""
+        """Send a renewal and post its answer, or that there is none."""
         order = effect.order
         finished = False
 
--- a/src/snowdock/emulator/worker_model.py
+++ b/src/snowdock/emulator/worker_model.py
@@ -1,4 +1,4 @@
-"""A model of one life of a worker: leases, fencing, gangs, checkpoints, ends."""
+"""Model of one life of a worker: leases, fencing, gangs, checkpoints and ends of runs."""
 
 import dataclasses
 from collections.abc import Callable
@@ -25,23 +25,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerTerms:
-    """Times of all workers, in seconds.
+    """Timings of all workers, in seconds, and how they forget ends.
 
     Attributes
     ----------
     lease_limit_s
-        The longest lease that a worker grants.
+        Longest lease that a worker grants.
     stop_s
-        The longest that a worker takes to stop a run.
+        Longest time that a worker takes to stop a run.
     restore_s
-        What going on from a checkpoint takes.
+        Time to restore a checkpoint.
     gang_wait_s
         How long a member of a gang waits for the others.
     cancel_s
-        How long after a job was cancelled a task of it may still start.
-    forgets_anew
-        Whether each renewal makes a worker forget the ends up to the number it carries; else only
-        one with a higher number than those before does.
+        How long after its job's cancellation a task may still start.
+    forgets_ends_on_each_renewal
+        Whether each renewal makes a worker forget the ends up to the number that it acknowledges;
+        otherwise only a renewal with a higher number than all before does.
     """
 
     lease_limit_s: float = 6.0
@@ -59,9 +59,9 @@
     Attributes
     ----------
     work_s
-        What is left of it at its worker's speed, in seconds.
+        Remaining work at its worker's speed, in seconds.
     checkpoint
-        What it brought or has saved: the share of its work that is done.
+        Restored or saved checkpoint: the share of the work that is done.
     """
 
     task: TaskId
@@ -76,7 +76,7 @@
 
 
 class Gangs:
-    """Brings the members of gang runs together across workers."""
+    """Registry of the gangs' members across workers."""
 
     def __init__(self) -> None:
         self._present: dict[tuple[str, int, int, int], list[RunModel]] = {}
@@ -86,13 +86,13 @@
         return (run.task.job, run.task.repetition, run.task.step, run.run)
 
     def join(self, run: RunModel) -> list[RunModel]:
-        """Add a member; give all members once all are there, and else none."""
+        """Add a member; return all members if the gang is complete, or else an empty list."""
         members = self._present.setdefault(self._key(run), [])
         members.append(run)
         return list(members) if len(members) == run.step.count else []
 
     def leave(self, run: RunModel) -> list[RunModel]:
-        """Take a member out; give the others."""
+        """Remove a member and return the others."""
         members = self._present.get(self._key(run), [])
         if run in members:
             members.remove(run)
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunPlan:
-    """How a run goes: its seconds of work, whether it fails at its end, or ends its worker."""
+    """Plan of a run: its work in seconds, and whether it fails or crashes its worker."""
 
     seconds: float
     fails: bool = False
@@ -109,10 +109,10 @@
 
 
 Work = Callable[[TaskId, int], RunPlan]
-"""(task, run) -> how the run goes."""
+"""(task, run) -> plan of the run."""
 
 _CRASH_SECONDS = 0.01
-"""How long after its start a task ends its worker, where it does."""
+"""Time from the start of a crashing task to its worker's crash."""
 
 
 class WorkerModel:
@@ -121,38 +121,38 @@
     Parameters
     ----------
     entry
-        As it records itself.
+        The worker's first entry in the store.
     timeline
-        The virtual time.
-    terms
-        Times of all workers.
+        The virtual clock.
+    timings
+        Timings of all workers.
     gangs
-        Shared by all workers.
+        Registry of gangs, shared by all workers.
     checks
-        Told of all starts and ends.
-    work
-        How runs go.
+        Records all starts and ends.
+    plan_run
+        Returns the plan of a run.
     slowness
-        How many times longer everything takes.
+        Factor by which runs take longer.
     crash
-        Called with this worker's life where a run ends it.
+        Called with this life if a run crashes the worker.
     clock_began
-        Its steady clock at its start, in seconds.
+        Reading of the worker's steady clock at the start, in seconds.
 
     Attributes
     ----------
     entry
-        As it last recorded itself.
+        The worker's current entry.
     is_up
-        Whether this life goes on.
-    fails_all
-        Whether everything fails soon; may be changed between runs.
+        Whether this life has not ended.
+    fails_all_runs
+        Whether all runs fail shortly after their start; may be changed at any time.
     slowness
-        How many times longer everything takes; holds for later starts.
-    counted_capacity
-        The room that starts are checked against: one that has shrunk counts a while later.
+        Factor by which runs take longer; applies to later starts.
+    enforced_capacity
+        Capacity that starts are checked against; lags behind a reduced capacity.
     successor
-        The life that stands at its address after it; empty for none.
+        The next life at the same address; empty if there is none.
     """
 
     def __init__(
@@ -193,22 +193,22 @@
 
     @property
     def clock_ms(self) -> float:
-        """Its steady clock, never 0."""
+        """The worker's steady clock in ms; never 0."""
         return (self._timeline.now + self._clock_offset) * 1000
 
     @property
     def takes_work(self) -> bool:
-        """Whether it is up and does not leave."""
+        """Whether the worker is up and not draining."""
         return self.is_up and not self.entry.draining
 
     @property
     def running(self) -> list[TaskId]:
-        """The tasks that run there."""
+        """The running tasks."""
         return list(self._runs)
 
     @property
     def used(self) -> Size:
-        """The room that its runs take."""
+        """The room that the runs take."""
         total = ZERO
         for run in self._runs.values():
             total = total.plus(run.step.room)
@@ -216,13 +216,13 @@
 
     @property
     def used_cpu(self) -> int:
-        """Thousandths of a core that its runs take."""
+        """Processor capacity that the runs take, in thousandths of a core."""
         return sum(run.step.room.cpu for run in self._runs.values())
 
     # -- orders ----------------------------------------------------------------------------
 
     def start(self, order: StartOrder, step: StepSpec) -> StartResult:
-        """Start a run, as far as the order allows."""
+        """Handle an order to start a run."""
         if order.token < self._token:
             return StartResult(Refusal.FENCED, self.clock_ms)
         self._token = order.token
@@ -268,13 +268,13 @@
         return StartResult(None, self.clock_ms)
 
     def begin(self, run: RunModel) -> None:
-        """Let a run work."""
+        """Start a run's work and schedule its end."""
         run.working_since = self._timeline.now
         seconds = 0.01 if self.fails_all else run.work_s
         self._timeline.after(seconds, lambda: self._finish(run))
 
     def stop(self, order: StopOrder) -> Refusal | None:
-        """Stop a run, or refuse it for good."""
+        """Handle an order to stop a run; one that hasn't started is refused from now on."""
         if order.token < self._token:
             return Refusal.FENCED
         self._token = order.token
@@ -287,7 +287,7 @@
         return None
 
     def renew(self, order: RenewOrder, answer: Callable[[WorkerReport | Refusal], None]) -> None:
-        """Renew the lease; answer at once, or when a run ends, or after the wait."""
+        """Renew the lease; answer at once if there are ends, else at the next end or timeout."""
         if order.token < self._token:
             answer(Refusal.FENCED)
             return
@@ -362,7 +362,7 @@
                 member.worker.break_member(member)
 
     def finish_member(self, run: RunModel) -> None:
-        """End a gang's member well together with the others."""
+        """End a gang's member successfully together with the others."""
         self._gangs.leave(run)
         self._end(run, EndKind.DONE)
 
@@ -392,7 +392,7 @@
             give()
 
     def _save(self, run: RunModel) -> None:
-        """Save how much of a run is done, where its step has checkpoints."""
+        """Save a checkpoint of a run if its step has checkpoints."""
         if not run.step.checkpointing or run.working_since is None:
             return
         before = float(run.checkpoint or 0)
@@ -400,7 +400,7 @@
         run.checkpoint = f"{before + (1 - before) * share:.3f}"
 
     def crash(self) -> None:
-        """Lose everything; this life never comes back."""
+        """End this life and all its runs."""
         if not self.is_up:
             return
         self.is_up = False
--- a/src/snowdock/emulator/workload.py
+++ b/src/snowdock/emulator/workload.py
@@ -1,4 +1,4 @@
-"""Drawn workloads: queues and the jobs that callers submit to them."""
+"""Random workloads: queues and the jobs that callers submit to them."""
 
 import dataclasses
 import random
@@ -24,38 +24,38 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueMix:
-    """What comes to one queue.
+    """Distribution of the jobs of one queue.
 
     Attributes
     ----------
     queue
-        The queue's terms.
+        The queue.
     per_second
-        Jobs a second.
+        Mean rate of jobs, per second.
     steps, width
-        Mean number of steps, and of tasks a step.
+        Mean number of steps of a job, and of tasks of a step.
     cpu, memory
-        Mean size of a task.
+        Mean size of a task, in thousandths of a core and MiB.
     work_s
-        Mean work of a task in seconds.
+        Mean work of a task, in seconds.
     gang_share
         Share of steps that are gangs.
     failing_share
-        Share of runs that fail by themselves.
+        Share of runs that fail at random.
     hopeless_share
         Share of jobs that always fail.
     estimate_error
-        By how much estimates are off: 0.5 means by half to double.
+        Range of the estimates' errors: 0.5 means from 25% below the work to 50% above.
     worth
-        What a job of usual size is worth, for reports.
+        Worth of a job in reports.
     fit_share
         Share of the workers that the advice service lets a step run on.
     checkpointing_share
-        Share of steps whose tasks save their progress.
+        Share of steps whose tasks save checkpoints.
     widest_gang
-        The most tasks of a gang: on few workers no more find room at once where advice allows.
+        Most tasks of a gang; larger gangs might never fit on the few workers that advice allows.
     crashing_share
-        Share of jobs one task of which ends each worker that starts it.
+        Share of jobs with a task that crashes each worker that starts it.
     """
 
     queue: Queue
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Burst:
-    """More jobs than usual for one queue: from when, for how long, how many times as many."""
+    """Period with a higher rate of jobs for one queue: its start, length and factor."""
 
     queue: str
     at: float
@@ -88,10 +88,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkloadOptions:
-    """What is drawn: for how many seconds, how much more than usual, when even more, by whom.
+    """Options of a workload.
 
-    Without teams, jobs belong to none. Else each is one team's, drawn by the teams' weights, and
-    ``hot_team`` sends so many times as much as its weight tells.
+    Attributes
+    ----------
+    seconds
+        Length of the workload.
+    load
+        Factor on the rates of all queues.
+    mixes
+        Distributions of the queues' jobs.
+    bursts
+        Periods with higher rates.
+    teams
+        Teams that submit jobs, drawn by weight; without any, jobs belong to no team.
+    hot_team
+        Name of a team, and the factor by which it submits more than by its weight.
     """
 
     seconds: float = 30.0
@@ -102,7 +114,7 @@
     hot_team: tuple[str, float] = ("", 1.0)
 
     def factor(self, queue: str, at: float) -> float:
-        """Give how many times as many jobs as usual come to a queue at a time."""
+        """Return the factor on a queue's rate at a time."""
         found = self.load
         for burst in self.bursts:
             if burst.queue == queue and burst.at <= at < burst.at + burst.seconds:
@@ -114,7 +126,7 @@
 class DrawnJob:
     """A job, when it is submitted, and how its runs behave.
 
-    ``crashing`` is the task that ends each worker that starts it; None for none.
+    ``crashing`` is a task that crashes each worker that starts it; None if there is none.
     """
 
     job: str
@@ -145,7 +157,7 @@
 
 
 def default_mixes(with_advice: bool = True) -> tuple[QueueMix, ...]:
-    """Give the mix of a settlement service: payouts, reconciliations and lookups."""
+    """Return the mix of a settlement service: payouts, reconciliations and lookups."""
     factor = 1.0 if with_advice else 0.0
     return (
         QueueMix(
@@ -164,10 +176,10 @@
 
 
 def crowded_mixes() -> tuple[QueueMix, ...]:
-    """Give the mix of a settlement service on 270 workers, at four fifths of their processors.
+    """Return the mix of a settlement service that uses 80% of the processors of 270 workers.
 
-    Payouts are wide gangs on three workers in ten, reconciliations wide steps on a bit less than
-    half of them, lookups a flood of small jobs with a person waiting.
+    Payouts are wide gangs that may run on 30% of the workers, reconciliations wide steps that may
+    run on 45%, and lookups many small interactive jobs.
     """
     return (
         dataclasses.replace(
@@ -190,10 +202,10 @@
 
 
 def wide_mixes() -> tuple[QueueMix, ...]:
-    """Give the mix of a settlement service on 176 workers of 32 cores and 128 GiB.
+    """Return the mix of a settlement service on 176 workers of 32 cores and 128 GiB.
 
-    Payouts are gangs three of whose tasks fill a worker, and few workers may run them. Also lookups
-    ask for a good part of a worker, and memory is as tight as processors.
+    Payouts are gangs of which three tasks fill a worker, and few workers may run them. Lookups are
+    large as well, and memory is as scarce as processors.
     """
     return (
         dataclasses.replace(
@@ -224,27 +236,27 @@
     per_second: float,
     worth: float,
 ) -> QueueMix:
-    """Give a queue and what comes to it a second; its jobs are told by the caller."""
+    """Return a mix with its queue, rate and worth; the calling code sets the jobs' sizes."""
     queue = msgspec.structs.replace(_queue(name, priority, stretch, aim_ms, 0.0), advice=advice)
     return QueueMix(queue, per_second, 1.0, 1.0, 0, 0, 0.0, 0.0, 0.005, 0.0, 0.0, worth)
 
 
 def configuration_for(options: WorkloadOptions) -> Configuration:
-    """Give the configuration that a workload's queues make."""
+    """Return the configuration with a workload's queues and teams."""
     queues = tuple(mix.queue for mix in options.mixes)
     teams = TeamBook(options.teams)
     return Configuration(1, queues, (Service(_SERVICE),), teams=teams)
 
 
 def uneven_teams(count: int, quota: Size) -> tuple[Team, ...]:
-    """Give teams of uneven size that have quotas by their weights.
+    """Return teams of uneven weight with quotas in proportion to their weights.
 
     Parameters
     ----------
     count
-        How many; each next one weighs four fifths of the one before.
+        Number of teams; each has 80% of the weight of the one before.
     quota
-        What all of them together may have running.
+        Sum of the teams' quotas.
     """
     weights = [0.8**number for number in range(count)]
     total = sum(weights)
@@ -295,7 +307,7 @@
 
 
 def _draw_crashing(seed: int, jobs: list[DrawnJob]) -> list[DrawnJob]:
-    """Draw which jobs have a task that ends its workers, apart from all else that is drawn."""
+    """Draw the jobs with a crashing task, from a random source of their own."""
     source = random.Random(f"crashes of {seed}")
     drawn = []
     for job in jobs:
@@ -307,7 +319,7 @@
 
 
 def draw_workload(seed: int, options: WorkloadOptions) -> list[DrawnJob]:
-    """Draw jobs in the order of their submission; equal seeds give equal jobs."""
+    """Return random jobs in the order of their submission; equal seeds yield equal jobs."""
     source = random.Random(seed)
     jobs = []
     for mix in options.mixes:
