--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the pool of HTTP connections to one address."""
+"""Tests of the HTTP connection pool."""
 
 import threading
 import unittest
@@ -19,7 +19,7 @@
         self.addCleanup(self.pool.close)
 
     def call(self, seconds: float) -> bool:
-        """Make a call; tell whether it was answered."""
+        """Make a call; return whether it was answered."""
         try:
             self.pool.call("GET", "/", None, seconds)
         except CallUnanswered:
@@ -27,7 +27,7 @@
         return True
 
     def call_together(self) -> list[bool]:
-        """Make as many calls at the same time as the pool keeps connections."""
+        """Make as many concurrent calls as the pool keeps connections."""
         self.server.held.clear()
         received = self.server.received
         answered: list[bool] = []
@@ -44,14 +44,14 @@
         return answered
 
     def test_a_silent_pool_costs_one_time_out(self) -> None:
-        """Where all kept connections have gone silent, only the first call finds no answer."""
+        """If all idle connections stop responding, only the first call times out."""
         self.assertEqual(self.call_together(), [True] * CONNECTIONS)
         self.server.swallow()
         self.assertFalse(self.call(0.3))
         self.assertEqual(self.call_together(), [True] * CONNECTIONS)
 
     def test_answered_calls_keep_their_connections(self) -> None:
-        """Without a time-out no further connection is opened."""
+        """Without a timeout, connections are reused."""
         self.call_together()
         for _ in range(3 * CONNECTIONS):
             self.assertTrue(self.call(10.0))
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -1,4 +1,4 @@
-"""Tests of what the platform's files, entries and bodies are decoded into."""
+"""Tests of the encoding and decoding of the platform's files, entries and bodies."""
 
 import json
 import pathlib
@@ -24,7 +24,7 @@
 
 class TestJobBodies(unittest.TestCase):
     def test_every_field_reaches_its_type(self) -> None:
-        """A body with all fields is decoded field by field."""
+        """Each field of a body is decoded into its field of the job."""
         step = {
             **STEP,
             "gpu": 1,
@@ -57,18 +57,18 @@
 
     @given(st.binary(max_size=200))
     def test_any_bytes_are_taken_or_refused_by_type(self, data: bytes) -> None:
-        """No body brings anything but the typed failure."""
+        """Any malformed body raises InvalidInput."""
         with self.assertRaises(InvalidInput):
             decode_job("q", data)
 
     def test_identifiers(self) -> None:
-        """16 hexadecimal digits, and nothing else."""
+        """A job id has exactly 16 lower-case hexadecimal digits."""
         self.assertTrue(is_job_id("0123456789abcdef"))
         for text in ("", "0123456789abcde", "0123456789abcdefa", "0123456789ABCDEF", "x" * 16):
             self.assertFalse(is_job_id(text))
 
     def test_statuses(self) -> None:
-        """Each status has its own word."""
+        """Each status is encoded as its own name."""
         words = {json.loads(encode_status(status))["state"] for status in JobStatus}
         self.assertEqual(words, {"pending", "running", "completed", "failed", "cancelled"})
 
@@ -76,12 +76,12 @@
 class TestTaskNames(unittest.TestCase):
     @given(st.integers(0, 9), st.integers(0, 99), st.integers(0, 999))
     def test_names_are_read_back(self, repetition: int, step: int, index: int) -> None:
-        """A task's name is read back as it was written."""
+        """Parsing a formatted task name returns the task."""
         task = TaskId("a" * 16, repetition, step, index)
         self.assertEqual(parse_task(format_task(task)), task)
 
     def test_malformed_names(self) -> None:
-        """A malformed name is a typed failure."""
+        """A malformed name raises PlatformError."""
         for name in ("", "a", "a.b.c.d", "a.0.0"):
             with self.assertRaises(PlatformError):
                 parse_task(name)
@@ -89,7 +89,7 @@
 
 class TestConfiguration(unittest.TestCase):
     def test_queues_are_found_by_host_and_longest_prefix(self) -> None:
-        """The longest prefix among the host's queues takes a request."""
+        """The queue with the host's longest matching prefix is found."""
         found = decode_configuration(json.dumps(CONFIGURATION).encode())
         self.assertEqual(found.version, 3)
         cases = {
@@ -105,7 +105,7 @@
         self.assertEqual(found.limits.max_body_bytes, 20_000)
 
     def test_malformed_configuration(self) -> None:
-        """A malformed configuration is a typed failure."""
+        """A malformed configuration raises PlatformError."""
         for data in (b"", b"{}", b'{"version":"x"}', b'{"version":1,"routes":[{}]}'):
             with self.assertRaises(PlatformError):
                 decode_configuration(data)
@@ -113,7 +113,7 @@
 
 class TestWorkerEntries(unittest.TestCase):
     def test_entry(self) -> None:
-        """Rack, capacity and state are decoded; unknown fields are passed over."""
+        """Rack, capacity and state are decoded; unknown fields are ignored."""
         entry = decode_worker_entry(
             "i-1",
             b'{"service":"s","address":"1.2.3.4:5","zone":"z","state":"draining","seq":4,'
@@ -127,14 +127,14 @@
         self.assertEqual(entry.remaining_ms, 700)
 
     def test_malformed_entry(self) -> None:
-        """A malformed entry is a typed failure."""
+        """A malformed entry raises PlatformError."""
         with self.assertRaises(PlatformError):
             decode_worker_entry("i-1", b'{"service":1}')
 
 
 class TestSettings(unittest.TestCase):
     def test_unusable_files(self) -> None:
-        """Missing, malformed and incomplete files are typed failures."""
+        """Missing, malformed and incomplete files raise SettingsUnreadable."""
         with tempfile.TemporaryDirectory() as folder:
             for text in (None, "= 1", 'node = "a"', "node = 1"):
                 path = pathlib.Path(folder, "settings.toml")
@@ -144,7 +144,7 @@
                     read_node_environment(str(path))
 
     def test_fields(self) -> None:
-        """Units are turned into seconds and cores; unknown fields are passed over."""
+        """Units are converted to seconds and cores; unknown fields are ignored."""
         text = """
 node = "n"
 ip = "10.0.0.1"
@@ -174,14 +174,14 @@
 
 class TestRecords(unittest.TestCase):
     def test_accepted_job_is_read_back(self) -> None:
-        """What a node records is what the leader reads."""
+        """Decoding an encoded submission record returns the record."""
         job = decode_job("q", json.dumps({"spec": "x", "steps": [STEP]}).encode())
         record = AcceptedJob(job, 5, "s", 1, 3)
         self.assertEqual(decode_accepted(encode(record)), record)
 
     @given(st.binary(max_size=100))
     def test_unusable_records(self, data: bytes) -> None:
-        """Records that do not fit are typed failures."""
+        """Malformed records raise InvalidInput."""
         for decode in (decode_accepted, decode_progress):
             with self.assertRaises(InvalidInput):
                 decode(data)
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -1,4 +1,4 @@
-"""Tests of kept connections that go silent for good, without a reset, while new ones work."""
+"""Tests of idle connections that stop responding without a reset, while new ones work."""
 
 import queue
 import time
@@ -119,7 +119,7 @@
 
 class TestStoreLinks(unittest.TestCase):
     def test_append_succeeds_on_retry(self) -> None:
-        """One time-out, and what was sent on the silent connection is not on record twice."""
+        """An append is retried after a timeout and is not recorded twice."""
         store = StoreStandin()
         self.addCleanup(store.close)
         proxy = Proxy(store.address)
@@ -135,14 +135,14 @@
 
 
 class TestHttpLinks(unittest.TestCase):
-    """Workers and the advice service: the second call is made over a new connection."""
+    """After a timeout, calls to workers and the advice service use a new connection."""
 
     def setUp(self) -> None:
         self.server = Swallower()
         self.addCleanup(self.server.close)
 
     def check_reconnect(self, call) -> None:
-        """Make a call that is answered, one on a silent connection, and one more."""
+        """Check that a call on a silent connection times out and the next one reconnects."""
         self.assertTrue(self.is_answered(call, 5.0))
         self.server.swallow()
         self.assertFalse(self.is_answered(call, 0.2))
@@ -158,18 +158,18 @@
         return True
 
     def test_start_order_reconnects(self) -> None:
-        """A start is repeated under its run, which to the worker is the same."""
+        """A repeated start uses a new connection."""
         order = StartOrder(TaskId(JOB, 0, 0, 0), 1, "payload", 3, 1000)
         self.check_reconnect(self.make_call(START_PATH, encode_start(order)))
 
     def test_renewal_reconnects(self) -> None:
-        """A renewal is repeated."""
+        """A repeated renewal uses a new connection."""
         self.check_reconnect(
             self.make_call(RENEWAL_PATH, encode_renewal(RenewOrder(3, 0, 1000, 0, 0.0)))
         )
 
     def make_call(self, path: str, body: bytes):
-        """Make the function that makes a call to a worker and waits for its outcome."""
+        """Return a function that calls a worker and waits for the outcome."""
         loop = CallLoop("worker-calls")
         loop.start()
         self.addCleanup(loop.stop)
@@ -186,7 +186,7 @@
         return call
 
     def test_advice_request_reconnects(self) -> None:
-        """A question is asked again."""
+        """A repeated advice request uses a new connection."""
         client = AdviceClient(self.server.address)
         self.check_reconnect(
             lambda seconds: client.ask(AdviceRequest(JOB, 0, 0, ("w-1",)), seconds)
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client against a stand-in that speaks its protocol."""
+"""Tests of the store client against a fake store."""
 
 import unittest
 
@@ -31,7 +31,7 @@
         return self.client.append(TOPIC, 0, list(records), 2.0, **options)
 
     def test_records_are_read_back_in_order(self) -> None:
-        """Keys, values and offsets come back; a record without a value drops its key."""
+        """Keys, values and offsets are read back; a record without a value deletes its key."""
         self.assertEqual(self.append(record("a"), record("b", b"\x00\xff")), 0)
         self.assertEqual(self.append(record("a", None)), 2)
         page = self.client.read(TOPIC, 0, 0, 0.0)
@@ -45,19 +45,19 @@
         self.assertEqual(newest.next_offset, 3)
 
     def test_newest_goes_through_all_pages(self) -> None:
-        """More keys than a page holds are all given."""
+        """All keys are returned when they take several pages."""
         self.append(*(record(f"k{number:03}") for number in range(120)))
         self.assertEqual(len(self.client.newest(TOPIC, 0, 2.0).records), 120)
 
     def test_condition_on_the_end(self) -> None:
-        """An append that expects another end does nothing and tells the end."""
+        """An append with a wrong expected end fails and reports the actual end."""
         self.append(record("a"), expected_end=0)
         with self.assertRaises(AppendConflict) as caught:
             self.append(record("b"), expected_end=0)
         self.assertEqual(caught.exception.end, 1)
 
     def test_producers(self) -> None:
-        """Repeats get the first answer, gaps are refused, higher epochs shut lower ones out."""
+        """Repeats return the first offset, gaps are refused, lower epochs are fenced off."""
         first = Producer("p", 5, 1)
         self.assertEqual(self.append(record("a"), producer=first), 0)
         self.assertEqual(self.append(record("a"), producer=first), 0)
@@ -69,7 +69,7 @@
         self.assertEqual(self.append(record("b"), producer=Producer("p", 6, 1)), 1)
 
     def test_forgotten_history(self) -> None:
-        """Reading what is no longer kept names the first offset that is."""
+        """Reading expired records reports the first offset that is still stored."""
         self.append(record("a"))
         self.store.forget_history(TOPIC)
         with self.assertRaises(LogExpired) as caught:
@@ -78,7 +78,7 @@
         self.assertEqual(len(self.client.newest(TOPIC, 0, 2.0).records), 1)
 
     def test_refused_is_told_from_unanswered(self) -> None:
-        """A refusal did nothing; silence may have; no connection sent nothing."""
+        """Refused, unanswered and unsent appends are told apart."""
         self.store.refuse = True
         with self.assertRaises(StoreRefused):
             self.append(record("a"))
