--- a/src/snowdock/platform/store.py
+++ b/src/snowdock/platform/store.py
@@ -233,7 +233,7 @@
             raise PlatformError(f"the store's page has only {len(reply.data)} bytes")
         end, _first = _BOUNDS.unpack_from(reply.data)
         records = _unframe(reply.data[_BOUNDS.size :], offset)
-        # A page may end before the partition does; an empty page leaves nothing before the end.
+        # A page may end before the partition; an empty one means no records before its end.
         next_offset = offset + len(records) if records else max(offset, end)
         return StorePage(records, next_offset)
 
