--- a/src/snowdock/emulator/emulator.py
+++ b/src/snowdock/emulator/emulator.py
@@ -186,7 +186,7 @@
         self.timeline.after(pause, self.elect)
 
     def depose_leader(self) -> None:
-        """Elect another leader while the old one goes on without noticing."""
+        """Elect another leader without stopping the old one."""
         self.elect()
 
     def elect(self) -> None:
--- a/src/snowdock/platform/advice.py
+++ b/src/snowdock/platform/advice.py
@@ -36,7 +36,7 @@
         if self._http is None:
             raise PlatformError("no advice service is configured")
         step = f"{wanted.job}.{wanted.repetition}.{wanted.step}"
-        # The service knows workers by their ids.
+        # The service identifies workers by id, not by life.
         lives = {worker_id_of(life): life for life in wanted.workers}
         body = msgspec.json.encode({"step": step, "workers": list(lives)})
         reply = self._http.call("POST", "/v1/advise", body, seconds)
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -78,7 +78,7 @@
         self.assertEqual(len(self.client.newest(TOPIC, 0, 2.0).records), 1)
 
     def test_refused_is_told_from_unanswered(self) -> None:
-        """Refused, unanswered and unsent appends are told apart."""
+        """Refused, unanswered and unsent appends raise distinct errors."""
         self.store.refuse = True
         with self.assertRaises(StoreRefused):
             self.append(record("a"))
