--- a/src/snowdock/entry/advice_dispatcher.py
+++ b/src/snowdock/entry/advice_dispatcher.py
@@ -1,6 +1,6 @@
-"""Spreads questions to the advice service over the nodes.
+"""Distribution of requests to the advice service over the nodes.
 
-The service handles one call of a node at a time, in turn, so one node alone would queue.
+The service handles the calls of a node one at a time, so calls from a single node would queue.
 """
 
 import collections
@@ -25,80 +25,95 @@
 __all__ = ["AdviceDispatcher", "LocalAdviceClient"]
 
 _MAX_THREADS = 64
-"""Threads that wait for answers; at most one for each node is busy."""
+"""Threads that wait for answers; each node uses at most one at a time."""
 
 _ANSWER_SLACK_SECONDS = 2.5
-"""How much longer than told an answer may take before it counts as lost. The service goes on
-with a question that nobody waits for any more, and the node's next one queues behind it: an
-impatient caller would lose each answer in turn."""
+"""Time in addition to the expected time after which an answer counts as lost. The service does not
+abandon a request whose call has timed out, and the node's next request queues behind it, so a
+short timeout would cause each of the following calls to time out as well."""
 
 _PEER_SLACK_SECONDS = 0.3
-"""How much longer than the peer itself waits: the way there and back."""
+"""Time in addition to the peer's own timeout, for the round trip."""
 
 _HEDGE_DELAY_FACTOR = 2.0
 _HEDGE_DELAY_SECONDS = 0.15
-"""A question without an answer after so many times what it takes, and so much more, is asked by
-another node as well: the node that asks may be gone, and what it says would come seconds later."""
+"""A request without an answer after the expected time multiplied by the factor, plus the seconds,
+is also sent by a second node: the first one may have failed, and its timeout takes seconds."""
 
 _HEDGE_CHECK_SECONDS = 0.05
-"""Time between looks for such questions."""
+"""Time between checks for late requests."""
 
 _MAX_LONG_SHARE = 0.67
-"""The most of the nodes that long questions may occupy at a time, so that a short one, for a
-job with a person waiting, always finds a node soon."""
+"""Largest share of the nodes that long requests may occupy at a time, so that short requests,
+which belong to interactive jobs, find a free node soon."""
 
 
 class LocalAdviceClient:
-    """Asks the service for this node, one question at a time."""
+    """Client of the advice service for this node; sends one request at a time."""
 
     def __init__(self, address: str) -> None:
         self._client = AdviceClient(address)
         self._lock = threading.Lock()
 
     def set_address(self, address: str) -> None:
-        """Ask at another address from now on."""
+        """Use another address for the following requests."""
         self._client = AdviceClient(address)
 
     def ask(self, request: AdviceRequest, seconds: float) -> AdviceResult:
-        """Ask, waiting for questions before it."""
+        """Send a request after those before it are answered.
+
+        Parameters
+        ----------
+        request
+            The request.
+        seconds
+            Timeout of the call to the service.
+        """
         with self._lock:
             return self._client.ask(request, seconds)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _PendingQuestion:
-    """A question that is not answered yet.
+class _PendingRequest:
+    """A request that is not answered yet.
 
-    ``late_at`` is when another node is to ask it too, in steady seconds; None while it waits for
-    a node, and once that has been done.
+    Attributes
+    ----------
+    effect
+        The leader's effect, with the request and its expected time.
+    hedge_at
+        When a second node is to send it, in steady seconds; None before the first attempt, and once
+        the second one is queued.
+    open_attempts
+        Number of attempts whose result is not known yet.
     """
 
-    question: AskAdvice
+    effect: AskAdvice
     hedge_at: float | None = None
     open_attempts: int = 0
 
     @property
     def is_long(self) -> bool:
-        return self.question.expected_ms > LONG_ADVICE_REQUEST_MS
+        return self.effect.expected_ms > LONG_ADVICE_REQUEST_MS
 
 
 class AdviceDispatcher:
-    """Gives each question to a free node; one question a node at a time.
+    """Assigns each request to a free node; a node has one request at a time.
 
     Parameters
     ----------
     own_node
         This node's name.
-    local
-        Asks from this node.
+    local_client
+        Client of the service for this node.
     peers
-        Reaches the others.
+        Connections to the other nodes.
     live_nodes
-        Gives the names of the other nodes that were heard of lately.
+        Returns the names of the other nodes that have sent a heartbeat recently.
     post
         Called with each answer or failure.
     metrics
-        Times answers.
+        Records the time of each attempt.
     """
 
     def __init__(
@@ -116,30 +131,30 @@
         self._live_nodes = live_nodes
         self._post = post
         self._metrics = metrics
-        self._short_questions: collections.deque[_PendingQuestion] = collections.deque()
-        self._long_questions: collections.deque[_PendingQuestion] = collections.deque()
-        self._pending: dict[AdviceRequest, _PendingQuestion] = {}
-        self._in_progress: dict[str, _PendingQuestion] = {}
+        self._short_requests: collections.deque[_PendingRequest] = collections.deque()
+        self._long_requests: collections.deque[_PendingRequest] = collections.deque()
+        self._pending: dict[AdviceRequest, _PendingRequest] = {}
+        self._in_progress: dict[str, _PendingRequest] = {}
         self._stopped = threading.Event()
         self._lock = threading.Lock()
         self._pool = concurrent.futures.ThreadPoolExecutor(_MAX_THREADS, "adviser")
-        ServiceThread(self._hedge_late_questions, "advisers", self._stopped.is_set).start()
+        ServiceThread(self._hedge_late_requests, "advisers", self._stopped.is_set).start()
 
-    def ask(self, question: AskAdvice) -> None:
-        """Have a question asked by some node."""
-        pending = _PendingQuestion(question)
+    def ask(self, effect: AskAdvice) -> None:
+        """Queue a request for the next free node."""
+        pending = _PendingRequest(effect)
         with self._lock:
-            self._pending[question.request] = pending
-            (self._long_questions if pending.is_long else self._short_questions).append(pending)
+            self._pending[effect.request] = pending
+            (self._long_requests if pending.is_long else self._short_requests).append(pending)
         self._dispatch()
 
     def stop(self) -> None:
-        """Ask nothing more."""
+        """Drop all requests and send no more."""
         self._stopped.set()
         with self._lock:
             self._pending.clear()
-            self._short_questions.clear()
-            self._long_questions.clear()
+            self._short_requests.clear()
+            self._long_requests.clear()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def _dispatch(self) -> None:
@@ -149,9 +164,9 @@
             long_count = sum(each.is_long for each in self._in_progress.values())
             max_long = max(1, int(len(nodes) * _MAX_LONG_SHARE))
             while idle and (
-                self._short_questions or (self._long_questions and long_count < max_long)
+                self._short_requests or (self._long_requests and long_count < max_long)
             ):
-                pending = (self._short_questions or self._long_questions).popleft()
+                pending = (self._short_requests or self._long_requests).popleft()
                 long_count += pending.is_long
                 node = idle.pop()
                 self._in_progress[node] = pending
@@ -159,16 +174,16 @@
                 self._pool.submit(self._ask, pending, node)
 
     @staticmethod
-    def _record_attempt(pending: _PendingQuestion) -> None:
+    def _record_attempt(pending: _PendingRequest) -> None:
         pending.open_attempts += 1
         if pending.open_attempts == 1:
             hedge_delay_s = (
-                pending.question.expected_ms / 1000 * _HEDGE_DELAY_FACTOR + _HEDGE_DELAY_SECONDS
+                pending.effect.expected_ms / 1000 * _HEDGE_DELAY_FACTOR + _HEDGE_DELAY_SECONDS
             )
             pending.hedge_at = steady_seconds() + hedge_delay_s
 
-    def _hedge_late_questions(self) -> None:
-        """Have questions that are late asked by another node, too."""
+    def _hedge_late_requests(self) -> None:
+        """Queue late requests for a second node until stopped."""
         while not self._stopped.wait(_HEDGE_CHECK_SECONDS):
             now = steady_seconds()
             with self._lock:
@@ -177,29 +192,27 @@
                 ]
                 for each in late:
                     each.hedge_at = None
-                    (self._long_questions if each.is_long else self._short_questions).appendleft(
-                        each
-                    )
+                    (self._long_requests if each.is_long else self._short_requests).appendleft(each)
             for each in late:
-                log_event("advice_late", job=each.question.request.job, tries=each.open_attempts)
+                log_event("advice_late", job=each.effect.request.job, tries=each.open_attempts)
             if late:
                 self._dispatch()
 
-    def _ask(self, pending: _PendingQuestion, node: str) -> None:
-        question = pending.question
-        request = question.request
-        seconds = question.expected_ms / 1000 + _ANSWER_SLACK_SECONDS
+    def _ask(self, pending: _PendingRequest, node: str) -> None:
+        effect = pending.effect
+        request = effect.request
+        seconds = effect.expected_ms / 1000 + _ANSWER_SLACK_SECONDS
         started_at = steady_seconds()
         try:
             if node == self._own_node:
                 tickets = self._local_client.ask(request, seconds).tickets
             else:
-                tickets = self._ask_peer(node, question, seconds)
+                tickets = self._ask_peer(node, effect, seconds)
         except PlatformError as error:
             log_event("advice_unanswered", job=request.job, by=node, reason=str(error))
             tickets = None
         except Exception as error:
-            # The node stays usable, and the step is asked about again.
+            # The failure is posted, and the leader requests advice for the step again.
             log_error("adviser_failed", error, job=request.job, by=node)
             tickets = None
         self._metrics.time(
@@ -209,18 +222,18 @@
         self._dispatch()
 
     def _finish_attempt(
-        self, pending: _PendingQuestion, node: str, tickets: dict[str, str] | None
+        self, pending: _PendingRequest, node: str, tickets: dict[str, str] | None
     ) -> None:
-        """Tell of a question's first answer, or that all who asked it had none."""
-        request = pending.question.request
+        """Post the first answer to a request, or a failure once all its attempts have failed."""
+        request = pending.effect.request
         with self._lock:
             del self._in_progress[node]
             is_first = self._pending.get(request) is pending
             pending.open_attempts -= 1
             is_last = (
                 not pending.open_attempts
-                and pending not in self._short_questions
-                and pending not in self._long_questions
+                and pending not in self._short_requests
+                and pending not in self._long_requests
             )
             if is_first and (tickets is not None or is_last):
                 del self._pending[request]
@@ -230,13 +243,13 @@
         elif is_first and is_last:
             self._post(AdviceFailed(request))
 
-    def _remove_from_queues(self, pending: _PendingQuestion) -> None:
-        for question_queue in (self._short_questions, self._long_questions):
+    def _remove_from_queues(self, pending: _PendingRequest) -> None:
+        for request_queue in (self._short_requests, self._long_requests):
             with contextlib.suppress(ValueError):
-                question_queue.remove(pending)
+                request_queue.remove(pending)
 
-    def _ask_peer(self, node: str, question: AskAdvice, seconds: float) -> dict[str, str] | None:
-        request = question.request
+    def _ask_peer(self, node: str, effect: AskAdvice, seconds: float) -> dict[str, str] | None:
+        request = effect.request
 
         def build_request(number: int) -> AdviceRelayRequest:
             return AdviceRelayRequest(
--- a/src/snowdock/entry/daemon.py
+++ b/src/snowdock/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of an entry VM: starts its parts, reloads its settings, stops them in order."""
+"""The daemon of an entry VM: starts its components, reloads settings and shuts down in order."""
 
 import argparse
 import os
@@ -40,52 +40,53 @@
 __all__ = ["EntryNode", "main"]
 
 _HEARTBEAT_SECONDS = 0.2
-"""Time between a leader's heartbeats to those that would take its place."""
+"""Time between a leader's heartbeats to the peers that are first in line to replace it."""
 
 _INFREQUENT_HEARTBEAT_FACTOR = 3
-"""All others get each third one, and so does a leader from them: a leader of 97 nodes sends and
-receives some 400 a second, where it would be 960."""
+"""The other peers get every third heartbeat, and send the leader heartbeats at the same rate. This
+limits the traffic of the leader of a large cluster."""
 
 _FREQUENT_PEERS = 12
-"""How many peers watch a leader closely: of so many, some outlive whatever it dies of."""
+"""Number of peers that get every heartbeat of a leader; enough to survive a common failure."""
 
 _NOT_READY_SECONDS = 0.5
-"""A node whose reads of the store have failed for this long sends callers elsewhere."""
+"""A node reports itself as not ready once its reads of the store have failed for this long."""
 
 _STORE_CONNECTIONS = 24
-"""Connections to the store that are kept: one for each of the front's 20 threads, and a few."""
+"""Pooled connections to the store: one for each of the listener's 20 threads, and a few more."""
 
 _DRAIN_SECONDS = 2.5
-"""How long a stopping node goes on taking requests: the balancer needs two failed probes, one
-a second, to send no new connections."""
+"""How long a stopping node still accepts requests. The load balancer probes once a second, and
+needs two failed probes to stop sending new connections."""
 
 _SHUTDOWN_RESERVE_SECONDS = 1.0
-"""What is left of the time to stop when requests are waited for no longer."""
+"""Part of the grace period that is kept for the rest of the shutdown."""
 
 _MIN_DRAIN_SECONDS = 1.0
-"""Requests are waited for so long at least, however short the time to stop."""
+"""Shortest wait for open requests, even if the grace period is shorter."""
 
 _LOST_THREAD_EXIT_STATUS = 70
-"""The exit status of a daemon that has lost a thread: an internal error, as `sysexits.h` has it."""
+"""Exit status of a daemon whose service thread has ended: `EX_SOFTWARE` of `sysexits.h`."""
 
 _DRAIN_POLL_SECONDS = 0.02
-"""Time between looks whether the last request is answered."""
+"""Time between checks whether all requests are answered."""
 
 
 class EntryNode:
-    """All parts of one entry VM's daemon."""
+    """Creates and connects the components of an entry VM's daemon."""
 
     def __init__(self, environment: NodeEnvironment) -> None:
         self._environment = environment
         self._metrics = Metrics()
         self._stopping = threading.Event()
         self._lost_thread = ""
-        self._peer_book = PeerDirectory()
+        self._peer_directory = PeerDirectory()
         self._store = StoreClient(environment.store.address, _STORE_CONNECTIONS, environment.node)
         self._advice_client = LocalAdviceClient(environment.advice_address)
         identity = NodeIdentity(environment.node, secrets.token_hex(4), environment.peer_address)
         self._identity = identity
-        # Each part is made before the parts that call it are started.
+        # Components are started only after all of them exist, so the callbacks may refer to later
+        # ones.
         self._election = Election(
             self._store,
             identity,
@@ -144,7 +145,7 @@
         self._settings_watcher = SettingsWatcher(self._apply_environment)
 
     def run(self) -> int:
-        """Serve until told to stop, or until a thread is lost; give the exit status."""
+        """Serve until stopped or until a service thread ends; return the exit status."""
         on_lost_thread(self._handle_lost_thread)
         self._peers.start()
         self._configuration_watcher.start()
@@ -165,17 +166,17 @@
         return self._shut_down()
 
     def stop(self) -> None:
-        """Ask for a planned stop."""
+        """Request an orderly stop."""
         self._stopping.set()
 
     def _handle_lost_thread(self, name: str) -> None:
-        """Stop: what the thread did is done by nobody here any more."""
+        """Stop the node, since the work of the ended thread is no longer done."""
         self._lost_thread = self._lost_thread or name
         self._metrics.count("threads_lost_total", "Threads that ended unasked.", thread=name)
         self._stopping.set()
 
     def reload(self) -> None:
-        """Read the settings file again."""
+        """Reload the settings file."""
         self._settings_watcher.request_reload()
 
     def _is_ready(self) -> bool:
@@ -203,7 +204,7 @@
 
     def _make_leader_context(self, epoch: int) -> LeaderContext:
         environment = self._environment
-        live_peers = self._peer_book.live_peers
+        live_peers = self._peer_directory.live_peers
         return LeaderContext(
             store=self._store,
             parts=environment.store.parts,
@@ -224,7 +225,7 @@
 
     def _handle_deposition(self, reason: str) -> None:
         self._leadership.depose(reason)
-        # Whom it followed follows another; its links to all would be made anew again and again.
+        # The peers now connect to another leader; links to them would be reopened repeatedly.
         self._peers.set_addresses({})
 
     def _connect_to_leader(self, leader: LeaderRecord) -> None:
@@ -242,27 +243,29 @@
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._election.handle_heartbeat(heartbeat)
         self._configuration_watcher.handle_heartbeat(heartbeat)
-        is_new = self._peer_book.record_heartbeat(heartbeat)
+        is_new = self._peer_directory.record_heartbeat(heartbeat)
         if self._election.own_epoch and is_new:
             self._connect_peers()
 
     def _frequent_peers(self) -> set[str]:
-        """Give the peers that get each heartbeat of a leader."""
+        """Return the peers that get every heartbeat; none unless this node leads."""
         return (
-            self._peer_book.strongest_peers(_FREQUENT_PEERS) if self._election.own_epoch else set()
+            self._peer_directory.strongest_peers(_FREQUENT_PEERS)
+            if self._election.own_epoch
+            else set()
         )
 
     def _connect_peers(self) -> None:
-        """Connect to all peers that were heard of; only a leader asks them anything."""
-        self._peers.set_addresses(self._peer_book.addresses())
+        """Connect to all known peers; only a leader sends them requests."""
+        self._peers.set_addresses(self._peer_directory.addresses())
 
-    # -- the end ---------------------------------------------------------------------------
+    # -- shutdown --------------------------------------------------------------------------
 
     def _shut_down(self) -> int:
         started_at = steady_seconds()
         drain_s = max(_MIN_DRAIN_SECONDS, self._environment.grace_s - _SHUTDOWN_RESERVE_SECONDS)
         if self._lost_thread:
-            # Nobody may be there to finish what is in flight.
+            # The thread that would finish the open requests may be the one that ended.
             drain_s = _MIN_DRAIN_SECONDS
         deadline = started_at + drain_s
         log_event("draining", leads=bool(self._election.own_epoch))
@@ -285,7 +288,7 @@
 def main() -> None:
     """Run the daemon."""
     parser = argparse.ArgumentParser(prog="snowdock-entry", description=__doc__)
-    parser.add_argument("--check", action="store_true", help="check the settings and end")
+    parser.add_argument("--check", action="store_true", help="check the settings and exit")
     options = parser.parse_args()
     try:
         environment = read_node_environment()
@@ -302,7 +305,7 @@
     signal.signal(signal.SIGHUP, lambda *_: node.reload())
     status = node.run()
     log_sink.close()
-    # Threads that wait for outside systems may not end by themselves.
+    # Threads blocked in calls to external systems may not end.
     os._exit(status)
 
 
--- a/src/snowdock/entry/election.py
+++ b/src/snowdock/entry/election.py
@@ -1,8 +1,8 @@
-"""Which node leads: agreed by conditional appends to the store.
+"""Leader election by conditional appends to a partition of the store.
 
-A claim is appended on condition that nobody has appended since the claimant last looked, and
-a leader renews its record often. So a claim succeeds only where the leader has been silent,
-and the claim's offset gives an epoch that rises with each leader.
+A node claims the leadership by an append that succeeds only if no other record was appended since
+the node's last read. A leader renews its record often, so that a claim succeeds only after the
+renewals have stopped. The offset of the claim determines the epoch, which rises with each leader.
 """
 
 import random
@@ -23,9 +23,9 @@
 from ..platform.store import StoreClient
 from ..threads import ServiceThread
 from .known_leader import KnownLeader
+from .leader_liveness import find_end_evidence
 from .leader_log import LeaderLog
 from .leader_record import LeaderRecord, NodeIdentity
-from .leader_signs import find_end_evidence
 from .leader_watch import LeaderWatch
 from .messages import Heartbeat
 from .renewals import MAX_CALL_SECONDS, Renewals
@@ -34,44 +34,44 @@
 __all__ = ["Election"]
 
 _RENEWAL_INTERVAL_SECONDS = 0.3
-"""Time between a leader's renewals; each is one write to the store."""
+"""Interval between a leader's renewals; each is one append to the store."""
 
 _POLL_SECONDS = 0.1
-"""Pause after a failed call, and between looks whether the leader is heard."""
+"""Pause after a failed call, and between checks whether the leader is alive."""
 
 _MAX_CLAIM_JITTER_SECONDS = 0.08
-"""Spreads claims of nodes that miss the leader at the same time."""
+"""Upper bound of the random delay that spreads the claims of several nodes."""
 
 _MIN_TERM_SECONDS = 3.0
-"""A leader that has begun later than this hands over to nobody: each takeover costs some tenths
-of a second in which nothing is placed."""
+"""A leader hands over only after this time, since each change of leader stops the
+placement of tasks for some tenths of a second."""
 
 _UNKNOWN_INCARNATION = ""
-"""Stands for the process of a leader that was heard of, and not read of on record."""
+"""Stands for the incarnation of a leader known only by its heartbeats."""
 
 _SUCCESSOR_HEAD_START_SECONDS = 0.4
-"""How long all others leave it to the successor that a resigning leader names to claim."""
+"""How long the other nodes wait for a claim by the successor that a resigning leader names."""
 
 
 class Election:
-    """Follows who leads, and claims or renews the leadership of this node.
+    """Follows the leader, and claims, renews and hands over the leadership of this node.
 
     Parameters
     ----------
     store
         The store.
     identity
-        This node.
+        The identity of this node.
     claim_delay_s
-        How long this node leaves it to stronger ones to claim first, in seconds.
+        How long this node waits before a claim, to let stronger nodes claim first, in seconds.
     reaches_store
-        Whether the store has answered this node lately.
-    elected
+        Returns whether the store has answered this node recently.
+    on_elected
         Called with the epoch when this node has become the leader.
-    deposed
-        Called with the reason when it no longer leads.
-    leader_changed
-        Called with the record of another node that leads now.
+    on_deposed
+        Called with the reason when this node is no longer the leader.
+    on_leader_changed
+        Called with the record of another node that has become the leader.
     """
 
     def __init__(
@@ -96,8 +96,8 @@
         self._wake = threading.Event()
         self._may_claim = True
         self._renewals = Renewals()
-        self._known = KnownLeader()
-        self._watch = LeaderWatch(self._log, self._known, self._apply_records)
+        self._known_leader = KnownLeader()
+        self._watch = LeaderWatch(self._log, self._known_leader, self._apply_records)
         self._own_epoch = 0
         self._elected_at = 0.0
         self._turnover = 0
@@ -108,50 +108,50 @@
 
     @property
     def leader(self) -> LeaderRecord | None:
-        """The newest leader known, this node or another."""
-        return self._known.record
+        """The newest known leader, this node or another."""
+        return self._known_leader.record
 
     @property
     def own_epoch(self) -> int:
-        """The epoch in which this node leads; 0 where it does not."""
+        """The epoch in which this node leads; 0 if it is not the leader."""
         return self._own_epoch
 
     @property
     def turnover(self) -> int:
-        """How many leaderships just before this node's newest one were taken over too soon."""
+        """The number of consecutive short terms before this node's last term."""
         return self._turnover
 
     @property
     def renewed_s(self) -> float:
-        """Seconds since this node's leadership was last on record."""
+        """Seconds since this node's last recorded renewal."""
         return self._renewals.age_s
 
     @property
     def is_isolated(self) -> bool:
-        """Whether this node reaches neither the store nor a peer, having had peers before."""
+        """Whether this node has lost contact with the store and with all former peers."""
         if not self._last_peer_heartbeat_at or self.renewed_s < ISOLATION_TIMEOUT_SECONDS:
             return False
         return steady_seconds() - self._last_peer_heartbeat_at > ISOLATION_TIMEOUT_SECONDS
 
     @property
     def leader_finds_store_slow(self) -> bool:
-        """Whether another node that leads has told lately that its appends take long."""
-        return self._known.is_alive and self._known.liveness.store_is_slow
+        """Whether another node is the leader and has recently reported slow appends."""
+        return self._known_leader.is_alive and self._known_leader.liveness.store_is_slow
 
     @property
     def leader_is_alive(self) -> bool:
-        """Whether another node that leads has been heard of lately, and reaches the store."""
-        return self._known.is_alive
+        """Whether another node is the leader, and its heartbeats and renewals are on time."""
+        return self._known_leader.is_alive
 
     def make_heartbeat(self, due_s: float, heard_s: float | None) -> Heartbeat:
-        """Make the heartbeat to send to a peer.
+        """Return the heartbeat to send to a peer.
 
         Parameters
         ----------
         due_s
-            In how many seconds that peer gets the next one.
+            Seconds until the next heartbeat to this peer.
         heard_s
-            How many seconds ago that peer was heard; None for never.
+            Seconds since the last heartbeat received from this peer; None for never.
         """
         identity = self._identity
         return Heartbeat(
@@ -167,49 +167,53 @@
             heard_s,
         )
 
-    def handle_heartbeat(self, beat: Heartbeat) -> None:
-        """Take over a peer's heartbeat."""
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Handle a heartbeat of a peer."""
         now = steady_seconds()
         self._last_peer_heartbeat_at = now
-        self._successors.record_heartbeat(beat, now)
-        if self._is_newer_leader(beat):
-            self._follow_unrecorded_leader(beat)
-        leader = self._known.record
-        if leader is None or beat.node != leader.node:
+        self._successors.record_heartbeat(heartbeat, now)
+        if self._is_newer_leader(heartbeat):
+            self._follow_unrecorded_leader(heartbeat)
+        leader = self._known_leader.record
+        if leader is None or heartbeat.node != leader.node:
             return
-        if beat.epoch >= leader.epoch:
-            self._known.liveness.record_heartbeat(beat)
-        elif beat.resigned:
-            self._known.liveness.mark_silent()
+        if heartbeat.epoch >= leader.epoch:
+            self._known_leader.liveness.record_heartbeat(heartbeat)
+        elif heartbeat.resigned:
+            self._known_leader.liveness.mark_silent()
             self._wake.set()
 
-    def _is_newer_leader(self, beat: Heartbeat) -> bool:
-        """Whether a heartbeat is of a leader of whom this node cannot read on record.
+    def _is_newer_leader(self, heartbeat: Heartbeat) -> bool:
+        """Check whether a heartbeat comes from a newer leader whose record this node cannot read.
 
-        Where it can, the record tells more: how often leaders have changed just before.
+        A node that reaches the store reads the record instead, since it includes the turnover.
         """
-        known_epoch = self._known.record.epoch if self._known.record is not None else 0
-        is_newer = beat.epoch > max(known_epoch, self._own_epoch) and not beat.resigned
+        known_epoch = (
+            self._known_leader.record.epoch if self._known_leader.record is not None else 0
+        )
+        is_newer = heartbeat.epoch > max(known_epoch, self._own_epoch) and not heartbeat.resigned
         return is_newer and not self._reaches_store()
 
-    def _follow_unrecorded_leader(self, beat: Heartbeat) -> None:
-        """Follow a leader that was granted the lead while this node did not reach the store.
+    def _follow_unrecorded_leader(self, heartbeat: Heartbeat) -> None:
+        """Follow a leader known by its heartbeat, elected while this node cannot reach the store.
 
-        Else its callers would be told that nobody leads for as long as that lasts.
+        Callers of this node would otherwise get the answer that there is no leader.
         """
-        log_event("leader_heard", leader=beat.node, epoch=beat.epoch)
-        self.step_down(f"{beat.node} leads in a later epoch")
-        record = LeaderRecord(beat.node, _UNKNOWN_INCARNATION, beat.address, beat.epoch)
-        self._known.update(record)
-        self._known.liveness.start_term()
+        log_event("leader_heard", leader=heartbeat.node, epoch=heartbeat.epoch)
+        self.step_down(f"{heartbeat.node} leads in a later epoch")
+        record = LeaderRecord(
+            heartbeat.node, _UNKNOWN_INCARNATION, heartbeat.address, heartbeat.epoch
+        )
+        self._known_leader.update(record)
+        self._known_leader.liveness.start_term()
         self._on_leader_changed(record)
 
     def start(self) -> None:
-        """Start following and, where nobody leads, claiming."""
+        """Start the election thread."""
         self._thread.start()
 
     def resign(self) -> None:
-        """Give the leadership back, and claim it no more; for a planned stop."""
+        """Resign the leadership, and make no further claims; for a planned stop."""
         self._may_claim = False
         self._append_resignation("")
 
@@ -224,18 +228,18 @@
             log_event("resign_unrecorded", epoch=epoch, reason=str(error))
 
     def step_down(self, reason: str) -> None:
-        """Lead no more: another node has been seen to lead."""
+        """End this node's leadership because another node leads or this one cannot."""
         if self._own_epoch:
             self._own_epoch = 0
             self._log.reset_position()
             self._on_deposed(reason)
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop the election thread."""
         self._stopped.set()
         self._wake.set()
 
-    # -- the thread ------------------------------------------------------------------------
+    # -- election thread -----------------------------------------------------------------
 
     def _run(self) -> None:
         while not self._stopped.is_set():
@@ -245,7 +249,7 @@
                 log_event("election_call_failed", reason=str(error), epoch=self._own_epoch)
                 pause = _POLL_SECONDS
             except Exception as error:
-                # Without this thread the node would neither follow nor lead any more.
+                # The node can neither follow nor lead without this thread.
                 log_error("election_failed", error, epoch=self._own_epoch)
                 pause = _POLL_SECONDS
             self._wake.wait(pause)
@@ -258,7 +262,7 @@
         seconds: float = MAX_CALL_SECONDS,
         successor: str = "",
     ) -> None:
-        """Append an own record, on condition that nobody has appended since the last look."""
+        """Append a record of this node, provided that there was no append since the last read."""
         record = self._identity.make_record(epoch, resigned, successor, self._turnover)
         self._log.append(record, seconds)
 
@@ -279,37 +283,39 @@
                 self._stopped.wait(_POLL_SECONDS)
                 continue
             self._renewals.record_success(started_at)
-            if self._transfer_leadership():
+            if self._hand_over_leadership():
                 return 0.0
             return max(0.0, started_at + _RENEWAL_INTERVAL_SECONDS - steady_seconds())
         return 0.0
 
-    def _transfer_leadership(self) -> bool:
-        """Give the leadership to a stronger node, where there is one; tell whether it was."""
+    def _hand_over_leadership(self) -> bool:
+        """Hand over to a stronger node, if there is one; return whether it did."""
         now = steady_seconds()
         successor = self._successors.choose_successor(now)
         if successor is None or now - self._elected_at < _MIN_TERM_SECONDS:
             return False
         log_event("handing_over", epoch=self._own_epoch, successor=successor)
         self._append_resignation(successor)
-        self._on_deposed(f"{successor} can bear more")
+        self._on_deposed(f"{successor} was named as the successor")
         self._follow_own_resignation(successor)
         return True
 
     def _follow_own_resignation(self, successor: str) -> None:
-        """Follow on from the own resignation as any other node does."""
-        own = self._known.record
-        self._known.update(msgspec.structs.replace(own, resigned=True, successor=successor))
-        self._known.liveness.mark_silent()
+        """Update the known leader by this node's own resignation."""
+        record = self._known_leader.record
+        self._known_leader.update(
+            msgspec.structs.replace(record, resigned=True, successor=successor)
+        )
+        self._known_leader.liveness.mark_silent()
 
     def _still_leads(self, epoch: int) -> bool:
-        """Read on after a conflict; only an own renewal whose answer was lost explains it."""
-        found = self._log.read_new(0.0)
-        if found is None:
-            found = self._log.read_newest(MAX_CALL_SECONDS)
+        """Check whether a conflict was caused only by a renewal whose answer was lost."""
+        records = self._log.read_new(0.0)
+        if records is None:
+            records = self._log.read_newest(MAX_CALL_SECONDS)
         return all(
             record.epoch == epoch and record.incarnation == self._identity.incarnation
-            for record in found
+            for record in records
         )
 
     def _follow(self) -> float:
@@ -334,34 +340,34 @@
         return 0.0
 
     def _leader_is_gone(self) -> bool:
-        """Whether it is evident that the leader leads no more, without watching for renewals.
+        """Check whether there is evidence that the leader is gone.
 
-        That spares the wait only; the claim's condition decides whether it is granted.
+        Evidence only saves the wait for a renewal; the conditional append still decides the claim.
         """
-        leader = self._known.record
+        leader = self._known_leader.record
         if leader is None or leader.resigned:
             return False
         evidence = find_end_evidence(
-            leader, self._identity, self._known.liveness, self._reaches_store
+            leader, self._identity, self._known_leader.liveness, self._reaches_store
         )
-        self._known.is_evidently_gone = evidence is not None
+        self._known_leader.is_evidently_gone = evidence is not None
         if evidence is not None and self._gone_epoch_logged != leader.epoch:
             self._gone_epoch_logged = leader.epoch
             log_event("leader_gone", leader=leader.node, epoch=leader.epoch, reason=evidence)
         return evidence is not None
 
     def _other_successor_is_named(self) -> bool:
-        """Whether the leader that has resigned named another node to claim next."""
-        leader = self._known.record
+        """Check whether the leader has resigned and named another node as its successor."""
+        leader = self._known_leader.record
         if leader is None or not leader.resigned:
             return False
         return leader.successor not in ("", self._identity.node)
 
     def _apply_records(self, records: list[LeaderRecord]) -> None:
         leader = records[-1] if records else None
-        if leader is None or leader == self._known.record:
+        if leader is None or leader == self._known_leader.record:
             return
-        self._known.update(leader)
+        self._known_leader.update(leader)
         log_event(
             "leader_seen",
             leader=leader.node,
@@ -370,19 +376,19 @@
             turnover=leader.turnover,
         )
         if leader.incarnation == self._identity.incarnation and not leader.resigned:
-            # An own claim whose answer was lost.
+            # A claim of this node whose answer was lost.
             self._start_term(leader)
         elif leader.incarnation != self._identity.incarnation:
             self._resigned = self._resigned and not self._may_claim
             if leader.resigned:
-                self._known.liveness.mark_silent()
+                self._known_leader.liveness.mark_silent()
             else:
-                self._known.liveness.start_term()
+                self._known_leader.liveness.start_term()
             self._on_leader_changed(leader)
 
     def _claim(self) -> None:
         epoch = self._log.next_epoch
-        self._turnover = self._known.next_turnover()
+        self._turnover = self._known_leader.next_turnover()
         try:
             self._append(epoch, False)
         except AppendConflict:
@@ -393,7 +399,7 @@
         self._start_term(self._identity.make_record(epoch, turnover=self._turnover))
 
     def _start_term(self, record: LeaderRecord) -> None:
-        self._known.update(record)
+        self._known_leader.update(record)
         self._resigned = False
         self._turnover = record.turnover
         self._elected_at = steady_seconds()
--- a/src/snowdock/entry/record_cleaner.py
+++ b/src/snowdock/entry/record_cleaner.py
@@ -1,7 +1,7 @@
-"""Takes records off the store that nobody needs any more.
+"""Deletes obsolete job records from the store.
 
-What a new leader reads before it can lead grows with these records, and so does the time in which
-nothing is placed: on a node of 0.12 of a core each 100 jobs on record cost some 0.9 s.
+A new leader reads all records before it places tasks, so the duration of a takeover grows with
+their number.
 """
 
 import queue
@@ -19,20 +19,22 @@
 
 __all__ = ["RecordCleaner"]
 
-_GATHER_SECONDS = 2.0
-"""Records that go within this time go together: one append for each partition."""
+_BATCH_SECONDS = 2.0
+"""Records dropped within this time are combined into one append for each partition."""
 
 _APPEND_TIMEOUT_SECONDS = 1.0
-"""How long one append may take; what fails stays on record, which costs only room and time."""
+"""Timeout of one append. Records whose deletion fails stay, which costs only space and time."""
 
 
 class RecordCleaner:
-    """A thread that drops records of jobs.
+    """A thread that deletes job records.
 
     Parameters
     ----------
-    store, parts
-        The store, and the partitions of its topics.
+    store
+        The store.
+    partition_count
+        Number of partitions of the topic of jobs.
     """
 
     def __init__(self, store: StoreClient, partition_count: int) -> None:
@@ -47,15 +49,15 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Drop nothing more."""
+        """Stop the thread; queued records are not deleted."""
         self._stopped.set()
 
     def clean(self, effect: DropJobs | ForgetAccepted) -> None:
-        """Drop records soon."""
+        """Queue records for deletion."""
         self._pending.put(effect)
 
     def _run(self) -> None:
-        while not self._stopped.wait(_GATHER_SECONDS):
+        while not self._stopped.wait(_BATCH_SECONDS):
             ended_names: set[str] = set()
             dropped_jobs: list[JobId] = []
             while not self._pending.empty():
--- a/src/snowdock/entry/recorder.py
+++ b/src/snowdock/entry/recorder.py
@@ -1,8 +1,8 @@
-"""Puts records of jobs on the store: those that come together go together.
+"""Batched appends of job records to the store.
 
-A partition of the store takes its appends in turn. While one append of this node is on its way,
-further records for the partition wait and go with the next, so that a store that has become slow
-takes as many jobs as come.
+The store handles the appends to a partition one at a time. While an append of this node is in
+progress, further records for that partition wait and are sent together in the next one, so that the
+throughput is kept when the store is slow.
 """
 
 import dataclasses
@@ -25,44 +25,45 @@
 
 _MIN_ATTEMPT_SECONDS = 0.8
 _MAX_ATTEMPT_SECONDS = 2.0
-"""Bounds of one try to put records on the store. An append takes some 10 ms, that of a store 80
-times as slow some 500: one that is given up before is carried out all the same, and its repeat
-takes a turn of the partition that others wait for."""
+"""Bounds of the timeout of one append. An append usually takes about 10 ms, and half a second on a
+very slow store. The store still applies an append that has timed out, so repeating it early would
+only add to the partition's queue."""
 
-_TRYING_SECONDS = 0.5
-"""A record that has been tried for this long is not tried again: callers wait about 3 s, and
-their own retries meet other nodes, which may reach the store where this one does not."""
+_RETRY_PERIOD_SECONDS = 0.5
+"""No further attempt starts after this time. Callers wait about 3 s, and their own retries go to
+other nodes, which may reach the store when this one does not."""
 
 _MIN_WAIT_SECONDS = 0.05
-"""An append is waited for so long at least: a usual one takes 10 ms."""
+"""Shortest wait for an append, which usually takes 10 ms."""
 
-_RETRY_SECONDS = 0.05
-"""Pause between two tries of a record."""
+_RETRY_DELAY_SECONDS = 0.05
+"""Pause between two attempts to append a record."""
 
 _FAILURES_UNTIL_DOWN = 2
-"""Failures in a row after which the store counts as down; one alone may be chance."""
+"""Consecutive failures after which the store counts as down."""
 
-_DOWN_SECONDS = 0.4
-"""How long the store counts as down before one record is tried again."""
+_PROBE_DELAY_SECONDS = 0.4
+"""How long the store counts as down before one record is sent as a probe."""
 
 _SLOW_APPEND_SECONDS = 0.1
-"""An append that usually takes so long, ten times the usual, is that of a slow store."""
+"""The store counts as slow if appends usually take longer than this, ten times the normal time."""
 
-_SLOW_MEMORY_SECONDS = 2.0
-"""How long that is remembered: after it one record is tried from here again."""
+_SLOW_STATE_SECONDS = 2.0
+"""How long the store counts as slow after the last append; then one record is sent as a probe."""
 
 _HANGING_APPEND_SECONDS = 0.2
-"""An append that has no answer after so long is that of a slow store, whatever was usual: what
-comes meanwhile would else add to what the store has to do in turn."""
+"""The store also counts as slow while an append has had no answer for this long, so that no
+further appends queue behind it."""
 
 _MAX_BATCH_RECORDS = 64
-"""The most records of one append: with the longest bodies, a quarter of what a call may hold."""
+"""Largest number of records in one append, well below the size limit of a call."""
 
 
 class _StoreHealth:
-    """Whether appends have been failing lately, and how long they take.
+    """Tracks failures and durations of recent appends.
 
-    While they fail, one record at a time is tried; all others are refused at once.
+    While the store counts as down, one record at a time is sent as a probe, and all others are
+    refused at once.
     """
 
     def __init__(self) -> None:
@@ -77,39 +78,39 @@
         self._lock = threading.Lock()
 
     def start_append(self) -> int:
-        """Take note of an append that begins; give the number by which it ends."""
+        """Record the start of an append; return an identifier for `finish_append`."""
         with self._lock:
             append_id = next(self._append_ids)
             self._started_at[append_id] = steady_seconds()
             return append_id
 
     def finish_append(self, append_id: int) -> None:
-        """Take note that an append is over."""
+        """Record the end of an append."""
         with self._lock:
             del self._started_at[append_id]
 
     @property
     def attempt_timeout_s(self) -> float:
-        """How long one try may take."""
+        """Timeout of one append, in seconds."""
         return self._timeout.limit_s
 
     @property
     def is_slow(self) -> bool:
-        """Whether appends take long, or have usually taken long as far as that was seen lately."""
+        """Whether an append is hanging, or recent appends have usually been slow."""
         now = steady_seconds()
         with self._lock:
             oldest_start = min(self._started_at.values(), default=now)
         if now - oldest_start > _HANGING_APPEND_SECONDS:
             return True
-        if now - self._last_result_at > _SLOW_MEMORY_SECONDS:
+        if now - self._last_result_at > _SLOW_STATE_SECONDS:
             return False
         return self._timeout.average_s > _SLOW_APPEND_SECONDS
 
     def prefers_relay(self) -> bool:
-        """Tell whether a record should better go another way than by an append from here.
+        """Check whether a record should be sent by way of the leader instead.
 
-        A store that was slow some time ago is tried with one record, not with all that come until
-        its answer is there.
+        If the store was slow some time ago, one record is let through as a probe, and the others go
+        by way of the leader until the probe is answered.
         """
         if self.is_slow:
             return True
@@ -117,29 +118,32 @@
         with self._lock:
             if self._timeout.average_s <= _SLOW_APPEND_SECONDS:
                 return False
-            if now - self._slow_probe_at < _SLOW_MEMORY_SECONDS:
+            if now - self._slow_probe_at < _SLOW_STATE_SECONDS:
                 return True
             self._slow_probe_at = now
             return False
 
     def may_append(self, answered_at: float) -> bool:
-        """Tell whether a record may be tried; one that may has to tell how it went.
+        """Check whether a record may be appended; the caller must then report the result.
 
-        ``answered_at`` tells when the store last answered any call, in steady seconds: where
-        that is after the last failure, the next failure alone decides.
+        Parameters
+        ----------
+        answered_at
+            When the store last answered any call, in steady seconds. After the last failure, such
+            an answer ends the down state; a single further failure restores it.
         """
         with self._lock:
             if answered_at > self._failed_at:
                 self._failures = min(self._failures, _FAILURES_UNTIL_DOWN - 1)
             if self._failures < _FAILURES_UNTIL_DOWN:
                 return True
-            if self._is_probing or steady_seconds() - self._failed_at < _DOWN_SECONDS:
+            if self._is_probing or steady_seconds() - self._failed_at < _PROBE_DELAY_SECONDS:
                 return False
             self._is_probing = True
             return True
 
     def record_success(self, seconds: float) -> None:
-        """Take over the time of an append that was answered."""
+        """Record a successful append and its duration in seconds."""
         with self._lock:
             self._failures = 0
             self._is_probing = False
@@ -147,12 +151,12 @@
             self._timeout.record_answer(seconds)
 
     def release_probe(self) -> None:
-        """Take over that a record which was let try did not."""
+        """Record that an admitted record was not sent, so that another may be the probe."""
         with self._lock:
             self._is_probing = False
 
     def record_failure(self) -> None:
-        """Take over an append without a good answer."""
+        """Record a failed append."""
         with self._lock:
             self._failures += 1
             self._is_probing = False
@@ -162,9 +166,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _PendingRecord:
-    """A record that waits, and how its append went; None while that is not known.
+    """A record that waits to be appended.
 
-    It is woken when its append is over, or when it is its turn to append for all that wait.
+    Attributes
+    ----------
+    record
+        The record.
+    wake
+        Set when the record's append has ended, or when its thread is to append all that wait.
+    outcome
+        Result of the append; None while it is not known.
     """
 
     record: KeyedRecord
@@ -173,7 +184,7 @@
 
 
 class _Partition:
-    """What waits for one partition; ``is_busy`` while an append of this node is on its way."""
+    """Records waiting for a partition; ``is_busy`` while this node has an append in progress."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -182,12 +193,14 @@
 
 
 class Recorder:
-    """Appends records of jobs; many threads may call it at the same time.
+    """Appends job records to the store; safe to call from many threads.
 
     Parameters
     ----------
-    store, parts
-        The store, and the partitions of its topics.
+    store
+        The store.
+    partition_count
+        Number of partitions of the topic of jobs.
     metrics
         Counts and times appends.
     """
@@ -200,27 +213,29 @@
 
     @property
     def is_slow(self) -> bool:
-        """Whether appends of this node have been slow lately, or have failed."""
+        """Whether this node's recent appends have been slow."""
         return self._health.is_slow
 
     def prefers_relay(self) -> bool:
-        """Tell whether a record should better go by way of the leader."""
+        """Check whether a record should be sent by way of the leader instead of from this node."""
         return self._health.prefers_relay()
 
     def record(self, job: JobId, record: KeyedRecord, seconds: float) -> RecordOutcome:
-        """Put a record on the store from this node, waiting for its append.
+        """Append a record to the store and wait for the result.
 
         Parameters
         ----------
-        job, record
-            The job, and its record.
+        job
+            The job.
+        record
+            The job's record.
         seconds
-            The longest wait.
+            Longest wait.
         """
         partition_number = job_partition(job, len(self._partitions))
         outcome = RecordOutcome.NOT_DONE
         started_at = steady_seconds()
-        while steady_seconds() - started_at < min(_TRYING_SECONDS, seconds):
+        while steady_seconds() - started_at < min(_RETRY_PERIOD_SECONDS, seconds):
             if not self._health.may_append(self._store.answered_at):
                 return outcome
             remaining_s = seconds - (steady_seconds() - started_at)
@@ -236,13 +251,13 @@
                 part=partition_number,
                 outcome=attempt_outcome.name.lower(),
             )
-            time.sleep(_RETRY_SECONDS)
+            time.sleep(_RETRY_DELAY_SECONDS)
         return outcome
 
     def _record_once(
         self, partition_number: int, record: KeyedRecord, seconds: float
     ) -> RecordOutcome:
-        """Try a record once: with another thread's append, or with an own one for all that wait."""
+        """Send a record once: in another thread's append, or in an own one for all that wait."""
         partition = self._partitions[partition_number]
         pending = _PendingRecord(record)
         with partition.lock:
@@ -259,16 +274,16 @@
         return pending.outcome
 
     def _withdraw(self, partition: _Partition, pending: _PendingRecord) -> RecordOutcome:
-        """Take a record back that waits no longer; call with the partition's lock held."""
+        """Remove a record whose timeout has expired; call with the partition's lock held."""
         if pending not in partition.pending:
             return RecordOutcome.UNKNOWN
         partition.pending.remove(pending)
-        # It was let try, and will not.
+        # The record was admitted but not sent.
         self._health.release_probe()
         return RecordOutcome.NOT_DONE
 
     def _append_pending(self, partition_number: int, partition: _Partition, seconds: float) -> None:
-        """Append what waits, and wake the next that comes after it."""
+        """Append the waiting records, then wake the thread of the first remaining one."""
         with partition.lock:
             batch = partition.pending[:_MAX_BATCH_RECORDS]
             del partition.pending[:_MAX_BATCH_RECORDS]
@@ -285,7 +300,7 @@
         self, partition_number: int, records: list[KeyedRecord], seconds: float
     ) -> RecordOutcome:
         started_at = steady_seconds()
-        # Others wait for it too: whoever has little time left may not spoil it for them.
+        # Other threads share the append, so a thread with little time left may not shorten it.
         timeout_s = max(_MIN_ATTEMPT_SECONDS, min(seconds, self._health.attempt_timeout_s))
         append_id = self._health.start_append()
         try:
@@ -299,7 +314,7 @@
             may_be_recorded = isinstance(error, CallUnanswered) and not error.unsent
             return RecordOutcome.UNKNOWN if may_be_recorded else RecordOutcome.NOT_DONE
         except Exception as error:
-            # Nobody knows how far it came; those that wait for it have to be told.
+            # The append may have been applied; the waiting threads still need a result.
             self._health.record_failure()
             log_error("append_failed", error, part=partition_number, records=len(records))
             return RecordOutcome.UNKNOWN
--- a/src/snowdock/jobs/preemption.py
+++ b/src/snowdock/jobs/preemption.py
@@ -1,8 +1,8 @@
-"""Making room for bulky steps: runs that save their progress yield, and their room is kept for it.
+"""Preemption of checkpointing runs for bulky steps.
 
-The pieces of room that are left between other work never hold a large gang all at once, and
-seldom a task that takes much of a worker. A run
-that saves its progress loses little by going on elsewhere a moment later.
+The resources left free between other runs rarely hold a task that needs much of a worker, and
+never a whole large gang. A preempted run loses little, as it resumes from its checkpoint on another
+worker. The resources that it frees are claimed for the bulky step.
 """
 
 import dataclasses
@@ -21,25 +21,25 @@
 __all__ = ["has_claim", "preempt_runs", "release_expired_claims"]
 
 _CLAIM_SECONDS = 1.0
-"""How long room is kept: a stop takes up to 0.4 s, its report and the record of the
-placement some 0.1 s, and tickets hold for 1.5 s or more."""
+"""Time for which freed resources are held for a step. A stop takes up to 0.4 s, its report and
+the recording of the placement about 0.1 s, and tickets are valid for 1.5 s or more."""
 
 _MIN_TICKET_SECONDS = 0.7
-"""Tickets must hold for at least so long, or they expire before the room is there."""
+"""Minimum remaining validity of a ticket, so that it does not expire before the runs end."""
 
 _CLAIM_RETRY_SECONDS = 2.0
-"""Pause after a claim that came to nothing before runs are stopped for the same step again."""
+"""Minimum time between two claims for the same step."""
 
 _MAX_PREEMPTIONS = 2
-"""A task makes room so many times at most, or it might never end."""
+"""Maximum number of preemptions of a task; more could keep it from ever ending."""
 
 _NEARLY_DONE_PERCENT = 80.0
-"""A run that is further than this gives its room back soon anyway."""
+"""Runs with more progress than this are not preempted, since they end soon."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class _PreemptionOption:
-    """A worker, the seats it has free, and what would have to yield for each further seat."""
+    """A worker's free slots for a step, and the runs to preempt for each further slot."""
 
     worker: Worker
     free_slots: int
@@ -47,7 +47,7 @@
 
 
 def has_claim(cell: Cell, step: Step, now: float) -> bool:
-    """Whether room is being made for a step."""
+    """Check whether runs are being preempted for a step."""
     claim = cell.claims.get(step.key)
     return claim is not None and claim.is_preemptive and claim.expires_at > now
 
@@ -55,28 +55,28 @@
 def preempt_runs(
     cell: Cell, step: Step, workers: Iterable[Worker], wanted: int, now: float
 ) -> bool:
-    """Stop runs that yield to a bulky step, if that makes room; tell whether it did.
+    """Preempt runs for a bulky step if that lets it be placed; return whether runs are stopped.
 
-    For a gang, room is made for all of it or not at all.
+    For a gang, runs are preempted only if all its members can be placed.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
-        A bulky step that found no room.
+        A bulky step that could not be placed.
     workers
-        Workers that may run it.
+        Workers that may run the step.
     wanted
-        Its tasks.
+        Number of tasks to place.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
     """
     if now < step.next_claim_at:
         return False
     step.next_claim_at = now + _CLAIM_RETRY_SECONDS
     options = _build_options(cell, step, workers, now)
-    missing = wanted - sum(offer.free_slots for offer in options)
+    missing = wanted - sum(option.free_slots for option in options)
     preempted = _choose_preempted_slots(options, missing)
     required = missing if step.spec.gang else 1
     if missing <= 0 or len(preempted) < required:
@@ -89,12 +89,12 @@
     cell: Cell, step: Step, workers: Iterable[Worker], now: float
 ) -> list[_PreemptionOption]:
     @functools.cache
-    def yields(other: Step) -> bool:
-        return cell.policy.yields(step, other, now)
+    def may_preempt(other: Step) -> bool:
+        return cell.policy.may_preempt(step, other, now)
 
     caution = caution_for(cell, step)
     return [
-        _build_option(step, worker, _find_preemptible_tasks(cell, worker, yields))
+        _build_option(step, worker, _find_preemptible_tasks(cell, worker, may_preempt))
         for worker in workers
         if _has_lasting_ticket(step, worker, now) and is_trusted(cell, worker, caution)
     ]
@@ -106,7 +106,7 @@
 
 
 def _build_option(step: Step, worker: Worker, preemptible: list[Task]) -> _PreemptionOption:
-    """Count a worker's free seats for a step, and those that stopping runs there would add."""
+    """Compute a worker's free slots for a step, and the runs to preempt for each further one."""
     room = step.spec.room
     max_tasks = max_additional_tasks(step, worker)
     free = worker.free_for(step.key, step.rank)
@@ -127,9 +127,10 @@
 def _choose_preempted_slots(
     options: list[_PreemptionOption], wanted: int
 ) -> list[_PreemptionOption]:
-    """Give the offer of each of so many seats that are not free, the fewest victims first.
+    """Choose up to ``wanted`` slots to free by preemption, those with the fewest victims first.
 
-    A worker's seats come in order: what yields for one has to have yielded for those before it.
+    The slots of a worker are chosen in order, as each one also needs the resources freed for the
+    previous ones. Returns the option of each chosen slot.
     """
     heap = [
         (len(option.victims[0]), number, 0)
@@ -148,9 +149,9 @@
 
 
 def _find_preemptible_tasks(
-    cell: Cell, worker: Worker, yields: Callable[[Step], bool]
+    cell: Cell, worker: Worker, may_preempt: Callable[[Step], bool]
 ) -> list[Task]:
-    """Give the tasks whose runs there may make room, the largest first."""
+    """Return the tasks on a worker whose runs may be preempted, the largest first."""
     found = []
     for task_id, run in worker.preemptible_runs:
         task = cell.find_task(task_id)
@@ -158,7 +159,7 @@
             continue
         if task.preemptions >= _MAX_PREEMPTIONS or task.percent > _NEARLY_DONE_PERCENT:
             continue
-        if yields(task.step):
+        if may_preempt(task.step):
             found.append(task)
     found.sort(key=lambda task: -task.step.spec.room.cpu)
     return found
@@ -171,9 +172,9 @@
     preempted: list[_PreemptionOption],
     now: float,
 ) -> None:
-    """Keep the seats for the step, and stop what has to yield.
+    """Claim the slots for a step, and stop the victims.
 
-    ``further`` holds an offer once for each of its seats that is not free yet.
+    ``preempted`` contains an option once for each of its slots to free.
     """
     release_claim(cell, step.key)
     stopped = 0
@@ -201,7 +202,7 @@
 
 
 def release_expired_claims(cell: Cell, now: float) -> None:
-    """Give the room of claims back that are over."""
+    """Release the claims that have expired or whose step no longer waits."""
     for key, claim in list(cell.claims.items()):
         if claim.expires_at > now and key in cell.waiting_steps:
             continue
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of placement, ownership, shares, minion choice and retries."""
+"""Tests of placement, preemption, ownership, shares, minion selection and retries."""
 
 import random
 import unittest
@@ -40,11 +40,11 @@
 
 class TestPlace(unittest.TestCase):
     def setUp(self) -> None:
-        self.alarms: list = []
-        self.policies = PolicySet(self.alarms.append)
+        self.failures: list = []
+        self.policies = PolicySet(self.failures.append)
 
-    def place(self, state, index, made):
-        return place_tasks(made, state, index, self.policies, ZERO)
+    def place(self, state, index, work):
+        return place_tasks(work, state, index, self.policies, ZERO)
 
     @settings(max_examples=100, deadline=None)
     @given(
@@ -56,8 +56,10 @@
         st.builds(Size, st.integers(1, 4), st.integers(1, 4), st.integers(0, 1)),
         st.integers(1, 6),
     )
-    def test_finds_room_if_there_is_any(self, sizes: list, size: Size, tasks: int) -> None:
-        """A task is placed exactly if some worker has room, and never where there is none."""
+    def test_places_tasks_if_any_worker_has_capacity(
+        self, sizes: list, size: Size, tasks: int
+    ) -> None:
+        """Tasks are placed if and only if a worker has capacity, and never beyond it."""
         state, index = make_cluster([Size(s.cpu, s.memory, s.accelerators) for s in sizes])
         result = self.place(state, index, make_work("batch", tasks, size))
         fits = [s for s in sizes if s.holds(size)]
@@ -67,7 +69,7 @@
             self.assertTrue(min(free.cpu, free.memory, free.accelerators) >= 0)
 
     def test_gang_is_placed_completely_or_not_at_all(self) -> None:
-        """A gang that does not fit as a whole reserves nothing."""
+        """A gang that does not fit as a whole reserves no capacity."""
         state, index = make_cluster([Size(4, 4)] * 3)
         result = self.place(state, index, make_work("gang", 4, Size(3, 3)))
         self.assertEqual(result, Unplaced("no room for all 4 tasks at once", needs_capacity=True))
@@ -76,7 +78,7 @@
         self.assertEqual(len(result.placements), 3)
 
     def test_service_is_spread(self) -> None:
-        """A service's tasks go to different data halls and racks first."""
+        """The tasks of a service are spread over workers and data halls."""
         state, index = make_cluster([Size(16, 16)] * 8)
         result = self.place(state, index, make_work("service", 4, Size(1, 1)))
         chosen = [state.workers[p.worker] for p in result.placements]
@@ -84,24 +86,24 @@
         self.assertEqual(sum(w.hall == "h0" for w in chosen), 2)
 
     def test_accelerators_are_reserved_for_tasks_that_need_them(self) -> None:
-        """Work without accelerators goes to workers without, while there is room."""
+        """Work without accelerators is placed on workers without accelerators first."""
         state, index = make_cluster([Size(4, 4, 8), Size(4, 4, 0)])
         result = self.place(state, index, make_work("batch", 4, Size(1, 1)))
         self.assertNotIn("w0", {p.worker for p in result.placements[:1]})
 
     def test_unplaced_work_has_a_reason(self) -> None:
-        """Waiting work says why: quota, no room, or never any room."""
+        """The reason names the team's quota or a size that exceeds every worker."""
         state, index = make_cluster([Size(4000, 4)], quota=0.001)
-        made = make_work("batch", 1, Size(2, 1))
-        self.assertEqual(self.place(state, index, made), Unplaced("team t is at its quota"))
+        work = make_work("batch", 1, Size(2, 1))
+        self.assertEqual(self.place(state, index, work), Unplaced("team t is at its quota"))
         state, index = make_cluster([Size(4, 4)])
-        made = make_work("batch", 1, Size(5, 1))
+        work = make_work("batch", 1, Size(5, 1))
         self.assertEqual(
-            self.place(state, index, made), Unplaced("no worker could ever hold one task")
+            self.place(state, index, work), Unplaced("no worker could ever hold one task")
         )
 
     def test_failing_worker_gets_one_task_at_a_time(self) -> None:
-        """A worker with a long record of failures is only probed."""
+        """A worker with many consecutive failures gets a single task as a probe."""
         state, index = make_cluster([Size(8, 8)])
         state.workers["w0"].failure_streak = 9
         index.update(state.workers["w0"])
@@ -110,7 +112,7 @@
 
 
 class TestFailingWorks(unittest.TestCase):
-    """Works that always fail give all workers a long record of failures; others still run."""
+    """Works that always fail must not stop the placement of other works."""
 
     def failing_cluster(self, workers: int) -> tuple[State, CapacityIndex]:
         state, index = make_cluster([Size(8, 8)] * workers)
@@ -122,7 +124,7 @@
         return state, index
 
     def test_majority_of_workers_is_never_on_probation(self) -> None:
-        """Where more than half of the workers fail, it is for what they are given."""
+        """If more than half of the workers fail, they get further tasks all the same."""
         state, index = self.failing_cluster(4)
         found = place_tasks(
             make_work("batch", 4, Size(2, 2)), state, index, PolicySet([].append), ZERO
@@ -130,7 +132,7 @@
         self.assertEqual(len(found.placements), 4)
 
     def test_minority_of_failing_workers_is_probed(self) -> None:
-        """Where others do well, those that fail have one task at a time."""
+        """If most workers succeed, a failing one gets one task at a time."""
         state, index = self.failing_cluster(4)
         for name in ("w1", "w2", "w3"):
             state.workers[name].failure_streak = 0
@@ -143,7 +145,7 @@
 
 class TestPreemption(unittest.TestCase):
     def setUp(self) -> None:
-        self.alarms: list = []
+        self.failures: list = []
         self.state, _ = make_cluster([Size(4, 4)] * 2)
         self.urgent = make_work("batch", 1, Size(3, 3))
         self.urgent.spec = msgspec.structs.replace(self.urgent.spec, priority=90)
@@ -157,11 +159,11 @@
         found.used = found.used.plus(size)
 
     def choose_preemptions(self) -> list:
-        policies = PolicySet(self.alarms.append)
+        policies = PolicySet(self.failures.append)
         return choose_preemptions(self.urgent, self.state, policies, random.Random(1))
 
     def test_fewest_lowest_priority_attempts_are_preempted(self) -> None:
-        """The fewest attempts of lower priority are ended, by checkpoint."""
+        """The fewest attempts of lowest priority are stopped by checkpoint."""
         for number, priority in ((11, 10), (12, 20)):
             self.add_running_attempt(number, "w0", Size(2, 2), priority=priority)
         self.add_running_attempt(13, "w1", Size(4, 4), priority=95)
@@ -171,13 +173,13 @@
         )
 
     def test_non_preemptible_and_higher_priority_work_stays(self) -> None:
-        """Nothing is ended where only such work, or work of higher priority, runs."""
+        """Non-preemptible work and work of equal priority are not preempted."""
         self.add_running_attempt(11, "w0", Size(4, 4), priority=0, preemptible=False)
         self.add_running_attempt(12, "w1", Size(4, 4), priority=90)
         self.assertEqual(self.choose_preemptions(), [])
 
     def test_stopping_attempts_are_counted(self) -> None:
-        """While enough is on its way out, nothing more is ended on that worker."""
+        """No attempt is preempted on a worker whose stopping attempts free enough capacity."""
         self.add_running_attempt(11, "w0", Size(4, 4), priority=1)
         self.add_running_attempt(12, "w1", Size(4, 4), priority=99)
         self.state.works[11].tasks[0].stopping = True
@@ -186,17 +188,17 @@
 
 class TestOwnership(unittest.TestCase):
     @given(st.text(max_size=20), st.permutations(NODES))
-    def test_owner_is_consistent_and_stable(self, thing: str, nodes: list) -> None:
-        """The order of the nodes is all the same, and only a leaver's things move."""
-        first = find_owner(thing, nodes)
-        self.assertEqual(first, find_owner(thing, NODES))
+    def test_owner_is_consistent_and_stable(self, key: str, nodes: list) -> None:
+        """The order of nodes does not matter, and only keys of a removed node change owner."""
+        first = find_owner(key, nodes)
+        self.assertEqual(first, find_owner(key, NODES))
         left = [node for node in NODES if node != "a"]
         if first != "a":
-            self.assertEqual(find_owner(thing, left), first)
+            self.assertEqual(find_owner(key, left), first)
 
     @given(st.text(max_size=20), st.integers(0, 64), st.integers(1, 4))
     def test_targets_add_up(self, minion: str, slots: int, count: int) -> None:
-        """The nodes' targets add up to all slots of a minion."""
+        """The targets of all nodes add up to the minion's slots."""
         nodes = NODES[:count]
         total = sum(target_share(minion, slots, node, nodes) for node in NODES)
         self.assertEqual(total, slots)
@@ -208,13 +210,13 @@
         return MinionView(name, "g", hall, "", 8, 8, 0, True)
 
     def test_minion_in_own_hall_is_preferred(self) -> None:
-        """A minion of the own data hall is chosen although another has more idle slots."""
+        """A minion in the node's data hall is preferred to one with more idle slots."""
         near, far = self.view("n", "h1"), self.view("f", "h2")
         candidates = [(near, 1, MinionHealth()), (far, 8, MinionHealth())]
         self.assertEqual(choose_minion(candidates, "h1", "", 0.0), near)
 
     def test_failing_minion_is_excluded_and_probed(self) -> None:
-        """After failures in a row a minion rests, then gets one request as a probe."""
+        """After consecutive failures a minion is excluded, then gets one probe request."""
         health = MinionHealth()
         for _ in range(3):
             record_result(health, True, 0.0)
@@ -229,7 +231,7 @@
 
 class TestRetries(unittest.TestCase):
     def test_budget_is_spent_and_earned(self) -> None:
-        """Retries stop when the budget is spent, and come back with successes."""
+        """Retries are refused once the budget is spent, until successes refill it."""
         budget = RetryBudget()
         while budget.try_spend():
             pass
@@ -241,6 +243,6 @@
         self.assertTrue(budget.try_spend())
 
     @given(st.integers(1, 50), st.floats(0, 1))
-    def test_backoff_is_bounded(self, tries: int, fraction: float) -> None:
-        """The pause never exceeds its bound."""
-        self.assertTrue(0 <= backoff_seconds(tries, fraction) <= 1)
+    def test_backoff_is_bounded(self, tries: int, jitter: float) -> None:
+        """The delay is never negative or above its maximum."""
+        self.assertTrue(0 <= backoff_seconds(tries, jitter) <= 1)
--- a/tests/test_jobs_chaos.py
+++ b/tests/test_jobs_chaos.py
@@ -1,4 +1,4 @@
-"""Random troubles against the real decisions, in virtual time: what must hold, holds."""
+"""Tests of the scheduler's invariants under random faults, on the emulator."""
 
 import dataclasses
 import random
@@ -12,47 +12,61 @@
 SETTLE_SECONDS = 40
 SEEDS = range(12)
 CRASHING_SEEDS = range(100, 106)
-RETURNING_SEEDS = range(200, 206)
-
-CRASH, CUT, HEAL, LOST, LATE, CALM, STORE, KILL, DEPOSE, CANCEL, DRAIN, FAIL, RESTART = range(13)
-
-
-def inject_fault(emulator: Emulator, source: random.Random, kinds: int) -> None:
-    """Break or mend one thing."""
-    kind = source.randrange(kinds)
+RESTARTING_SEEDS = range(200, 206)
+
+(
+    CRASH,
+    PARTITION,
+    HEAL,
+    LOSE_ANSWERS,
+    DELAY_ORDERS,
+    CLEAR_FAULTS,
+    STORE_OUTAGE,
+    KILL_LEADER,
+    DEPOSE_LEADER,
+    CANCEL,
+    DRAIN,
+    FAIL_ALL_RUNS,
+    RESTART,
+) = range(13)
+
+
+def inject_fault(emulator: Emulator, rng: random.Random, kind_count: int) -> None:
+    """Inject or repair one random fault."""
+    kind = rng.randrange(kind_count)
     lives = [life for life, model in emulator.workers.items() if model.is_up]
-    life = source.choice(lives)
+    life = rng.choice(lives)
     faults = emulator.faults
     if kind == CRASH:
         emulator.fleet.crash(life)
-        emulator.fleet.add(source.randrange(4))
-    elif kind == CUT:
+        emulator.fleet.add(rng.randrange(4))
+    elif kind == PARTITION:
         faults.cut.add(life)
     elif kind == HEAL:
         faults.cut.clear()
-    elif kind == LOST:
+    elif kind == LOSE_ANSWERS:
         faults.lost_answers = 0.3
-    elif kind == LATE:
+    elif kind == DELAY_ORDERS:
         faults.late_orders = 0.1
-    elif kind == CALM:
+    elif kind == CLEAR_FAULTS:
         clear_faults(emulator)
-    elif kind == STORE:
+    elif kind == STORE_OUTAGE:
         faults.store_down = True
-        emulator.timeline.after(source.uniform(0.5, 5), lambda: restore_store(emulator))
-    elif kind == KILL:
-        emulator.kill_leader(source.uniform(0.5, 3))
-    elif kind == DEPOSE:
+        emulator.timeline.after(rng.uniform(0.5, 5), lambda: restore_store(emulator))
+    elif kind == KILL_LEADER:
+        emulator.kill_leader(rng.uniform(0.5, 3))
+    elif kind == DEPOSE_LEADER:
         emulator.depose_leader()
     elif kind == CANCEL and emulator.statuses:
-        emulator.cancel(source.choice(list(emulator.statuses)))
+        emulator.cancel(rng.choice(list(emulator.statuses)))
     elif kind == DRAIN and len(lives) > 15:
         emulator.fleet.drain(life)
         emulator.fleet.add(0)
-    elif kind == FAIL:
+    elif kind == FAIL_ALL_RUNS:
         emulator.workers[life].fails_all = True
     elif kind == RESTART:
-        for each in source.sample(lives, len(lives) // 3):
-            emulator.fleet.restart(each, source.uniform(0.1, 6.0))
+        for each in rng.sample(lives, len(lives) // 3):
+            emulator.fleet.restart(each, rng.uniform(0.1, 6.0))
 
 
 def restore_store(emulator: Emulator) -> None:
@@ -65,9 +79,9 @@
 
 
 def run_with_faults(
-    seed: int, crashing_share: float = 0.0, kinds: int = RESTART
+    seed: int, crashing_share: float = 0.0, kind_count: int = RESTART
 ) -> tuple[Emulator, list[DrawnJob]]:
-    """Play a day with troubles of the first so many kinds."""
+    """Run the emulator with random faults of the first `kind_count` kinds."""
     rng = random.Random(seed)
     mixes = [
         dataclasses.replace(mix, crashing_share=crashing_share)
@@ -81,7 +95,7 @@
     while at < SECONDS:
         at += rng.uniform(0.3, 2)
         emulator.run_until(at)
-        inject_fault(emulator, rng, kinds)
+        inject_fault(emulator, rng, kind_count)
     clear_faults(emulator)
     emulator.faults.cut.clear()
     for model in emulator.workers.values():
@@ -92,7 +106,7 @@
 
 class TestChaos(unittest.TestCase):
     def test_invariants_hold_and_all_jobs_end(self) -> None:
-        """No limit, doubling, order, attempts or cancelling broken, and no job is forgotten."""
+        """Limits, single execution, order, attempts and cancellation hold, and every job ends."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = run_with_faults(seed)
@@ -100,7 +114,7 @@
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def test_tasks_that_crash_their_workers(self) -> None:
-        """Beside all troubles they are given up within their bound, and nothing else hangs."""
+        """Crashing tasks are given up within their limit, and every other job ends."""
         for seed in CRASHING_SEEDS:
             with self.subTest(seed=seed):
                 emulator, jobs = run_with_faults(seed, crashing_share=0.02)
@@ -112,15 +126,15 @@
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def test_workers_that_restart_under_their_ids(self) -> None:
-        """Beside all other troubles, no life's runs, ends or leases are taken for another's."""
-        for seed in RETURNING_SEEDS:
+        """Runs, ends and leases of a worker's lives are not mixed up, beside all other faults."""
+        for seed in RESTARTING_SEEDS:
             with self.subTest(seed=seed):
-                emulator, jobs = run_with_faults(seed, kinds=RESTART + 1)
+                emulator, jobs = run_with_faults(seed, kind_count=RESTART + 1)
                 self.assertEqual(emulator.checks.violations, [])
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def test_run_without_faults(self) -> None:
-        """Without troubles no gang waits in vain and all jobs end as they should."""
+        """Without faults there are no violations, and jobs whose runs always fail have failed."""
         workload = WorkloadOptions(SECONDS, 0.5, default_mixes())
         jobs = draw_workload(7, workload)
         emulator = Emulator(7, EmulatorOptions(workload), jobs)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of what a worker is told, and of what its answer means."""
+"""Tests of sync orders for workers and of the records derived from their answers."""
 
 import unittest
 
@@ -35,7 +35,7 @@
 
 class TestBuildOrder(OrderCase):
     def test_order_starts_renews_and_stops_attempts(self) -> None:
-        """Placed attempts are started, running ones renewed, unwanted ones ended."""
+        """Placed attempts are started, running ones renewed, stopping ones stopped."""
         order = build_order(self.state, "w", {}, 5).order
         self.assertEqual([start.attempt for start in order.start], ["7.0.1"])
         self.assertEqual(order.renew, ["7.1.2"])
@@ -43,12 +43,12 @@
         self.assertEqual(order.boot, "b")
 
     def test_a_gone_worker_gets_no_order(self) -> None:
-        """Nobody renews anything on a worker whose end is on the log."""
+        """Leases on a worker that the log records as gone are not renewed."""
         self.state.workers["w"].state = VmState.GONE
         self.assertIsNone(build_order(self.state, "w", {}, 5))
 
     def test_only_closed_attempts_are_stopped(self) -> None:
-        """A lagging node leaves attempts alone that it has not read of yet."""
+        """A lagging node does not stop attempts whose records it has not read yet."""
         running = AttemptReport("running")
         reports = {"7.3.3": running, "7.3.4": running, "9.0.1": running, "junk": running}
         reports["7.3.2"] = AttemptReport("succeeded")
@@ -62,20 +62,22 @@
         return derive_records(self.state, "w", sync_answer)
 
     def test_starts_and_ends_are_recorded_once(self) -> None:
-        """Only what the state does not show yet becomes a record."""
-        told = make_answer(_7_0_1="running", _7_1_2="running", _7_2_1="stopped", _7_3_3="succeeded")
+        """Records are derived only for changes that the state does not contain yet."""
+        answer = make_answer(
+            _7_0_1="running", _7_1_2="running", _7_2_1="stopped", _7_3_3="succeeded"
+        )
         self.assertEqual(
-            self.derive(told), [AttemptStarted(7, 0, 1), AttemptEnded(7, 2, 1, "stopped")]
+            self.derive(answer), [AttemptStarted(7, 0, 1), AttemptEnded(7, 2, 1, "stopped")]
         )
 
     def test_answer_of_another_boot_records_only_the_boot(self) -> None:
-        """Of a worker that started again only the new boot is recorded."""
-        told = make_answer("c", _7_1_2="absent")
+        """If a worker has rebooted, only its new boot is recorded."""
+        answer = make_answer("c", _7_1_2="absent")
         seen = WorkerSeen("w", "c", Size(4000, 4096, 0), "r", "h", "http://w")
-        self.assertEqual(self.derive(told), [seen])
+        self.assertEqual(self.derive(answer), [seen])
 
     def test_unknown_attempts_are_ignored(self) -> None:
-        """Unknown works, tasks and ids bring nothing."""
+        """No records are derived for unknown workers, works and tasks or invalid ids."""
         self.assertEqual(
             self.derive(make_answer(_9_0_1="failed", _7_9_1="failed", junk="failed")), []
         )
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of the records' codec."""
+"""Tests of the encoding of batches of records."""
 
 import os
 import unittest
@@ -40,32 +40,32 @@
 class TestBatchCodec(unittest.TestCase):
     @given(st.lists(RECORDS, max_size=12))
     def test_round_trip(self, records: list) -> None:
-        """Any mixture of records, in any order, comes back as it was."""
+        """Decoding returns the encoded records for any mixture of types, in order."""
         self.assertEqual(decode_batch(encode_batch(make_batch(records))), make_batch(records))
 
     def test_configuration_round_trip(self) -> None:
-        """A record with nested models comes back as it was."""
+        """A record with nested structs survives encoding and decoding."""
         declarations = Declarations(teams={"t": Team(cpu=1, memory_gb=2)}, programs={"a": "b\n"})
-        made = make_batch([ConfigurationProposed(3, declarations, "me")])
-        self.assertEqual(decode_batch(encode_batch(made)), made)
+        batch = make_batch([ConfigurationProposed(3, declarations, "me")])
+        self.assertEqual(decode_batch(encode_batch(batch)), batch)
 
     @given(st.binary(max_size=200), st.integers(0, 60))
-    def test_damaged_batch_raises_invalid_input(self, noise: bytes, at: int) -> None:
-        """Foreign bytes and damaged batches bring a batch or the typed failure, nothing else."""
-        good = encode_batch(make_batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
-        for data in (noise, good[:at], good[:at] + noise + good[at:]):
+    def test_damaged_batch_raises_invalid_input(self, garbage: bytes, cut: int) -> None:
+        """Random bytes and damaged batches either decode or raise `InvalidInput`."""
+        encoded = encode_batch(make_batch([AttemptEnded(1, 2, 3, "failed"), NodeLeft("n")]))
+        for data in (garbage, encoded[:cut], encoded[:cut] + garbage + encoded[cut:]):
             try:
                 decode_batch(data)
             except InvalidInput:
                 continue
 
     def test_oversized_batch_is_rejected(self) -> None:
-        """Bytes that would expand beyond the bound are refused."""
+        """A batch that would decompress beyond the size limit is rejected."""
         part = SnapshotPart(0, 0, 1, bytes(20 * 1024 * 1024))
         with self.assertRaises(InvalidInput):
             decode_batch(encode_batch(make_batch([part])))
 
     def test_snapshot_data_round_trip(self) -> None:
-        """Binary data of snapshots is kept to the byte."""
+        """The binary data of a snapshot part is unchanged by encoding and decoding."""
         part = SnapshotPart(5, 0, 1, os.urandom(1000))
         self.assertEqual(decode_batch(encode_batch(make_batch([part]))).records, [part])
