--- a/src/snowdock/entry/daemon.py
+++ b/src/snowdock/entry/daemon.py
@@ -15,11 +15,11 @@
 from ..jobs.model import Configuration
 from ..logs import log_event, start_logging
 from ..node.metrics import Metrics
-from ..node.peer_links import BeatPlan
+from ..node.peer_links import HeartbeatPlan
 from ..node.peers import PeerOptions, Peers
 from ..platform.node_settings import NodeEnvironment, read_node_environment
 from ..platform.store import StoreClient
-from ..threads import ServiceThread, on_lost_thread
+from ..threads import ServiceThread, add_lost_thread_listener
 from .advice_dispatcher import AdviceDispatcher, LocalAdviceClient
 from .caller_api import CallerApi, CallerApiDependencies
 from .configuration_watcher import ConfigurationWatcher
@@ -100,7 +100,7 @@
             PeerOptions(
                 environment.peer_address,
                 _HEARTBEAT_SECONDS,
-                plan=BeatPlan(_INFREQUENT_HEARTBEAT_FACTOR, self._frequent_peers),
+                plan=HeartbeatPlan(_INFREQUENT_HEARTBEAT_FACTOR, self._frequent_peers),
                 confirms_links=True,
             ),
             ENTRY_MESSAGES,
@@ -146,7 +146,7 @@
 
     def run(self) -> int:
         """Serve until stopped or until a service thread ends; return the exit status."""
-        on_lost_thread(self._handle_lost_thread)
+        add_lost_thread_listener(self._handle_lost_thread)
         self._peers.start()
         self._configuration_watcher.start()
         self._election.start()
@@ -195,7 +195,7 @@
     def _apply_environment(self, environment: NodeEnvironment) -> None:
         previous, self._environment = self._environment, environment
         if environment.store.address != previous.store.address:
-            self._store.move(environment.store.address)
+            self._store.set_address(environment.store.address)
         if environment.advice_address != previous.advice_address:
             self._advice_client.set_address(environment.advice_address)
         log_event("settings_reloaded", changed=environment != previous)
--- a/src/snowdock/platform/_json.py
+++ b/src/snowdock/platform/_json.py
@@ -5,20 +5,20 @@
 import msgspec
 from msgspec import UNSET, Meta, UnsetType
 
-from ..errors import UNREADABLE, PlatformError
+from ..errors import DECODE_ERRORS, PlatformError
 
-__all__ = ["Born", "born_ms_of", "decode_json"]
+__all__ = ["BornMs", "decode_born_ms", "decode_json"]
 
-Born = Annotated[int, Meta(ge=0)] | UnsetType
+BornMs = Annotated[int, Meta(ge=0)] | UnsetType
 """Start of a worker's life in ms since 1970; optional, but not null."""
 
 
-def born_ms_of(born: Born) -> int | None:
+def decode_born_ms(born: BornMs) -> int | None:
     """Return when a life began, in ms since 1970, or None if the field is absent."""
     return None if born is UNSET else born
 
 
-def decode_json(data: bytes, kind: type, subject: str = "answer"):
+def decode_json(data: bytes, model: type, subject: str = "answer"):
     """Decode JSON from an external system into a validated model.
 
     Parameters
@@ -37,6 +37,6 @@
     """
     try:
         # Decode all of the data first: msgspec doesn't validate UTF-8 in fields that it skips.
-        return msgspec.json.decode(data.decode(), type=kind)
-    except UNREADABLE as error:
+        return msgspec.json.decode(data.decode(), type=model)
+    except DECODE_ERRORS as error:
         raise PlatformError(f"invalid {subject}: {error}") from error
--- a/src/snowdock/platform/workers.py
+++ b/src/snowdock/platform/worker_client.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-from ._http import Client
+from ._http import HttpClient
 from ._json import decode_json
 
-__all__ = ["AttemptReport", "StartOrder", "StopOrder", "SyncAnswer", "SyncOrder", "WorkerClient"]
+__all__ = ["AttemptReport", "StartOrder", "StopOrder", "SyncOrder", "SyncReport", "WorkerClient"]
 
 
 class StartOrder(msgspec.Struct, frozen=True):
@@ -51,7 +51,7 @@
     memory: int = 0
 
 
-class SyncAnswer(msgspec.Struct, frozen=True):
+class SyncReport(msgspec.Struct, frozen=True):
     """A worker's response; ``boot`` identifies the start of its VM.
 
     ``attempts`` omits attempts that were renewed and still run, which keeps most responses short.
@@ -68,10 +68,10 @@
 class WorkerClient:
     """Client of all workers, called by address."""
 
-    def __init__(self, client: Client) -> None:
+    def __init__(self, client: HttpClient) -> None:
         self._client = client
 
-    def status(self, address: str) -> SyncAnswer:
+    def status(self, address: str) -> SyncReport:
         """Return a worker's boot, capacity and attempts.
 
         Raises
@@ -79,9 +79,9 @@
         PlatformError
             If there is no complete, valid response.
         """
-        return decode_json(self._client.exchange("GET", f"{address}/status"), SyncAnswer)
+        return decode_json(self._client.request("GET", f"{address}/status"), SyncReport)
 
-    def sync(self, address: str, order: SyncOrder) -> SyncAnswer:
+    def sync(self, address: str, order: SyncOrder) -> SyncReport:
         """Send orders and return the state of every attempt but those renewed and still running.
 
         Raises
@@ -90,4 +90,4 @@
             If there is no complete, valid response; the orders may have been carried out.
         """
         body = msgspec.json.encode(order)
-        return decode_json(self._client.exchange("POST", f"{address}/sync", body), SyncAnswer)
+        return decode_json(self._client.request("POST", f"{address}/sync", body), SyncReport)
--- a/tests/test_jobs_returning.py
+++ b/tests/test_jobs_returning.py
@@ -4,7 +4,7 @@
 import unittest
 
 from snowdock.emulator import Emulator, EmulatorOptions, WorkloadOptions, draw_workload
-from snowdock.emulator.worker_model import WorkerTerms
+from snowdock.emulator.worker_model import WorkerTimings
 from snowdock.emulator.workload import DrawnJob, default_mixes
 from tests.jobs_tools import find_unended_jobs
 from tests.standins.entry_cluster import EntryCluster
@@ -23,9 +23,11 @@
     rng = random.Random(seed)
     workload = WorkloadOptions(SECONDS, 0.4, tuple(default_mixes(seed % 2 == 0)))
     jobs = draw_workload(seed, workload)
-    terms = WorkerTerms(forgets_anew=forgets_anew)
-    emulator = Emulator(seed, EmulatorOptions(workload, terms=terms, entries_linger=True), jobs)
-    emulator.checks.is_calm = False
+    terms = WorkerTimings(forgets_ends_on_each_renewal=forgets_anew)
+    emulator = Emulator(
+        seed, EmulatorOptions(workload, timings=terms, lists_crashed_workers=True), jobs
+    )
+    emulator.checks.is_undisturbed = False
     at = 0.0
     while at < SECONDS:
         at += rng.uniform(1.5, 6)
@@ -72,11 +74,11 @@
         self.assertTrue(cluster.wait_ready())
         step = {"count": 4, "cpu": 500, "mem_mb": 100, "estimate_ms": 100}
         node = cluster.nodes[0]
-        first, first_body = cluster.job([step])
+        first, first_body = cluster.make_job([step])
         self.assertEqual(node.call("POST", first, first_body)[0], 200)
         self.assertTrue(cluster.wait_state(first, "completed"))
         cluster.workers.restart("i-0")
-        second, second_body = cluster.job([step])
+        second, second_body = cluster.make_job([step])
         self.assertEqual(node.call("POST", second, second_body)[0], 200)
         self.assertTrue(cluster.wait_state(second, "completed"))
         job = second.rpartition("/")[2]
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -44,12 +44,12 @@
         self.assertEqual([r.key for r in newest.records], ["b"])
         self.assertEqual(newest.next_offset, 3)
 
-    def test_newest_goes_through_all_pages(self) -> None:
+    def test_newest_reads_all_pages(self) -> None:
         """All keys are returned when they take several pages."""
         self.append(*(record(f"k{number:03}") for number in range(120)))
         self.assertEqual(len(self.client.newest(TOPIC, 0, 2.0).records), 120)
 
-    def test_condition_on_the_end(self) -> None:
+    def test_expected_end(self) -> None:
         """An append with a wrong expected end fails and reports the actual end."""
         self.append(record("a"), expected_end=0)
         with self.assertRaises(AppendConflict) as caught:
@@ -68,16 +68,16 @@
             self.append(record("a"), producer=Producer("p", 5, 2))
         self.assertEqual(self.append(record("b"), producer=Producer("p", 6, 1)), 1)
 
-    def test_forgotten_history(self) -> None:
+    def test_expired_records(self) -> None:
         """Reading expired records reports the first offset that is still stored."""
         self.append(record("a"))
-        self.store.forget_history(TOPIC)
+        self.store.discard_history(TOPIC)
         with self.assertRaises(LogExpired) as caught:
             self.client.read(TOPIC, 0, 0, 0.0)
         self.assertEqual(caught.exception.first, 1)
         self.assertEqual(len(self.client.newest(TOPIC, 0, 2.0).records), 1)
 
-    def test_refused_is_told_from_unanswered(self) -> None:
+    def test_refused_differs_from_unanswered(self) -> None:
         """Refused, unanswered and unsent appends raise distinct errors."""
         self.store.refuse = True
         with self.assertRaises(StoreRefused):
