--- a/src/snowdock/emulator/checks.py
+++ b/src/snowdock/emulator/checks.py
@@ -127,11 +127,11 @@
         cancel_s
             How long after its job's cancellation a task may still start, in seconds.
         """
-        known = self._jobs.get(task.job)
-        if known is None:
+        submitted_job = self._jobs.get(task.job)
+        if submitted_job is None:
             self._add_violation("unasked", at, task, "its job was not submitted")
             return
-        spec, max_attempts = known
+        spec, max_attempts = submitted_job
         step = spec.steps[task.step]
         history = self._history(task)
         self._check_room(task, step, capacity, list(occupants), life, at)
@@ -239,10 +239,10 @@
 
     def check_status(self, job: str, is_completed: bool, at: float) -> None:
         """Check a published status of a job."""
-        known = self._jobs.get(job)
-        if known is None or not is_completed:
+        submitted_job = self._jobs.get(job)
+        if submitted_job is None or not is_completed:
             return
-        spec, _ = known
+        spec, _ = submitted_job
         for repetition in range(max(1, spec.repetitions)):
             for task in iterate_tasks(job, spec, repetition):
                 if not self.is_done(task):
--- a/src/snowdock/emulator/starvation.py
+++ b/src/snowdock/emulator/starvation.py
@@ -82,9 +82,9 @@
         self._idle_since = idle
 
     def _record(self, job: str, step: int, since: float, now: float) -> None:
-        known = self.starved_jobs.get(job)
+        previous = self.starved_jobs.get(job)
         seconds = now - since
-        if seconds >= ALLOWED_IDLE_SECONDS and (known is None or known.seconds < seconds):
+        if seconds >= ALLOWED_IDLE_SECONDS and (previous is None or previous.seconds < seconds):
             self.starved_jobs[job] = StarvedJob(job, step, since, seconds)
 
     def _find_idle_step(self, job: str, workers: list[WorkerModel]) -> int | None:
--- a/src/snowdock/emulator/worker_calls.py
+++ b/src/snowdock/emulator/worker_calls.py
@@ -106,7 +106,7 @@
         """Send a stop and post its answer, or that there is none."""
         order = effect.order
 
-        def answer(result) -> StopAnswered:
+        def make_event(result) -> StopAnswered:
             answered = result is not _NO_ANSWER
             refusal = result if isinstance(result, Refusal) else None
             return StopAnswered(effect.life, order.task, order.run, answered, refusal)
@@ -115,7 +115,7 @@
             post,
             effect.life,
             lambda model: model.stop(order),
-            answer,
+            make_event,
             lambda each: each,
             _NO_ANSWER,
         )
--- a/src/snowdock/emulator/worker_model.py
+++ b/src/snowdock/emulator/worker_model.py
@@ -397,8 +397,8 @@
                 if member.working_since is not None:
                     member.worker.break_member(member)
         waiters, self._waiters = self._waiters, []
-        for give in waiters:
-            give()
+        for answer_once in waiters:
+            answer_once()
 
     def _save_checkpoint(self, run: RunModel) -> None:
         """Save a checkpoint of a run if its step has checkpoints."""
