--- a/src/snowdock/entry/worker_link.py
+++ b/src/snowdock/entry/worker_link.py
@@ -38,7 +38,7 @@
 
 _GREETING_TIMEOUT_SECONDS = 0.2
 _GREETING_ATTEMPTS = 3
-"""Timeout of a greeting, and the number of connections over which it is tried for one call."""
+"""Timeout of a handshake, and the number of connections over which it is tried for one call."""
 
 _RENEWAL_SLACK_SECONDS = 0.3
 """Time in addition to the wait at the worker that a renewal may take."""
@@ -88,7 +88,7 @@
     """Sends orders and renewals to one life of a worker, each kind in sequence.
 
     A renewal may wait at the worker until a run ends, so orders use a separate connection. Each new
-    connection starts with a greeting that verifies the worker's life, so that neither a start nor
+    connection starts with a handshake that verifies the worker's life, so that neither a start nor
     an acknowledgement of ended runs reaches a later life of the same worker.
 
     Parameters
--- a/tests/test_worker_link.py
+++ b/tests/test_worker_link.py
@@ -171,7 +171,7 @@
         self.assertEqual(self.next_event().result.refusal, Refusal.NEXT_LIFE)
 
     def test_greeting(self) -> None:
-        """A greeting is sent once per connection; it has no lease and acknowledges no ends."""
+        """A handshake is sent once per connection; it has no lease and acknowledges no ends."""
         self.link = self.make_link("i-1@100", self.server.address)
         self.greeting_answer = json_reply(EMPTY_REPORT | {"born": 100})
         self.answers = [json_reply({"clock_ms": 1})] * 2
@@ -183,7 +183,7 @@
         self.assertNotIn("deadline_ms", greeting)
 
     def test_greeting_without_a_usable_answer(self) -> None:
-        """If the greeting fails, the start is reported as not sent."""
+        """If the handshake fails, the start is reported as not sent."""
         for answer in ((200, b"{}"), (200, b"no"), (500, b"")):
             self.greeting_answer = answer
             self.order(START)
@@ -194,7 +194,7 @@
         self.assertEqual(self.calls, [])
 
     def test_greeting_is_repeated(self) -> None:
-        """A greeting without an answer is repeated over another connection before the start."""
+        """A handshake without an answer is repeated over another connection before the start."""
         waits = [1.0, 1.0]
         self.delay_greeting = lambda: time.sleep(waits.pop() if waits else 0.0)
         self.answers = [json_reply({"clock_ms": 1})]
@@ -203,7 +203,7 @@
         self.assertEqual((len(self.greetings), len(self.calls)), (3, 1))
 
     def test_greeting_that_hangs(self) -> None:
-        """A start whose greeting has no answer in time is reported as not sent."""
+        """A start whose handshake has no answer in time is reported as not sent."""
         released = threading.Event()
         self.addCleanup(released.set)
         self.delay_greeting = lambda: released.wait(10)
