--- a/src/snowdock/emulator/checks.py
+++ b/src/snowdock/emulator/checks.py
@@ -1,4 +1,4 @@
-"""What must always hold, checked from what the workers see."""
+"""Check of invariants, based on the runs at the workers."""
 
 import dataclasses
 from collections.abc import Iterable, Iterator
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that did not hold."""
+    """A violation of an invariant."""
 
     rule: str
     at: float
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _TaskHistory:
-    """What happened to one task."""
+    """History of one task."""
 
     running: dict[str, int] = dataclasses.field(default_factory=dict)
     done_runs: set[int] = dataclasses.field(default_factory=set)
@@ -35,7 +35,7 @@
 
 
 def iterate_tasks(job: str, spec: JobSpec, repetition: int = 0) -> Iterator[TaskId]:
-    """Give all tasks of one time of a job."""
+    """Yield all tasks of one repetition of a job."""
     for number, step in enumerate(spec.steps):
         for index in range(step.count):
             yield TaskId(job, repetition, number, index)
@@ -43,22 +43,22 @@
 
 _MAX_CRASHES = 3
 _MAX_STARTS_AFTER_CRASHES = 2
-"""After so many crashes under a task that ends its workers, so many more starts of it."""
+"""Most further starts of a crashing task after `_MAX_CRASHES` crashes."""
 
 
 class InvariantChecker:
-    """Watches starts and ends at all workers.
+    """Checks starts and ends at all workers.
 
     Attributes
     ----------
-    is_calm
-        Whether nothing is disturbed; only then no member of a gang may wait in vain.
+    is_undisturbed
+        Whether no fault is in effect; if so, a gang member that times out is a violation.
     quotas
-        What teams have running.
+        Checker of the teams' quotas.
     violations
-        What did not hold so far.
-    crashing
-        Tasks that end each worker that starts them.
+        Violations found so far.
+    crashing_tasks
+        Tasks that crash each worker that starts them.
     """
 
     def __init__(self, quota_overage: float = 0.0) -> None:
@@ -71,15 +71,15 @@
         self.crashing_tasks: set[TaskId] = set()
 
     def record_submission(self, job: str, spec: JobSpec, max_attempts: int) -> None:
-        """Note a job that some caller submitted."""
+        """Record a submitted job."""
         self._jobs[job] = (spec, max_attempts)
 
     def find_spec(self, job: str) -> JobSpec:
-        """Give what was submitted."""
+        """Return a job as it was submitted."""
         return self._jobs[job][0]
 
     def has_ended(self, job: str) -> bool:
-        """Whether a job was cancelled, or one of its tasks has failed as often as it may."""
+        """Return whether a job was cancelled or one of its tasks has used up its attempts."""
         spec, max_attempts = self._jobs[job]
         if job in self._cancelled:
             return True
@@ -89,11 +89,11 @@
         )
 
     def may_fail_after_crashes(self, job: str) -> bool:
-        """Whether two workers, as users allow, have crashed under a task of a job."""
+        """Return whether a task of a job has crashed two workers, so that the job may fail."""
         return any(self.count_crashes(task) > 1 for task in iterate_tasks(job, self.find_spec(job)))
 
     def record_cancellation(self, job: str, at: float) -> None:
-        """Note a cancelling that was acknowledged."""
+        """Record an acknowledged cancellation."""
         self._cancelled.setdefault(job, at)
 
     def _add_violation(self, rule: str, at: float, task: TaskId, detail: str) -> None:
@@ -112,12 +112,26 @@
         at: float,
         cancel_s: float,
     ) -> None:
-        """Check a start; ``there`` is all that takes room at the worker, the start included."""
-        known = self._jobs.get(task.job)
-        if known is None:
-            self._add_violation("unasked", at, task, "nobody submitted it")
+        """Check a start and record it.
+
+        Parameters
+        ----------
+        task, run, life
+            The task, its run and the worker's life.
+        capacity
+            The worker's capacity.
+        occupants
+            Tasks that take room at the worker, with their sizes; includes this one.
+        at
+            Virtual time of the start, in seconds.
+        cancel_s
+            How long after its job's cancellation a task may still start, in seconds.
+        """
+        submitted_job = self._jobs.get(task.job)
+        if submitted_job is None:
+            self._add_violation("unasked", at, task, "its job was not submitted")
             return
-        spec, max_attempts = known
+        spec, max_attempts = submitted_job
         step = spec.steps[task.step]
         history = self._history(task)
         self._check_room(task, step, capacity, list(occupants), life, at)
@@ -125,8 +139,8 @@
         if others:
             self._add_violation("twice", at, task, f"also on {sorted(others)}")
         if history.is_success_acknowledged:
-            self._add_violation("twice", at, task, "its good end had been taken note of")
-        # Forbidden only if a leader gets to know of these ends after all.
+            self._add_violation("twice", at, task, "its success was acknowledged before")
+        # A violation only if a leader acknowledges one of these ends later.
         history.done_runs_before_restart |= history.done_runs
         if len(history.failed_runs) >= max_attempts:
             self._add_violation("budget", at, task, f"failed {len(history.failed_runs)} times")
@@ -150,7 +164,7 @@
             self._add_violation("quota", at, task, quota_violation)
 
     def is_done(self, task: TaskId) -> bool:
-        """Whether a task, or another member of its gang, has ended well."""
+        """Return whether a task, or another member of its gang, has succeeded."""
         if self._history(task).done_runs:
             return True
         step = self.find_spec(task.job).steps[task.step]
@@ -181,7 +195,7 @@
                 self._add_violation("spread", at, task, f"{same} on {life}")
 
     def record_end(self, task: TaskId, run: int, life: str, kind: EndKind, at: float) -> None:
-        """Note an end."""
+        """Record the end of a run."""
         history = self._history(task)
         history.running.pop(life, None)
         self.quotas.record_end(task, life)
@@ -193,18 +207,21 @@
             self._add_violation("alone", at, task, f"run {run} waited too long on {life}")
 
     def record_crash(self, tasks: Iterable[TaskId]) -> None:
-        """Note that a worker crashed on which tasks ran."""
+        """Record a worker's crash for the tasks that ran there."""
         for task in tasks:
             self._history(task).crashes += 1
 
     def count_crashes(self, task: TaskId) -> int:
-        """Give how many workers crashed while they ran a task."""
+        """Return the number of workers that crashed while they ran a task."""
         return self._history(task).crashes
 
     def acknowledge_end(
         self, task: TaskId, run: int, kind: EndKind, lease_held: bool, at: float
     ) -> None:
-        """Note that a worker may forget an end; ``lease_held`` since that end."""
+        """Record a leader's acknowledgement of an end.
+
+        ``lease_held`` is whether the worker's lease has not expired since that end.
+        """
         history = self._history(task)
         if kind is EndKind.FAILED:
             history.failed_runs.add(run)
@@ -212,22 +229,22 @@
             return
         history.is_success_acknowledged = True
         if run in history.done_runs_before_restart:
-            self._add_violation("twice", at, task, "started after a good end that was noted later")
+            self._add_violation("twice", at, task, "started after a success acknowledged later")
 
     def record_life_end(self, life: str) -> None:
-        """Note that a worker's life is over with all that ran there."""
+        """Record the end of a worker's life and of all runs there."""
         for history in self._tasks.values():
             history.running.pop(life, None)
         self.quotas.record_life_end(life)
 
     def check_status(self, job: str, is_completed: bool, at: float) -> None:
-        """Check a status that callers are shown."""
-        known = self._jobs.get(job)
-        if known is None or not is_completed:
+        """Check a published status of a job."""
+        submitted_job = self._jobs.get(job)
+        if submitted_job is None or not is_completed:
             return
-        spec, _ = known
+        spec, _ = submitted_job
         for repetition in range(max(1, spec.repetitions)):
             for task in iterate_tasks(job, spec, repetition):
                 if not self.is_done(task):
-                    self._add_violation("completed", at, task, "shown before it was done")
+                    self._add_violation("completed", at, task, "published before it was done")
                     return
