--- a/src/snowdock/cli/__init__.py
+++ b/src/snowdock/cli/__init__.py
@@ -1,4 +1,4 @@
-"""``snowdock``: the operators' and callers' command-line tool."""
+"""``snowdock``: the command-line tool of operators and callers."""
 
 from .application import main
 
--- a/src/snowdock/cli/application.py
+++ b/src/snowdock/cli/application.py
@@ -1,4 +1,4 @@
-"""The application: all commands under one name."""
+"""The console application with all commands."""
 
 import sys
 
@@ -12,7 +12,7 @@
 
 
 def make_application() -> Application:
-    """Put the commands together."""
+    """Create the application and register all commands."""
     application = Application("snowdock", __version__)
     for command in (*COMMANDS, *JOB_COMMANDS):
         application.add(command())
@@ -20,5 +20,5 @@
 
 
 def main() -> None:
-    """Run the command line and end with its status."""
+    """Run the command line and exit with its status."""
     sys.exit(make_application().run())
--- a/src/snowdock/cli/client.py
+++ b/src/snowdock/cli/client.py
@@ -1,4 +1,4 @@
-"""Talks to any node of the cluster; goes on to the next where one does not answer."""
+"""HTTP client of the node API that fails over to the next node."""
 
 import os
 
@@ -16,13 +16,13 @@
 
 
 class NoNodeAnswers(SnowdockError):
-    """None of the named nodes answered."""
+    """None of the configured nodes responded."""
 
     code = "no_node_answers"
 
 
 class ApiFailure(SnowdockError):
-    """A node answered with a failure."""
+    """A node responded with an error status."""
 
     def __init__(self, status: int, problem: Problem) -> None:
         super().__init__(problem.message)
@@ -32,12 +32,12 @@
 
 
 class ApiClient:
-    """Sends requests to the first node that answers.
+    """Sends requests to the first node that responds.
 
     Parameters
     ----------
     nodes
-        Addresses such as ``127.0.0.1:7400``, separated by commas.
+        Comma-separated addresses such as ``127.0.0.1:7400``.
     """
 
     def __init__(self, nodes: str) -> None:
@@ -49,7 +49,7 @@
 
     @classmethod
     def from_environment(cls, nodes: str | None) -> "ApiClient":
-        """Take the nodes from an option, or from ``SNOWDOCK_NODES``."""
+        """Create a client for the nodes of an option, or else of ``SNOWDOCK_NODES``."""
         return cls(nodes or os.environ.get(NODES_VARIABLE, "127.0.0.1:7400"))
 
     def send(
@@ -60,14 +60,15 @@
         headers: dict[str, str] | None = None,
         may_repeat: bool = True,
     ) -> urllib3.BaseHTTPResponse:
-        """Send a request and give the answer, whatever its status.
+        """Send a request and return the response, whatever its status.
 
-        Where ``may_repeat`` is false, another node is tried only if no byte was sent.
+        A request that may not be repeated is sent to another node only if the connection to the
+        previous one failed.
 
         Raises
         ------
         NoNodeAnswers
-            If no node answered.
+            If no node responded.
         """
         problems = []
         for node in self._nodes:
@@ -85,31 +86,34 @@
                 problems.append(f"{node}: {type(error).__name__}")
                 if not may_repeat:
                     break
-        raise NoNodeAnswers(f"no node answers ({'; '.join(problems)})")
+        raise NoNodeAnswers(f"no node responded ({'; '.join(problems)})")
 
     def read(self, path: str, kind: type):
-        """Read a model from the API.
+        """Send a GET request and decode the response.
 
         Raises
         ------
         ApiFailure
-            If the node answered with a failure.
+            If the node responded with an error status.
         NoNodeAnswers
-            If no node answered.
+            If no node responded.
         """
         return self._decode(self.send("GET", path), kind)
 
     def change(
         self, path: str, body: bytes, content_type: str, kind: type, key: str = ""
     ) -> object:
-        """Send a change; one with a key, or made from a version, may be sent twice.
+        """Send a POST request and decode the response.
+
+        The request may reach two nodes, so it must have an idempotency key, name the version that
+        it is based on, or be idempotent.
 
         Raises
         ------
         ApiFailure
-            If the node answered with a failure.
+            If the node responded with an error status.
         NoNodeAnswers
-            If no node answered.
+            If no node responded.
         """
         headers = {"Content-Type": content_type}
         if key:
@@ -127,4 +131,6 @@
     try:
         return msgspec.json.decode(response.data, type=Problem)
     except msgspec.MsgspecError:
-        return Problem("unreadable", f"the node answered {response.status} without saying why")
+        return Problem(
+            "unreadable", f"the node responded with status {response.status} and no readable error"
+        )
--- a/src/snowdock/cli/commands.py
+++ b/src/snowdock/cli/commands.py
@@ -42,10 +42,10 @@
 
 
 class _SnowdockCommand(Command):
-    """Base of all commands: typed failures become messages and exit statuses."""
+    """Base of all commands; converts typed errors to messages and exit statuses."""
 
     def handle(self) -> int:
-        """Run, and turn a failure into a sentence and a status."""
+        """Run the command and print the message of a typed error."""
         try:
             return self.run_command() or 0
         except DeclarationErrors as errors:
@@ -65,16 +65,16 @@
             return EXIT_NO_NODE
 
     def run_command(self) -> int | None:
-        """Do the command's work; None means success."""
+        """Run the command and return its exit status; None means success."""
         raise NotImplementedError
 
     @property
     def api(self) -> ApiClient:
-        """The nodes that were named."""
+        """A client of the nodes that the options name."""
         return ApiClient.from_environment(self.option("nodes"))
 
     def print_rows(self, rows: list) -> None:
-        """Print models as a table, or as JSON."""
+        """Print models as a table, or as JSON with ``--json``."""
         if self.option("json"):
             self.line(msgspec.json.format(msgspec.json.encode(rows)).decode())
         else:
@@ -84,7 +84,7 @@
 def _read_folder(folder: str) -> dict[str, str]:
     path = pathlib.Path(folder)
     if not path.is_dir():
-        raise InvalidInput(f"no folder {folder}")
+        raise InvalidInput(f"folder {folder} does not exist")
     files = sorted(p for p in path.iterdir() if p.suffix in (".ini", ".star"))
     if not files:
         raise InvalidInput(f"no .ini or .star files in {folder}")
@@ -102,12 +102,12 @@
     """Check a folder of declarations without a cluster."""
 
     name = "validate"
-    description = "Check a folder of declarations and policies; names every mistake."
+    description = "Check a folder of declarations and policies; prints every error."
     arguments = [argument("folder", "The folder with *.ini and *.star files.")]  # noqa: RUF012
 
     def run_command(self) -> int | None:
-        """Check."""
-        # Only this command needs the policy programs' interpreter.
+        """Check the folder and print how many declarations it has."""
+        # Imported here because only this command needs the interpreter of policy programs.
         from ..policies import PolicySet
 
         declarations = parse_declarations(_read_folder(self.argument("folder")))
@@ -126,20 +126,20 @@
     arguments = [argument("folder", "The folder with *.ini and *.star files.")]  # noqa: RUF012
     options = [  # noqa: RUF012
         _NODES,
-        option("base", None, "The version that the change was made from.", flag=False),
-        option("author", None, "Who makes the change.", flag=False),
+        option("base", None, "The version that the change is based on.", flag=False),
+        option("author", None, "The author of the change.", flag=False),
         option("wait", None, "Wait until the version is in force on every node."),
     ]
 
     def run_command(self) -> int | None:
-        """Publish."""
+        """Publish the folder."""
         files = _read_folder(self.argument("folder"))
         parse_declarations(files)
         base = self.option("base")
         if base is None:
             base = self.api.read("/v1/version", models.VersionReport).version
         elif not str(base).isdigit():
-            raise InvalidInput("--base is a version number")
+            raise InvalidInput(f"--base must be a version number, not {base!r}")
         body = msgspec.json.encode(
             {"base": int(base), "files": files, "author": self.option("author") or ""}
         )
@@ -168,7 +168,7 @@
     options = [_NODES]  # noqa: RUF012
 
     def run_command(self) -> int | None:
-        """Show."""
+        """Print the declarations as JSON."""
         found = self.api.read("/v1/configuration", Declarations)
         self.line(msgspec.json.format(msgspec.json.encode(found)).decode())
 
@@ -181,7 +181,7 @@
     options = [_NODES, _AS_JSON]  # noqa: RUF012
 
     def run_command(self) -> int | None:
-        """Ask each node for itself."""
+        """Request the version from each node."""
         rows = []
         for node in self.api.read("/v1/nodes", list[models.NodeReport]):
             try:
@@ -199,12 +199,14 @@
     arguments = [argument("file", "The work file.")]  # noqa: RUF012
     options = [  # noqa: RUF012
         _NODES,
-        option("key", None, "Names this submission; sent again, it is the same work.", flag=False),
-        option("wait", None, "Wait for the work's end; the exit status tells how it went."),
+        option(
+            "key", None, "Idempotency key; a repeated submission creates no new work.", flag=False
+        ),
+        option("wait", None, "Wait until the work ends; the exit status shows the outcome."),
     ]
 
     def run_command(self) -> int | None:
-        """Submit, and wait where asked to."""
+        """Submit the file and, with ``--wait``, wait until all its work has ended."""
         file = pathlib.Path(self.argument("file"))
         text = _read_text(file)
         parse_work(file.name, text)
@@ -238,25 +240,25 @@
 
 
 class StatusCommand(_SnowdockCommand):
-    """Show the cluster, or one work."""
+    """Show the cluster, or one work and its tasks."""
 
     name = "status"
-    description = "Show the cluster at a glance, or one work and its tasks."
+    description = "Show a summary of the cluster, or one work and its tasks."
     arguments = [argument("work", "A work's number.", optional=True)]  # noqa: RUF012
     options = [  # noqa: RUF012
         _NODES,
         _AS_JSON,
-        option("why", None, "Show only why the work waits."),
+        option("why", None, "Show only why the work is waiting."),
     ]
 
     def run_command(self) -> int | None:
-        """Show."""
+        """Print the cluster's summary, or the work."""
         number = self.argument("work")
         if number is None:
             self.print_rows([self.api.read("/v1/status", models.ClusterStatus)])
             return
         if not number.isdigit():
-            raise InvalidInput("a work is named by its number")
+            raise InvalidInput(f"work must be given by its number, not {number!r}")
         report = self._find(number)
         if self.option("why"):
             self.line(report.waiting_reason or f"it does not wait: {report.state}")
@@ -267,7 +269,7 @@
             self.print_rows(tasks)
 
     def _find(self, number: str) -> models.WorkReport:
-        """Read a work from the node that places it, since only that one knows why it waits."""
+        """Read a work; only the node that places it reports why it is waiting."""
         report = self.api.read(f"/v1/work/{number}", models.WorkReport)
         for node in self.api.read("/v1/nodes", list[models.NodeReport]):
             if report.waiting_reason or not report.counts.get("queued"):
@@ -278,18 +280,18 @@
 
 
 class CancelCommand(_SnowdockCommand):
-    """Cancel work."""
+    """Cancel works."""
 
     name = "cancel"
-    description = "Cancel works by number; cancelling twice is harmless."
+    description = "Cancel works by number; cancelling a work twice has no further effect."
     arguments = [argument("works", "The works' numbers.", multiple=True)]  # noqa: RUF012
     options = [_NODES]  # noqa: RUF012
 
     def run_command(self) -> int | None:
-        """Cancel each."""
+        """Cancel each work."""
         for number in self.argument("works"):
             if not number.isdigit():
-                raise InvalidInput("a work is named by its number")
+                raise InvalidInput(f"work must be given by its number, not {number!r}")
             self.api.change(f"/v1/work/{number}/cancel", b"", _JSON, dict[str, int])
             self.line(f"{number} cancelled")
 
@@ -298,7 +300,7 @@
     """Send a request to an endpoint."""
 
     name = "call"
-    description = "Send a request to an endpoint and print the answer."
+    description = "Send a request to an endpoint and print the response."
     arguments = [  # noqa: RUF012
         argument("endpoint", "The endpoint's name."),
         argument("path", "The path at the minion.", optional=True, default="/"),
@@ -306,13 +308,20 @@
     options = [  # noqa: RUF012
         _NODES,
         option("data", "d", "The body.", flag=False),
-        option("id", None, "The request's id, to ask again.", flag=False),
+        option(
+            "id",
+            None,
+            "The request's id; repeat it to ask for the same request's outcome.",
+            flag=False,
+        ),
         option("once", None, "The request must not be repeated."),
-        option("deadline-ms", None, "How long to wait for the answer.", flag=False),
+        option(
+            "deadline-ms", None, "How long to wait for the response, in milliseconds.", flag=False
+        ),
     ]
 
     def run_command(self) -> int | None:
-        """Send."""
+        """Send the request and print the response."""
         once = bool(self.option("once"))
         request_id = self.option("id") or new_request_id()
         headers = {
@@ -333,14 +342,14 @@
         outcome = response.headers.get("Snowdock-Outcome", "unknown")
         self.line_error(f"request {request_id}: {outcome}")
         if "Retry-After" in response.headers:
-            self.line_error(f"come back in {response.headers['Retry-After']} s")
+            self.line_error(f"retry after {response.headers['Retry-After']} s")
         sys.stdout.buffer.write(response.data + b"\n")
         sys.stdout.flush()
         return {"ran": 0, "not-run": EXIT_REFUSED}.get(outcome, EXIT_UNKNOWN)
 
 
 def _list_command(command_name: str, path: str, model: type, what: str) -> type[_SnowdockCommand]:
-    """Make a command that lists models of one kind."""
+    """Create a command that lists the models of one kind."""
 
     class ListCommand(_SnowdockCommand):
         """List models."""
@@ -350,39 +359,39 @@
         options = [_NODES, _AS_JSON]  # noqa: RUF012
 
         def run_command(self) -> int | None:
-            """List."""
+            """Print the list."""
             self.print_rows(self.api.read(path, list[model]))
 
     return ListCommand
 
 
 class DrainCommand(_SnowdockCommand):
-    """Ask one node to end in good order."""
+    """Drain and stop one node."""
 
     name = "drain"
-    description = "Ask one node to end what it has in flight, give back what it holds, and stop."
+    description = "Ask one node to finish its requests in flight, return its slots, and stop."
     arguments = [argument("node", "The node's name.")]  # noqa: RUF012
     options = [_NODES]  # noqa: RUF012
 
     def run_command(self) -> int | None:
-        """Find the node and ask it."""
+        """Find the node and send it the request."""
         wanted = self.argument("node")
         for node in self.api.read("/v1/nodes", list[models.NodeReport]):
             if node.name == wanted:
                 ApiClient(node.api_address).change("/v1/drain", b"", _JSON, dict[str, bool])
-                self.line(f"{wanted} drains")
+                self.line(f"{wanted} is draining")
                 return
-        raise InvalidInput(f"no node {wanted}")
+        raise InvalidInput(f"no node is named {wanted}")
 
 
 class KeysCommand(_SnowdockCommand):
-    """Make keys for the nodes of a new cluster."""
+    """Create the keys of a new cluster."""
 
     name = "keys"
-    description = "Print a new pair of keys for the nodes' settings, and a token."
+    description = "Print a new key pair for the nodes' settings and a new token."
 
     def run_command(self) -> int | None:
-        """Make and print them."""
+        """Create and print the key pair and the token."""
         public, secret = zmq.curve_keypair()
         self.line("[security]")
         self.line(f"peer_public_key = {public.decode()}")
--- a/src/snowdock/cli/explain.py
+++ b/src/snowdock/cli/explain.py
@@ -1,4 +1,4 @@
-"""The story of one job or task, told from the nodes' logs."""
+"""The timeline of one job or task, read from the nodes' logs."""
 
 import dataclasses
 import itertools
@@ -13,7 +13,7 @@
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 _NEAR_SECONDS = 5.0
-"""How long before a line a lost dependency of its node may explain it."""
+"""A lost dependency is related to lines that its node logs within this time after it."""
 
 _DEPENDENCIES = ("dependency_lost", "renewal_failed", "election_call_failed", "deposed")
 _CLOSED = ("open", *(reason.value for reason in ExclusionReason))
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a log, by key."""
+    """One parsed line of a log."""
 
     time: float
     event: str
@@ -30,13 +30,13 @@
     fields: dict[str, str]
 
     def is_about(self, job: str) -> bool:
-        """Whether the line names a job or one of its tasks."""
+        """Check whether the line names a job or one of its tasks."""
         return any(job in self.fields.get(key, "") for key in _ABOUT)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Story:
-    """What the logs tell of a job: its lines in order, those near them, and the cause."""
+    """A job's log lines in order, related losses of dependencies, and the cause of its outcome."""
 
     job: str
     lines: list[LogLine]
@@ -45,7 +45,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Read a line of key=value pairs, with anything before ``time=`` passed over."""
+    """Parse a line of key=value pairs; anything before ``time=`` is skipped."""
     start = text.find("time=")
     if start < 0:
         return None
@@ -67,12 +67,12 @@
 
 
 def tell_story(job: str, texts: Iterable[str]) -> Story:
-    """Put together what the logs of all nodes tell of a job.
+    """Build the timeline of a job from the logs of all nodes.
 
     Parameters
     ----------
     job
-        Its identifier.
+        The job's identifier.
     texts
         Lines of all nodes' logs, in any order.
     """
@@ -111,7 +111,7 @@
 
 
 def _explain_starving(lines: list[LogLine]) -> str:
-    """Tell what closed the workers to a job that ran nothing beside free room, at its worst."""
+    """Describe why workers were excluded at the longest wait of a job that starved."""
     starving = [line for line in lines if line.event == "job_starves"]
     if not starving:
         return ""
@@ -169,7 +169,7 @@
 
 
 def _explain_time(lines: list[LogLine], ended: LogLine) -> str:
-    """Name the longest wait between two decisions on the way to the end."""
+    """Describe the longest time between two of the job's lines."""
     way = [line for line in lines if line.time <= ended.time]
     steps = itertools.pairwise(way)
     gaps = [(after.time - before.time, before, after) for before, after in steps]
@@ -184,7 +184,7 @@
 
 
 def format_story(story: Story) -> list[str]:
-    """Write a story, a line for each decision."""
+    """Format a timeline as one row for each line, followed by the cause."""
     if not story.lines:
         return [f"cause: {story.cause}"]
     began = story.lines[0].time
--- a/src/snowdock/cli/job_commands.py
+++ b/src/snowdock/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""Commands about jobs on a platform: explaining one from logs, and emulating a day."""
+"""Commands for jobs on a platform: explain jobs from logs, and simulate days."""
 
 import fileinput
 
@@ -21,21 +21,21 @@
 __all__ = ["JOB_COMMANDS"]
 
 _SETTLE_SECONDS = 40.0
-"""How long an emulated day goes on after its last job, so that all can end."""
+"""How long a simulated day continues after its last arrival, so that all jobs can end."""
 
 
 class ExplainCommand(Command):
-    """Tells a job's story from the nodes' logs, and what decided its end."""
+    """Explain a job's outcome from the nodes' logs."""
 
     name = "explain"
-    description = "Tells the story of one job from the nodes' logs."
+    description = "Show the timeline of one job from the nodes' logs, and the cause of its outcome."
     arguments = [  # noqa: RUF012
         argument("job", "The job's identifier."),
         argument("logs", "Log files of all nodes; standard input if none.", True, True),
     ]
 
     def handle(self) -> int:
-        """Read the logs and tell the story."""
+        """Read the logs and print the job's timeline."""
         with fileinput.input(self.argument("logs"), encoding="utf-8", errors="replace") as lines:
             story = tell_story(self.argument("job"), lines)
         for line in format_story(story):
@@ -44,16 +44,16 @@
 
 
 class LossesCommand(Command):
-    """Tells which jobs did not end well in time, and what they waited for."""
+    """Summarize the jobs that failed or were late, and what they waited for."""
 
     name = "losses"
-    description = "Sums up from the nodes' logs where jobs lost their time."
+    description = "Summarize from the nodes' logs what jobs spent their time on."
     arguments = [  # noqa: RUF012
         argument("logs", "Log files of all nodes; standard input if none.", True, True),
     ]
 
     def handle(self) -> int:
-        """Read the logs and print a table of losses, and one of the room in use over time."""
+        """Read the logs and print the tables of losses and of the room in use over time."""
         with fileinput.input(self.argument("logs"), encoding="utf-8", errors="replace") as lines:
             texts = list(lines)
         for line in format_losses(sum_losses(trace_jobs(texts))):
@@ -64,19 +64,19 @@
 
 
 class SimulateCommand(Command):
-    """Plays drawn days against the real decisions in virtual time."""
+    """Simulate random days of jobs with the real scheduler in virtual time."""
 
     name = "simulate"
-    description = "Plays days of drawn jobs against the real decisions, without any network."
+    description = "Simulate days of random jobs with the real scheduler, without a network."
     options = [  # noqa: RUF012
         option("seed", None, "The first day's seed.", flag=False, default="1"),
-        option("days", None, "How many days.", flag=False, default="1"),
-        option("seconds", None, "How long jobs come.", flag=False, default="30"),
-        option("load", None, "How much more than usual comes.", flag=False, default="1.0"),
+        option("days", None, "Number of days.", flag=False, default="1"),
+        option("seconds", None, "Seconds during which jobs arrive.", flag=False, default="30"),
+        option("load", None, "Factor of the usual arrival rate.", flag=False, default="1.0"),
     ]
 
     def handle(self) -> int:
-        """Play the days and print a table for each."""
+        """Simulate the days and print a report for each."""
         seconds = float(self.option("seconds"))
         workload = WorkloadOptions(seconds, float(self.option("load")), default_mixes())
         broken = 0
--- a/src/snowdock/cli/losses.py
+++ b/src/snowdock/cli/losses.py
@@ -1,11 +1,11 @@
-"""Where jobs lost their time: a table for each queue, told from the nodes' logs.
+"""A table for each queue of what its jobs spent their time on, read from the nodes' logs.
 
-The lines about a job part the time from its being taken in to its end. Each part counts for the
-reason that the line at its end names, so the parts of a job add up to all of its time. Where a
-node has left lines out, the part before its next line is not explained.
+The lines about a job divide the time from its acceptance to its end into intervals. Each interval
+counts for the reason that belongs to the line at its end, so a job's intervals add up to its whole
+duration. An interval before a job's end counts as not explained if lines are missing there.
 
-A job is in time if it took no longer than its queue allows for the work that was seen, its failed
-runs included. So a run on a slow worker passes for work; `run_moved` tells of those.
+A job is in time if it took no longer than its queue allows for the work that the logs show, failed
+runs included. A run on a slow worker therefore counts as work; `run_moved` lines show those runs.
 """
 
 import collections
@@ -35,7 +35,7 @@
     "orphan_lost": "run lost",
     "job_ended": "end put on record",
 }
-"""What a job waited for until a line of an event."""
+"""What a job waited for before a line of each event."""
 
 _LOST_RUN = "run lost"
 _WORK = "work"
@@ -44,27 +44,27 @@
 _USED_UP = "attempts used up"
 _GIVEN_UP = "workers crashed"
 _AFTER_A_RUN = ("run_ended", "run_lost", "task_given_up", "job_ended")
-"""What a job's end follows, unless lines were left out."""
+"""The events that precede a job's end, unless lines were left out."""
 
 
 @dataclasses.dataclass(slots=True)
 class JobWay:
-    """One job's way from its being taken in to its end.
+    """What one job spent its time on, from its acceptance to its end.
 
     Attributes
     ----------
     job, queue
-        Which job, of which queue.
+        The job's identifier and the name of its queue.
     began, ended
-        When it was first heard of and when it ended, in seconds; no end where there was none.
+        Time of its submission and of its end in seconds; an end of None if it has not ended.
     status
-        How it ended; empty where it has not.
+        Final status; empty if it has not ended.
     stretch, target_s
-        It is to be done within so many times its work, and so many seconds more.
+        The job is in time if it takes at most ``stretch`` times its work plus ``target_s`` seconds.
     lasts
-        Whether its tasks run until it is cancelled; it is in time once it has run.
+        Whether its tasks run until it is cancelled; such a job is in time once a task was placed.
     is_given_up
-        Whether that was because workers crashed under a task of it.
+        Whether one of its tasks was given up because workers crashed.
     spent
         Seconds by reason.
     """
@@ -82,13 +82,13 @@
 
     @property
     def allowed_s(self) -> float:
-        """Within how many seconds it was to be done, by the work that was seen."""
+        """The longest time in seconds in which the job is in time, by the work that logs show."""
         work = self.spent.get(_WORK, 0.0) + self.spent.get(_FAILED_RUN, 0.0)
         return self.stretch * work + self.target_s
 
     @property
     def is_lost(self) -> bool:
-        """Whether it did not end well in time; a cancelled job is not lost."""
+        """Whether it failed, was late or has not ended; a cancelled job is not lost."""
         if self.status == "cancelled":
             return False
         if self.lasts:
@@ -99,7 +99,7 @@
 
     @property
     def main_reason(self) -> str:
-        """What it spent most time on besides its work."""
+        """The reason with the most time besides work, or why the job failed."""
         if self.status == "failed":
             return _GIVEN_UP if self.is_given_up else _USED_UP
         waits = {reason: spent for reason, spent in self.spent.items() if reason != _WORK}
@@ -108,7 +108,7 @@
 
 @dataclasses.dataclass(slots=True)
 class QueueLosses:
-    """What became of a queue's jobs, and what those that were lost waited for."""
+    """The outcomes of a queue's jobs, and the time and main reasons of those that were lost."""
 
     queue: str
     jobs: int = 0
@@ -120,7 +120,7 @@
     spent: collections.Counter = dataclasses.field(default_factory=collections.Counter)
 
     def add(self, way: JobWay) -> None:
-        """Count one job in."""
+        """Add one job."""
         self.jobs += 1
         if not way.is_lost:
             self.in_time += 1
@@ -136,7 +136,7 @@
 
 
 def trace_jobs(texts: Iterable[str]) -> list[JobWay]:
-    """Put together the ways of all jobs that were taken in.
+    """Build the traces of all jobs that were accepted.
 
     Parameters
     ----------
@@ -207,7 +207,7 @@
 
 
 def sum_losses(ways: Iterable[JobWay]) -> list[QueueLosses]:
-    """Sum jobs up by queue, the queue with most jobs first."""
+    """Sum jobs by queue; the queue with the most jobs comes first."""
     queues: dict[str, QueueLosses] = {}
     for way in ways:
         queues.setdefault(way.queue, QueueLosses(way.queue)).add(way)
@@ -215,7 +215,7 @@
 
 
 def format_losses(losses: list[QueueLosses]) -> list[str]:
-    """Write a table: a line for each queue, and below it one for each reason."""
+    """Format a table with a row for each queue, followed by a row for each reason."""
     told = [f"{'queue':<24} {'jobs':>6} {'in time':>8} {'late':>6} {'failed':>7} {'unended':>8}"]
     for queue in losses:
         told.append(
--- a/src/snowdock/cli/room_table.py
+++ b/src/snowdock/cli/room_table.py
@@ -1,4 +1,4 @@
-"""How full the workers were over time, and what waiting steps lacked, told from a leader's log."""
+"""A table of the room in use over time and of waiting steps, read from a leader's log."""
 
 import collections
 import dataclasses
@@ -9,14 +9,14 @@
 __all__ = ["RoomUse", "format_room", "read_room"]
 
 _WINDOW_SECONDS = 2.0
-"""The mean of so many seconds stands in one row."""
+"""Length of the time window that one row averages."""
 
 _COLUMNS = ("cpu", "memory", "accelerators", "waiting", "room", "ticket", "both", "turn", "pause")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoomUse:
-    """One service's room at a time: shares in use, steps that wait, and what they lack."""
+    """One service at one time: shares of its room in use, waiting steps, and what they lack."""
 
     time: float
     service: str
@@ -24,7 +24,7 @@
 
 
 def read_room(texts: Iterable[str]) -> list[RoomUse]:
-    """Read the lines about room from logs; other lines are passed over."""
+    """Read the ``room_use`` lines from logs and sort them by time."""
     found = []
     for line in map(parse_line, texts):
         if line is None or line.event != "room_use":
@@ -35,7 +35,7 @@
 
 
 def format_room(uses: list[RoomUse]) -> list[str]:
-    """Write a table with a row for each service and window of time."""
+    """Format a table with a row for each service and time window."""
     if not uses:
         return []
     first = uses[0].time
--- a/src/snowdock/cli/tables.py
+++ b/src/snowdock/cli/tables.py
@@ -1,4 +1,4 @@
-"""Plain tables of models."""
+"""Plain-text tables of models."""
 
 import msgspec
 from cleo.commands.command import Command
@@ -17,7 +17,7 @@
 
 
 def show(command: Command, rows: list) -> None:
-    """Print models of one kind as a table, a column for each field."""
+    """Print models of one kind as a table with a column for each field."""
     if not rows:
         command.line("none")
         return
