--- a/src/snowdock/entry/probe_server.py
+++ b/src/snowdock/entry/probe_server.py
@@ -1,4 +1,4 @@
-"""Readiness probes and metrics, on listeners of their own so that callers cannot crowd them out."""
+"""Readiness probes and metrics, on separate listeners so that callers cannot block them."""
 
 import os
 from collections.abc import Callable, Iterable
@@ -13,25 +13,25 @@
 __all__ = ["METRICS_PORT", "ProbeServer"]
 
 METRICS_PORT = 9464
-"""Where metrics are served; the deploy file names the same port."""
+"""Default port of the metrics; the deployment file has the same number."""
 
 METRICS_PORT_VARIABLE = "SNOWDOCK_METRICS_PORT"
-"""The environment variable that names another port."""
+"""Environment variable that overrides the port."""
 
 _METRICS_PATH = "/metrics"
 _THREADS = 2
-"""Requests handled at once: one probe, one reading of the metrics."""
+"""Requests handled at once: one probe and one scrape of the metrics."""
 
 
 class ProbeServer:
-    """The WSGI application for the balancer's probes and the operators' metrics.
+    """The WSGI application for the load balancer's probes and the operators' metrics.
 
     Parameters
     ----------
     ready_address
-        IP number and port of the readiness probes.
+        IP address and port of the readiness probes.
     is_ready
-        Whether new connections are wanted.
+        Checks whether the node accepts new connections.
     metrics
         The node's metrics.
     """
@@ -45,17 +45,17 @@
             self,
             listen=f"{ready_address} {host}:{port}",
             threads=_THREADS,
-            # `select` takes no descriptor above 1,023, and a leader of 270 workers has more.
+            # `select` is limited to descriptors below 1,024; the leader may have more.
             asyncore_use_poll=True,
             ident=None,
         )
 
     def start(self) -> None:
-        """Serve on a thread."""
+        """Start serving on a thread."""
         ServiceThread(self._server.run, "probes").start()
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         answer = self._answer(environ.get("PATH_INFO", ""))
         phrase = "OK" if answer.status == 200 else "Unavailable"
         headers = [
--- a/src/snowdock/jobs/speeds.py
+++ b/src/snowdock/jobs/speeds.py
@@ -1,7 +1,7 @@
-"""How fast workers are, learned from the progress of what runs there.
+"""Estimation of workers' speeds from the progress of their runs.
 
-A run's time is taken as its step's usual time times its worker's slowness. Both are learned
-from the progress that workers report, in logarithms, each with what the other is thought to be.
+A run's time is modelled as its step's typical time multiplied by its worker's slowness. Both are
+estimated in logarithms from reported progress, each based on the current estimate of the other.
 """
 
 import math
@@ -14,42 +14,42 @@
 __all__ = ["decay_idle_slowness", "learn_speed", "should_move", "typical_seconds"]
 
 _WINDOW_SECONDS = 0.25
-"""Progress is looked at over at least this long: it is told in whole percents, and a typical
-run makes 4 to 40 of them in that time."""
+"""Minimum time over which progress is measured: it is reported in whole percents, and a typical
+run advances 4 to 40 % in that time."""
 
 _WORKER_WEIGHT = 0.06
-"""Weight of one observation of a worker: some 20 a second come from a busy one, so about a
-second of them decides."""
+"""Weight of one observation in a worker's slowness: a busy worker yields about 20 a second, so the
+estimate covers about the last second."""
 
 _STEP_WEIGHT = 0.25
-"""Weight of one observation of a step: it has few runs, and its first estimate is a guess."""
+"""Weight of one observation in a step's time: a step has few runs, and its initial value is only
+the submitted estimate."""
 
 _MAX_LOG_RATIO = math.log(8)
-"""Observations beyond 8 times as slow, such as of runs that stand still, count as that."""
+"""Limit of one observation, a factor of 8, so that a stalled run does not dominate the estimate."""
 
 _IDLE_DECAY = 0.97
-"""What is left of an idle worker's slowness after each tick (a tenth of a second): half in
-about two seconds, so that it is tried again."""
+"""Factor by which an idle worker's slowness decays each tick of 0.1 s: by half in about two
+seconds, so that the worker is used again."""
 
 _MIN_RUN_SECONDS = 0.05
-"""No run is taken to be shorter: an estimate of 0 has no logarithm."""
+"""Minimum estimate of a run's time, since an estimate of 0 has no logarithm."""
 
 _SLOW_FACTOR = 1.8
-"""Runs are taken away from workers at least so much slower than usual; differences of up to
-half are usual among sound ones."""
+"""Slowness from which runs are moved away from a worker; sound workers differ by up to 50 %."""
 
 _MIN_GAIN_FACTOR = 1.6
-"""What is left of a run must take at least so many times as long here as elsewhere."""
+"""A run is moved only if its remaining time here is at least this multiple of that elsewhere."""
 
 _MOVE_COST_SECONDS = 0.5
-"""What a move costs: the stop, new advice, a new start."""
+"""Cost of moving a run: the stop, new advice and a new start."""
 
 _MAX_MOVES = 2
-"""A task is taken away so many times at most, or it might never end."""
+"""Maximum number of moves of a task, so that it ends eventually."""
 
 
 def typical_seconds(step: Step) -> float:
-    """Give how long a run of a step takes on a usual worker, as far as is known."""
+    """Return the estimated time of a run of a step on a worker of normal speed."""
     return max(_MIN_RUN_SECONDS, math.exp(_log_run_seconds(step)))
 
 
@@ -60,11 +60,11 @@
 
 
 def learn_speed(worker: Worker, task: Task, running: RunningRun, now: float) -> None:
-    """Learn from a report of a run's progress."""
+    """Update the estimates of a worker's slowness and a step's time from a run's progress."""
     if task.phase is not Phase.RUNNING:
         return
     if task.measured_at == 0.0 or running.percent < task.measured_percent:
-        # The first look, or a run that went on from its checkpoint.
+        # The first measurement, or a run that resumed from its checkpoint.
         task.measured_at = now
         task.measured_percent = running.percent
         return
@@ -84,14 +84,14 @@
 
 
 def decay_idle_slowness(cell: Cell) -> None:
-    """Let what is known of idle workers grow old."""
+    """Decay the slowness of idle workers towards normal speed."""
     for worker in cell.workers.values():
         if not worker.runs:
             worker.log_slowness *= _IDLE_DECAY
 
 
 def should_move(cell: Cell, worker: Worker, task: Task) -> bool:
-    """Tell whether a run on a slow worker would end sooner if it began again elsewhere."""
+    """Check whether a run on a slow worker would end sooner if it were moved to another worker."""
     if (
         worker.slowness < _SLOW_FACTOR
         or task.moves >= _MAX_MOVES
@@ -110,7 +110,7 @@
 def _has_room_elsewhere(cell: Cell, worker: Worker, step: Step) -> bool:
     wanted = len(step.tasks) if step.spec.gang else 1
     room = step.spec.room
-    seats = 0
+    slots = 0
     for other in cell.workers.values():
         if other is worker or not other.is_synced or other.entry.draining:
             continue
@@ -119,9 +119,9 @@
         if step.advice is not None and other.life not in step.advice.tickets:
             continue
         free = other.free
-        while free.holds(room) and seats < wanted:
-            seats += 1
+        while free.holds(room) and slots < wanted:
+            slots += 1
             free = free.minus(room)
-        if seats >= wanted:
+        if slots >= wanted:
             return True
     return False
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Tests of the election, against a stand-in of the store."""
+"""Tests of the election against a fake store."""
 
 import socket
 import threading
@@ -16,7 +16,7 @@
 
 
 class Candidate:
-    """One node's election, and what it was told."""
+    """One node's election, and the results of its callbacks."""
 
     def __init__(
         self, store: StoreStandin, name: str, claim_delay_s: float = 0.0, incarnation: str = ""
@@ -24,7 +24,7 @@
         self.epochs: list[int] = []
         self.deposed = threading.Event()
         self.reaches_store = True
-        # Stands for the port where a node's process listens for its peers.
+        # The listening peer port of the node's process.
         self.port = socket.create_server(("127.0.0.1", 0))
         address = f"127.0.0.1:{self.port.getsockname()[1]}"
         self.election = Election(
@@ -59,34 +59,36 @@
         self.store.close()
 
     def deliver_heartbeats(self) -> None:
-        """Stand for the peers' connections."""
+        """Deliver heartbeats between all candidates, in place of the peer connections."""
         while not self.stopped.wait(0.05):
             if not self.heartbeats_enabled:
                 continue
             candidates = list(self.candidates)
-            beats = [(c, c.election.make_heartbeat(0.2, None)) for c in candidates]
-            for sender, beat in beats:
+            heartbeats = [(c, c.election.make_heartbeat(0.2, None)) for c in candidates]
+            for sender, heartbeat in heartbeats:
                 for other in candidates:
                     if other is not sender:
-                        other.election.handle_heartbeat(beat)
+                        other.election.handle_heartbeat(heartbeat)
 
-    def add_candidate(self, name: str, delay_s: float = 0.0, incarnation: str = "") -> Candidate:
-        candidate = Candidate(self.store, name, delay_s, incarnation)
+    def add_candidate(
+        self, name: str, claim_delay_s: float = 0.0, incarnation: str = ""
+    ) -> Candidate:
+        candidate = Candidate(self.store, name, claim_delay_s, incarnation)
         self.candidates.append(candidate)
         return candidate
 
     def wait_for_leader(self) -> Candidate:
-        found: list[Candidate] = []
+        leaders: list[Candidate] = []
 
         def one_leads() -> bool:
-            found[:] = [c for c in self.candidates if c.leads]
-            return len(found) == 1
+            leaders[:] = [c for c in self.candidates if c.leads]
+            return len(leaders) == 1
 
         self.assertTrue(wait_until(one_leads))
-        return found[0]
+        return leaders[0]
 
     def test_exactly_one_of_many_candidates_wins(self) -> None:
-        """Of nodes that start together exactly one leads, and stays."""
+        """Exactly one of several nodes that start together leads, and remains the leader."""
         for number in range(6):
             self.add_candidate(f"n{number}")
         leader = self.wait_for_leader()
@@ -94,13 +96,13 @@
         self.assertEqual([c for c in self.candidates if c.epochs], [leader])
 
     def test_weak_node_defers_to_strong_node(self) -> None:
-        """A node with a delay claims only where nobody else does."""
+        """A node with a claim delay does not claim before a node without one."""
         self.add_candidate("weak", 0.4)
         strong = self.add_candidate("strong")
         self.assertIs(self.wait_for_leader(), strong)
 
-    def test_weak_leader_transfers_leadership_to_strong_node(self) -> None:
-        """A weak node that leads gives the leadership to a strong one that has come back."""
+    def test_weak_leader_hands_over_to_strong_node(self) -> None:
+        """A weak leader hands over to a strong node that joins later."""
         weak = self.add_candidate("weak", 0.4)
         self.assertIs(self.wait_for_leader(), weak)
         other = self.add_candidate("other-weak", 0.36)
@@ -111,7 +113,7 @@
         self.assertGreater(strong.epochs[0], weak.epochs[0])
 
     def test_silent_leader_is_replaced_with_a_higher_epoch(self) -> None:
-        """A leader that stops renewing loses its leadership to another one."""
+        """A leader that stops renewing is replaced by another node."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
@@ -121,51 +123,51 @@
         self.assertGreater(second.epochs[0], first.epochs[0])
 
     def wait_until_followed(self, follower: Candidate) -> None:
-        """Wait until a follower hears the leader, and watches the store no more."""
+        """Wait until a follower receives heartbeats, and no longer waits for renewals."""
         self.assertTrue(wait_until(lambda: follower.election.leader_is_alive))
         end = self.store.part("keyed.leaders").end
         self.assertTrue(wait_until(lambda: self.store.part("keyed.leaders").end > end + 3))
 
     def kill(self, candidate: Candidate) -> None:
-        """End a node's process: it says nothing more, and its port is closed."""
+        """Stop a candidate and close its port, as if its process had ended."""
         self.candidates.remove(candidate)
         candidate.election.stop()
         candidate.port.close()
 
     def test_leader_with_closed_port_is_replaced_without_store_watch(self) -> None:
-        """Where nobody listens at the leader's address any more, a follower claims at once."""
+        """A follower claims at once if the leader's port refuses connections."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
         self.wait_until_followed(second)
-        with mock.patch.object(leader_watch_module, "_PROBE_SECONDS", 60.0):
+        with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
             self.kill(first)
             self.assertTrue(wait_until(lambda: second.leads))
 
     def test_restarted_leader_claims_without_store_watch(self) -> None:
-        """A node that finds an earlier process of its own on record claims at once."""
+        """A node claims at once if the leader on record is its own earlier process."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         first.election.stop()
         self.candidates.remove(first)
         self.addCleanup(first.port.close)
-        with mock.patch.object(leader_watch_module, "_PROBE_SECONDS", 60.0):
-            again = self.add_candidate("first", incarnation="first-2")
-            self.assertTrue(wait_until(lambda: again.leads))
-        self.assertGreater(again.epochs[0], first.epochs[0])
+        with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
+            restarted = self.add_candidate("first", incarnation="first-2")
+            self.assertTrue(wait_until(lambda: restarted.leads))
+        self.assertGreater(restarted.epochs[0], first.epochs[0])
 
     def test_leader_rejected_by_store_is_replaced(self) -> None:
-        """It tells so itself, and a follower that reaches the store claims at once."""
+        """A follower that reaches the store claims at once if the leader reports rejections."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
         self.wait_until_followed(second)
-        with mock.patch.object(leader_watch_module, "_PROBE_SECONDS", 60.0):
+        with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
             first.election._log._store.move("127.0.0.1:1")
             self.assertTrue(wait_until(lambda: second.leads))
 
     def test_replaced_leader_without_store_follows_heartbeats(self) -> None:
-        """It cannot read who leads now; heartbeats tell, and it leads no more."""
+        """A leader that cannot read the store steps down on the new leader's heartbeat."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
@@ -178,19 +180,19 @@
         self.assertTrue(first.election.leader_is_alive)
 
     def test_follower_without_store_does_not_claim(self) -> None:
-        """While no follower reaches the store either, nobody claims."""
+        """A follower that cannot reach the store does not claim if the store rejects the leader."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
         second.reaches_store = False
         self.wait_until_followed(second)
-        with mock.patch.object(leader_watch_module, "_PROBE_SECONDS", 60.0):
+        with mock.patch.object(leader_watch_module, "_RENEWAL_WAIT_SECONDS", 60.0):
             first.election._log._store.move("127.0.0.1:1")
             self.assertTrue(wait_until(lambda: first.election.renewed_s > 1.5))
             self.assertEqual(second.epochs, [])
 
     def test_resigned_leader_is_replaced_and_does_not_claim_again(self) -> None:
-        """A planned stop hands the leadership over."""
+        """Another node leads after a planned stop of the leader."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
@@ -199,7 +201,7 @@
         self.assertFalse(first.leads)
 
     def test_follower_without_heartbeats_sees_renewals_in_store(self) -> None:
-        """A follower that hears nothing sees the renewals in the store, and does not claim."""
+        """A follower without heartbeats does not claim while renewals arrive in the store."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
@@ -210,7 +212,7 @@
         self.assertEqual(second.epochs, [])
 
     def test_lost_store_answers_elect_no_second_leader(self) -> None:
-        """Claims and renewals that are done and not answered bring no second leader."""
+        """Claims and renewals whose answers are lost lead to no second leader."""
         self.store.lose = True
         first, second = self.add_candidate("first"), self.add_candidate("second")
         self.assertTrue(wait_until(lambda: self.store.part("keyed.leaders").end > 0))
@@ -226,7 +228,7 @@
         self.assertTrue(leader.leads)
 
     def test_leader_is_kept_during_store_outage(self) -> None:
-        """Without the store there is no claim; its leader goes on afterwards."""
+        """The leader remains the leader through a store outage."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
@@ -240,7 +242,7 @@
         self.assertTrue(first.leads)
 
     def test_consecutive_short_terms_are_counted(self) -> None:
-        """A leader that goes silent soon after its claim leaves its successor more time."""
+        """Each short term is counted on record, and extends the timeout for the next leader."""
         for name in ("first", "second", "third"):
             self.add_candidate(name)
         self.silence_leader(self.wait_for_leader())
@@ -249,10 +251,10 @@
         self.assertEqual(last.election.leader.turnover, 2)
         fourth = self.add_candidate("fourth").election
         self.assertTrue(wait_until(lambda: fourth.leader is not None))
-        self.assertEqual(fourth._known.timeout_factor, 4.0)
+        self.assertEqual(fourth._known_leader.timeout_factor, 4.0)
 
     def silence_leader(self, candidate: Candidate) -> None:
-        """Have a node say nothing more, though its process is there, once the others follow it."""
+        """Stop a leader once the others follow it, but keep its port open."""
         for other in self.candidates:
             if other is not candidate:
                 self.assertTrue(wait_until(lambda other=other: other.election.leader_is_alive))
@@ -260,27 +262,27 @@
         self.candidates.remove(candidate)
 
     def test_leader_renews_under_cpu_load(self) -> None:
-        """Threads that keep the interpreter busy for seconds do not cost it the lead."""
+        """A leader renews in time while other threads keep the interpreter busy."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         second = self.add_candidate("second")
         self.wait_until_followed(second)
         end = time.monotonic() + 3.0
 
-        def burn() -> None:
+        def keep_busy() -> None:
             while time.monotonic() < end:
                 sum(range(1000))
 
-        busy = [threading.Thread(target=burn) for _ in range(4)]
-        for each in busy:
-            each.start()
-        for each in busy:
-            each.join()
+        threads = [threading.Thread(target=keep_busy) for _ in range(4)]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
         self.assertTrue(first.leads)
         self.assertEqual(second.epochs, [])
 
     def test_leader_without_store_and_peers_is_isolated(self) -> None:
-        """It has had peers and hears of nobody: it may have been replaced."""
+        """A leader without contact to the store and to its former peers counts as isolated."""
         first = self.add_candidate("first")
         self.wait_for_leader()
         first.election.handle_heartbeat(Heartbeat("peer", "127.0.0.1:2", 0, 0.0))
--- a/tests/test_jobs_failing.py
+++ b/tests/test_jobs_failing.py
@@ -1,4 +1,4 @@
-"""Failing jobs, and workers that spoil what they start: neither may halt the rest."""
+"""Tests of failing jobs and of workers that fail every run: other jobs are not held up."""
 
 import dataclasses
 import unittest
@@ -18,14 +18,14 @@
 
 
 def run_emulator(
-    seed: int, failing_share: float, spoiling: int = 0
+    seed: int, failing_share: float, faulty_workers: int = 0
 ) -> tuple[Emulator, list[DrawnJob]]:
-    """Play a day on 24 workers, some of which fail all that they start until it ends."""
+    """Run the emulator; the first `faulty_workers` workers fail every run until `SECONDS`."""
     mixes = [dataclasses.replace(mix, hopeless_share=failing_share) for mix in default_mixes()]
     workload = WorkloadOptions(SECONDS, 0.5, tuple(mixes))
     jobs = draw_workload(seed, workload)
     emulator = Emulator(seed, EmulatorOptions(workload), jobs)
-    for life in list(emulator.workers)[:spoiling]:
+    for life in list(emulator.workers)[:faulty_workers]:
         emulator.workers[life].fails_all = True
     emulator.run_until(SECONDS)
     for model in emulator.workers.values():
@@ -36,7 +36,7 @@
 
 class TestFailingJobs(unittest.TestCase):
     def test_no_starvation_beside_failing_jobs(self) -> None:
-        """All workers are sound, three jobs in ten always fail: no job waits beside free room."""
+        """With 30 % of the jobs always failing on sound workers, no job starves."""
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
                 emulator, _ = run_emulator(seed, 0.3)
@@ -44,10 +44,10 @@
                 self.assertEqual(list(emulator.starvation.found.values()), [])
 
     def test_no_starvation_beside_faulty_workers(self) -> None:
-        """A sixth of the workers fail all that they start besides; good jobs end well."""
+        """With some workers failing every run too, no job starves and good jobs complete."""
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
-                emulator, jobs = run_emulator(seed, 0.2, spoiling=4)
+                emulator, jobs = run_emulator(seed, 0.2, faulty_workers=4)
                 self.assertEqual(emulator.checks.violations, [])
                 self.assertEqual(list(emulator.starvation.found.values()), [])
                 good = [job.job for job in jobs if not job.is_hopeless]
@@ -62,14 +62,14 @@
         self.running: list[tuple] = []
 
     def start_run(self, step: StepSpec) -> None:
-        """Have a task run on the only worker from now on."""
+        """Start a task on the only worker and keep it running."""
         self.bench.submit(step)
         (start,) = self.bench.starts()
         self.bench.confirm(start)
         self.running.append((start.order.task, start.order.run, 1.0))
 
     def fail_jobs(self, count: int) -> None:
-        """Have jobs of one task each fail on the worker as soon as they run there."""
+        """Submit jobs of one task each that fail on the worker immediately."""
         for _ in range(count):
             self.bench.submit()
             start = self.wait_for_start()
@@ -79,7 +79,7 @@
             self.bench.feed(JobCancelled(task.job))
 
     def wait_for_start(self, seconds: float = 12.0):
-        """Give the next start; the worker tells of what runs there meanwhile."""
+        """Return the next start; meanwhile the worker reports its runs."""
         found = self.bench.starts()
         waited = 0.0
         while not found and waited < seconds:
@@ -91,7 +91,7 @@
         return found[0]
 
     def test_probation_ends_beside_a_long_run(self) -> None:
-        """A worker that failed some runs takes work again, whatever else goes on there."""
+        """Probation ends beside a long run that neither fails nor succeeds."""
         for step in (LONG_RUNNING, LONG):
             with self.subTest(lasts=step.long_running):
                 self.setUp()
@@ -101,7 +101,7 @@
                 self.wait_for_start()
 
     def test_last_attempt_beside_a_long_run(self) -> None:
-        """What may not fail again prefers sound workers, and does not wait for one for ever."""
+        """A last attempt prefers sound workers, but its wait for one is limited."""
         self.start_run(LONG_RUNNING)
         job = self.bench.submit()
         for run in (1, 2, 3):
@@ -114,7 +114,7 @@
 
 
 class TestMalformedStarts(unittest.TestCase):
-    """A worker that calls a start malformed has said something of the job, not of itself."""
+    """A start that is refused as malformed counts against the job, not the worker."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -124,8 +124,8 @@
         result = StartResult(Refusal.MALFORMED, self.bench.now * 1000)
         self.bench.feed(StartAnswered("w", start.order.task, start.order.run, result))
 
-    def test_worker_serves_others_at_once(self) -> None:
-        """Nothing is set aside for it."""
+    def test_worker_is_not_quarantined(self) -> None:
+        """The worker is not quarantined and gets the next start."""
         self.bench.submit()
         (bad,) = self.bench.starts()
         self.refuse(bad)
@@ -134,7 +134,7 @@
         self.assertEqual([start.order.task.job for start in found], [good])
 
     def test_job_is_given_up(self) -> None:
-        """Its caller gets its final answer after as many refusals as failed runs are allowed."""
+        """The job fails after as many refusals as failed runs are allowed."""
         job = self.bench.submit()
         starts = self.bench.starts()
         for _ in range(3):
--- a/tests/test_jobs_lives.py
+++ b/tests/test_jobs_lives.py
@@ -1,4 +1,4 @@
-"""What is known of one life of a worker is never taken for what is known of another."""
+"""Tests that the state of one worker life is not applied to another."""
 
 import itertools
 import types
@@ -63,20 +63,20 @@
 
 
 class TestDecoding(unittest.TestCase):
-    def test_names(self) -> None:
-        """A life's name tells the worker, and lives that differ in their start differ."""
+    def test_identifiers(self) -> None:
+        """A life's identifier contains the worker's id, and differs with the life's start."""
         self.assertNotEqual(FIRST, SECOND)
         self.assertEqual({worker_id_of(FIRST), worker_id_of(SECOND), worker_id_of("i-1")}, {"i-1"})
         self.assertEqual(worker_id_of("odd@name"), "odd@name")
 
-    def test_entry_names_its_life(self) -> None:
-        """An entry's life is that of its start; without one, the id names its only life."""
+    def test_life_of_an_entry(self) -> None:
+        """An entry's life is derived from its start; without one, the id identifies the life."""
         self.assertEqual(decode_worker_entry("i-1", entry(born=100)).life, FIRST)
         self.assertEqual(decode_worker_entry("i-1", entry(born=100)).worker, "i-1")
         self.assertEqual(decode_worker_entry("i-1", entry()).life, "i-1")
 
-    def test_start_that_is_no_time(self) -> None:
-        """A start that is no whole number, or negative, makes what carries it unusable."""
+    def test_invalid_start(self) -> None:
+        """An entry or report whose start is not a non-negative integer is rejected."""
         for born in BAD_BORN:
             with self.subTest(born=born):
                 with self.assertRaises(PlatformError):
@@ -84,8 +84,8 @@
                 with self.assertRaises(PlatformError):
                     decode_renewal(runs_reply(born=born), FIRST)
 
-    def test_list_of_runs_of_another_life(self) -> None:
-        """It is told as such, where both tell of their start."""
+    def test_report_of_another_life(self) -> None:
+        """A report of another life is detected if both starts are known."""
         self.assertIs(decode_renewal(runs_reply(born=200), FIRST), Refusal.NEXT_LIFE)
         for reply, life in (
             (runs_reply(born=100), FIRST),
@@ -97,7 +97,7 @@
 
 class TestAdvice(unittest.TestCase):
     def test_service_knows_workers_by_id(self) -> None:
-        """It is asked about ids, and what it says counts for the lives that were asked about."""
+        """Requests contain worker ids, and the answer applies to the requested lives."""
         service = AdviceStandin()
         self.addCleanup(service.close)
         service.unfit = {"i-2"}
@@ -118,7 +118,7 @@
         self.handle._apply_worker_record(KeyedRecord("i-1", value, offset))
 
     def test_removed_entry_delists_the_listed_life(self) -> None:
-        """The entry's key tells the worker only."""
+        """A removed entry, whose key has only the worker's id, ends the life listed last."""
         self.take(entry(born=100), 0)
         self.take(entry(born=200), 1)
         self.take(None, 2)
@@ -129,7 +129,7 @@
         )
 
     def test_older_entry_read_again_is_ignored(self) -> None:
-        """Entries are read again after a page that shows later ones: they change nothing."""
+        """Older entries that are read again after a newer page are ignored."""
         self.handle._replace_workers([KeyedRecord("i-1", entry(born=200), 7)])
         self.take(entry(born=100), 5)
         self.take(None, 6)
@@ -154,7 +154,7 @@
         return start
 
     def test_ends_of_the_next_life_count(self) -> None:
-        """Ends of the next life count from 1, however many the life before had told."""
+        """Ends of the next life are numbered from 1 and count, after ends of the previous one."""
         for _ in range(3):
             order = self.start().order
             self.bench.report(FIRST, ended=[(order.task, order.run, DONE)])
@@ -166,7 +166,7 @@
         self.assertIs(self.bench.cell.jobs[self.job].status, JobStatus.COMPLETED)
 
     def test_run_restarts_in_the_next_life(self) -> None:
-        """What ran in the life before starts again, as soon as the next one is listed."""
+        """Runs of the previous life start again as soon as the next life is listed."""
         start = self.start()
         self.bench.confirm(start)
         self.start_next_life()
@@ -176,7 +176,7 @@
         self.assertNotIn(FIRST, self.bench.cell.workers)
 
     def test_late_answer_of_the_previous_life(self) -> None:
-        """It changes nothing of the next one."""
+        """Answers of the previous life do not affect the next one."""
         order = self.start().order
         late = self.bench.await_renewal(FIRST)
         self.start_next_life()
@@ -186,13 +186,13 @@
         self.bench.feed(StopAnswered(FIRST, order.task, order.run, True))
         self.assertEqual(self.bench.cell.workers[SECOND].last_processed_end, before)
 
-    def test_time_of_day_set_back_between_two_lives(self) -> None:
-        """Whichever life was listed last counts."""
+    def test_wall_clock_set_back_between_lives(self) -> None:
+        """The life that was listed last counts, even if its start is earlier."""
         self.start_next_life(BEFORE_FIRST)
         self.assertEqual(list(self.bench.cell.workers), [BEFORE_FIRST])
 
-    def test_ended_life_is_listed_again(self) -> None:
-        """The entry of a life that is over brings it not back; the next one does."""
+    def test_ended_life_stays_ended(self) -> None:
+        """An entry of an ended life does not bring it back; the next life's entry is accepted."""
         self.bench.feed(RenewAnswered(FIRST, self.bench.await_renewal(FIRST), Refusal.NEXT_LIFE))
         self.bench.add_worker(FIRST, is_settled=False)
         self.assertEqual(list(self.bench.cell.workers), [])
@@ -200,8 +200,8 @@
         self.assertEqual(list(self.bench.cell.workers), [SECOND])
         self.assertEqual(self.bench.cell.ended_lives, set())
 
-    def test_names_are_forgotten(self) -> None:
-        """Nothing is kept of a worker that is gone, whichever life it had."""
+    def test_state_of_removed_workers_is_dropped(self) -> None:
+        """No state is kept of a worker that is gone."""
         self.start_next_life()
         self.bench.feed(WorkerDelisted(SECOND, False))
         self.bench.tick(16.0)
@@ -210,7 +210,7 @@
 
 
 class TestUnansweredStart(unittest.TestCase):
-    """A start without an answer, and a worker that begins its next life."""
+    """An unanswered start on a worker that then restarts under its id."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -224,7 +224,7 @@
         self.bench.add_worker(SECOND, is_settled=False)
 
     def test_next_life_runs_it(self) -> None:
-        """The run goes on there, and no other begins."""
+        """If the next life executes the start, the run continues and no other one begins."""
         order = self.first.order
         self.bench.report(SECOND, running=[(order.task, order.run, 10)])
         self.bench.tick(0.5)
@@ -233,7 +233,7 @@
         self.assertIs(self.bench.cell.jobs[self.job].status, JobStatus.COMPLETED)
 
     def test_next_life_does_not_have_it(self) -> None:
-        """It is refused there for good before the task starts again."""
+        """If the next life does not have the run, it is stopped there before the task restarts."""
         self.bench.report(SECOND)
         (stop,) = filter_by_type(self.bench.all_effects, SendStop)
         self.assertEqual((stop.life, stop.order.run), (SECOND, self.first.order.run))
@@ -247,7 +247,7 @@
         self.assertEqual(again.order.run, 2)
 
     def test_unanswered_start_is_charged_once(self) -> None:
-        """A loss is told and counted when its life ends, and not again with the next life."""
+        """The loss is charged when the first life ends, and not again with the next one."""
         charged = [
             e
             for e in filter_by_type(self.bench.decisions, LogDecision)
@@ -256,7 +256,7 @@
         self.assertEqual(len(charged), 1)
 
     def test_no_next_life_is_listed(self) -> None:
-        """After the leases of a takeover, the task starts again elsewhere."""
+        """If no next life is listed, the task restarts elsewhere once the leases have expired."""
         bench = Bench()
         bench.tick(20.0)
         bench.add_worker(FIRST)
@@ -271,7 +271,7 @@
 
 
 class TestTakeover(unittest.TestCase):
-    """A leader that begins with runs on record."""
+    """A new leader that restores recorded runs."""
 
     def take_over(self, recorded_life: str) -> Bench:
         before = Bench()
@@ -286,8 +286,8 @@
         self.task = after.cell.jobs[job].repetitions[0][0].tasks[0]
         return after
 
-    def test_run_of_a_life_before_waits_for_its_leases(self) -> None:
-        """Its worker's next life proves it over, and it is charged as lost once."""
+    def test_run_of_a_previous_life(self) -> None:
+        """A run of a previous life ends when the next life refuses it, and is charged once."""
         bench = self.take_over(FIRST)
         bench.add_worker(SECOND)
         (stop,) = filter_by_type(bench.all_effects, SendStop)
@@ -300,7 +300,7 @@
         self.assertEqual((again.order.run, self.task.lost_runs), (2, {1}))
 
     def test_record_without_a_start(self) -> None:
-        """A run on record for an id alone goes on in the life that has it."""
+        """A run recorded for a worker id without a start continues in the life that has it."""
         bench = self.take_over("i-1")
         bench.add_worker(FIRST, is_settled=False)
         bench.report(FIRST, running=[(self.task.id, 1, 30)])
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of callers' keys: who is let in, what a node does that cannot know, whose job it is."""
+"""Tests of callers' keys: authentication, outdated configurations and ownership of jobs."""
 
 import io
 import math
@@ -45,7 +45,7 @@
 
 
 class CallerApiHarness:
-    """An intake whose surroundings the test sets."""
+    """The callers' API with dependencies that the test controls."""
 
     def __init__(self, age_s: float = RECENT_AGE_S, trust_s: float = math.inf) -> None:
         self.age_s = age_s
@@ -98,11 +98,11 @@
 
 
 class TestKeyDecisions(unittest.TestCase):
-    """The table of what a node does, by what it knows of a key and of the configuration."""
+    """Tests of the answers by key, age of the configuration, and trust period."""
 
     def test_key_decisions(self) -> None:
         cases = [
-            # key, seconds since the configuration was surely the newest, trust, answer
+            # key, age of the configuration in seconds, trust period in seconds, status
             ("key-a", RECENT_AGE_S, math.inf, 200),
             ("other-a", RECENT_AGE_S, math.inf, 200),
             ("key-a", STALE_AGE_S, math.inf, 200),
@@ -128,17 +128,17 @@
                     self.assertEqual(harness.unread_body, BODY)
 
     def test_every_call_needs_a_key(self) -> None:
-        """Jobs shown, cancelled and counted as well as handed in."""
+        """Queries, cancellations, counts and unsupported methods require a key."""
         for method, path in (("GET", JOB), ("DELETE", JOB), ("GET", ""), ("PUT", JOB)):
             with self.subTest(method=method, path=path):
                 self.assertEqual(CallerApiHarness().call(method, f"/q/{path}")[0], 401)
 
     def test_unknown_queue_is_reported_before_a_missing_key(self) -> None:
-        """No queue is no queue, with or without a key."""
+        """An unknown queue is reported as 404 even without a key."""
         self.assertEqual(CallerApiHarness().call("GET", "/nothing/")[0], 404)
 
     def test_public_queue(self) -> None:
-        """It needs no key, and what comes by it belongs to no team."""
+        """A public queue needs no key, and its jobs belong to no team."""
         harness = CallerApiHarness()
         self.assertEqual(harness.call("POST", f"/p/{JOB}")[0], 200)
         self.assertEqual(harness.call("POST", f"/p/{JOB}", "key-a")[0], 200)
@@ -155,7 +155,7 @@
 
     @given(st.text(st.characters(max_codepoint=255), max_size=200))
     def test_arbitrary_text_is_not_a_key(self, key: str) -> None:
-        """Whatever stands in the header, it is refused, and shown nowhere."""
+        """Arbitrary header values are rejected, and are not repeated in the answer."""
         harness = CallerApiHarness()
         status, body = harness.call("POST", f"/q/{JOB}", key)
         self.assertIn(status, (401,) if key not in ("key-a", "other-a", "key-b") else (200,))
@@ -165,10 +165,10 @@
 
 class TestOwners(unittest.TestCase):
     def test_old_records_have_no_team(self) -> None:
-        """Records of jobs from before there were teams are read as nobody's."""
+        """Old records without a team field are decoded as jobs without a team."""
         new = make_accepted_job()
         old = encode(new)
-        # An array of one less, without the team at its end.
+        # Shorten the array by its last item, the team.
         self.assertEqual(old[0] & 0xF0, 0x90)
         shorter = bytes([old[0] - 1]) + old[1:-1]
         found = decode_accepted(shorter)
@@ -180,23 +180,23 @@
         self.assertEqual(parse_job_id(record_name(JOB, "a")), JOB)
 
     def test_other_team_cannot_replace_or_cancel_a_job(self) -> None:
-        """The same identifier from another team changes nothing, and leaves no record."""
+        """A submission or cancellation by another team with the same identifier is ignored."""
         bench = Bench()
         bench.add_worker()
-        mine = self.owned_job("a")
-        bench.feed(JobAccepted(JOB, mine))
+        own_job = self.owned_job("a")
+        bench.feed(JobAccepted(JOB, own_job))
         bench.feed(JobAccepted(JOB, self.owned_job("b")))
         (dropped,) = filter_by_type(bench.effects, ForgetAccepted)
         self.assertEqual(dropped.names, (record_name(JOB, "b"),))
         bench.feed(JobCancelled(record_name(JOB, "b")))
         bench.feed(JobCancelled(JOB))
-        self.assertIs(bench.cell.jobs[JOB].accepted, mine)
+        self.assertIs(bench.cell.jobs[JOB].accepted, own_job)
         self.assertFalse(bench.cell.jobs[JOB].status.is_final)
         bench.feed(JobCancelled(record_name(JOB, "a")))
         self.assertIs(bench.cell.jobs[JOB].status, JobStatus.CANCELLED)
 
     def test_owner_after_a_takeover(self) -> None:
-        """The team that its progress names, or else that which was first, keeps a job."""
+        """A job belongs to the team in its progress, otherwise to the first that submitted it."""
         first, second = self.owned_job("a", 1000), self.owned_job("b", 2000)
         records = [
             KeyedRecord(record_name(JOB, each.team), encode(each)) for each in (second, first)
@@ -210,7 +210,7 @@
         self.assertFalse(bench.cell.jobs[JOB].status.is_final)
 
     def test_cancelled_before_it_was_accepted(self) -> None:
-        """Only by its own team."""
+        """An early cancellation applies only if it comes from the job's own team."""
         for canceller, status in (("b", JobStatus.PENDING), ("a", JobStatus.CANCELLED)):
             bench = Bench()
             bench.restore(RecordedJobs({}, {record_name(JOB, canceller)}, {}))
@@ -233,7 +233,7 @@
 
 
 class TestForwarding(unittest.TestCase):
-    """Nodes that do not reach the store learn of a configuration from their peers."""
+    """Tests of receiving configurations from peers when the store is unreachable."""
 
     def setUp(self) -> None:
         self.sent: list[tuple[str, ConfigurationNotice]] = []
@@ -246,7 +246,7 @@
         return msgspec.json.encode(configuration_version(number, *keys))
 
     def test_configuration_is_sent_to_a_peer_with_an_older_one(self) -> None:
-        """After a moment, in which most read it themselves; once a second at most."""
+        """The configuration is sent after a short delay, and at most once a second."""
         self.watcher.apply_from_peer(self.encoded_configuration(5, "k"))
         self.watcher.handle_heartbeat(heartbeat(4))
         self.assertEqual(self.sent, [])
@@ -265,7 +265,7 @@
         return len(self.sent)
 
     def test_older_version_is_ignored(self) -> None:
-        """An older version from a peer changes nothing, nor does what is unreadable."""
+        """Older and unreadable versions from a peer are ignored."""
         self.watcher.apply_from_peer(self.encoded_configuration(5, "new"))
         self.watcher.apply_from_peer(self.encoded_configuration(4, "old"))
         self.watcher.apply_from_peer(b"\xff")
@@ -273,7 +273,7 @@
         self.assertIsNone(self.watcher.current.teams.of_key(b"old"))
 
     def test_peer_with_the_same_version_confirms_it(self) -> None:
-        """If that peer reaches the store; else it knows no more than this node."""
+        """A peer confirms the version only if it reaches the store."""
         self.watcher.apply_from_peer(self.encoded_configuration(5, "k"))
         self.watcher.handle_heartbeat(heartbeat(5, reaches_store=False))
         self.watcher.handle_heartbeat(heartbeat(4))
@@ -284,7 +284,7 @@
 
 class TestConfigurationOfTeams(unittest.TestCase):
     def test_keys_are_kept_as_digests_only(self) -> None:
-        """A configuration's text form shows no key."""
+        """The `repr` of a configuration contains no key."""
         found = decode_configuration(TestForwarding.encoded_configuration(5, "very-secret-key"))
         self.assertIsNotNone(found.teams.of_key(b"very-secret-key"))
         self.assertNotIn("very-secret-key", repr(found) + repr(vars(found.teams)))
@@ -297,7 +297,7 @@
 
 
 class TestKeysInACluster(unittest.TestCase):
-    """Keys that come and go while callers are connected, on nodes that the store turns away."""
+    """Tests of added and revoked keys on nodes that cannot reach the store."""
 
     def setUp(self) -> None:
         self.cluster = EntryCluster(3, proxies=Proxy)
@@ -317,7 +317,7 @@
         return node.call("GET", "/jobs/", headers={"X-Api-Key": key})[0]
 
     def test_keys_change_on_a_node_that_cannot_reach_the_store(self) -> None:
-        """It hears of a lost and of a new key from its peers, and of nothing twice."""
+        """The node receives added and revoked keys from its peers."""
         leader = self.cluster.leader
         follower = next(node for node in self.cluster.nodes if node is not leader)
         for number, node in ((21, follower), (22, leader)):
@@ -327,43 +327,43 @@
                 proxy = self.cluster.store_proxies[node.number - 1]
                 proxy.set(Mode.RESET)
                 self.put_configuration(number, new)
-                # It may first be unsure of a key, and refuse nobody for good meanwhile.
+                # While the node cannot verify a key, it answers with 503.
                 self.assertTrue(
                     wait_until(lambda n=node, k=new: self.status_with_key(n, k) in (200, 503))
                 )
                 self.assertTrue(
                     wait_until(lambda n=node, k=old: self.status_with_key(n, k) in (401, 503))
                 )
-                told = node.lines("configuration_in_force")[-1]
-                self.assertIn(f"version={number} ", told + " ")
-                self.assertIn("source=peer", told)
+                line = node.lines("configuration_in_force")[-1]
+                self.assertIn(f"version={number} ", line + " ")
+                self.assertIn("source=peer", line)
                 proxy.set(Mode.PASS)
                 self.assertTrue(wait_until(lambda n=node, k=new: self.status_with_key(n, k) == 200))
 
     def test_jobs_of_another_team_are_unknown(self) -> None:
-        """Neither shown nor cancelled; keys stand in no log."""
-        one = configuration_version(30, "key-one-of-t")
-        two = {**one["tenants"][0], "name": "u", "api_keys": ["key-one-of-u"]}
-        one["tenants"] = [*one["tenants"], two]
-        self.cluster.store.put("keyed.op", "config", one)
+        """Another team's job is neither shown nor cancelled, and logs contain no keys."""
+        configuration = configuration_version(30, "key-one-of-t")
+        other_tenant = {**configuration["tenants"][0], "name": "u", "api_keys": ["key-one-of-u"]}
+        configuration["tenants"] = [*configuration["tenants"], other_tenant]
+        self.cluster.store.put("keyed.op", "config", configuration)
         path, body = self.cluster.job([SMALL])
-        mine = {"X-Api-Key": "key-one-of-t"}
-        theirs = {"X-Api-Key": "key-one-of-u"}
+        own_headers = {"X-Api-Key": "key-one-of-t"}
+        other_headers = {"X-Api-Key": "key-one-of-u"}
         for node in self.cluster.nodes:
             self.assertTrue(
                 wait_until(lambda n=node: self.status_with_key(n, "key-one-of-u") == 200)
             )
         self.cluster.workers.work_s = 4.0
         node = self.cluster.nodes[0]
-        self.assertEqual(node.call("POST", path, body, mine)[0], 200)
+        self.assertEqual(node.call("POST", path, body, own_headers)[0], 200)
         for each in self.cluster.nodes:
-            self.assertEqual(each.call("GET", path, headers=theirs)[0], 410)
-            self.assertEqual(each.call("GET", path, headers=mine)[0], 200)
-        node.call("DELETE", path, headers=theirs)
-        node.call("POST", path, body, theirs)
+            self.assertEqual(each.call("GET", path, headers=other_headers)[0], 410)
+            self.assertEqual(each.call("GET", path, headers=own_headers)[0], 200)
+        node.call("DELETE", path, headers=other_headers)
+        node.call("POST", path, body, other_headers)
 
         def state() -> str:
-            status, answer, _ = node.call("GET", path, headers=mine)
+            status, answer, _ = node.call("GET", path, headers=own_headers)
             return answer["state"] if status == 200 else str(status)
 
         self.assertTrue(wait_until(lambda: state() == "completed"))
