--- a/src/snowdock/clocks.py
+++ b/src/snowdock/clocks.py
@@ -6,7 +6,7 @@
 
 # CLOCK_MONOTONIC stops while a VM is suspended, so stale data would seem fresh after a resume.
 # Only Linux has CLOCK_BOOTTIME.
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def steady_seconds() -> float:
@@ -17,4 +17,4 @@
     float
         Seconds since an arbitrary time before the process started.
     """
-    return time.clock_gettime(_CLOCK)
+    return time.clock_gettime(_CLOCK_ID)
--- a/src/snowdock/errors.py
+++ b/src/snowdock/errors.py
@@ -6,7 +6,7 @@
 import msgspec
 
 __all__ = [
-    "UNREADABLE",
+    "DECODE_ERRORS",
     "AppendConflict",
     "BodyTooLarge",
     "CallUnanswered",
@@ -38,7 +38,7 @@
 ]
 
 
-UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 """What decoding raises for bytes that do not match the model, are not UTF-8 or nest too deeply."""
 
 
@@ -236,8 +236,8 @@
     code = "invalid_declaration"
 
     def __init__(self, file: str, section: str, key: str, problem: str) -> None:
-        place = f"{file} [{section}]" + (f" {key}" if key else "")
-        super().__init__(f"{place}: {problem}")
+        location = f"{file} [{section}]" + (f" {key}" if key else "")
+        super().__init__(f"{location}: {problem}")
         self.file = file
         self.section = section
         self.key = key
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -7,12 +7,12 @@
 
 from nose2.events import Plugin
 
-_LIST = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-_MOST_LINES = 3
+_LIST_PATH = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
+_MAX_LISTED_TESTS = 3
 """The most tests that may be listed at a time."""
 
 
-def read_known_red(path: pathlib.Path = _LIST) -> dict[str, str]:
+def read_known_red(path: pathlib.Path = _LIST_PATH) -> dict[str, str]:
     """Read the listed lines by the name of their test.
 
     Raises
@@ -23,9 +23,9 @@
     if not path.exists():
         return {}
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    if len(lines) > _MOST_LINES:
+    if len(lines) > _MAX_LISTED_TESTS:
         raise ValueError(
-            f"{path.name} lists {len(lines)} tests; at most {_MOST_LINES} may be listed"
+            f"{path.name} lists {len(lines)} tests; at most {_MAX_LISTED_TESTS} may be listed"
         )
     return {line.partition(":")[0].strip(): line for line in lines}
 
