--- a/src/snowdock/cli/client.py
+++ b/src/snowdock/cli/client.py
@@ -67,7 +67,7 @@
 
         Raises
         ------
-        NoNodeAnswers
+        NoNodeAvailable
             If no node responded.
         """
         failures = []
@@ -93,9 +93,9 @@
 
         Raises
         ------
-        ApiFailure
+        ApiError
             If the node responded with an error status.
-        NoNodeAnswers
+        NoNodeAvailable
             If no node responded.
         """
         return self._decode(self.send("GET", path), model)
@@ -108,9 +108,9 @@
 
         Raises
         ------
-        ApiFailure
+        ApiError
             If the node responded with an error status.
-        NoNodeAnswers
+        NoNodeAvailable
             If no node responded.
         """
         headers = {"Content-Type": content_type}
--- a/src/snowdock/cli/losses.py
+++ b/src/snowdock/cli/losses.py
@@ -55,17 +55,17 @@
     ----------
     job, queue
         The job's identifier and the name of its queue.
-    began, ended
+    started_at, ended_at
         Time of its submission and of its end in seconds; an end of None if it has not ended.
     status
         Final status; empty if it has not ended.
     stretch, target_s
         The job is in time if it takes at most ``stretch`` times its work plus ``target_s`` seconds.
-    lasts
+    is_long_running
         Whether its tasks run until it is cancelled; such a job is in time once it had room.
     is_given_up
         Whether one of its tasks was given up because workers crashed.
-    spent
+    seconds_by_reason
         Seconds by reason.
     """
 
--- a/src/snowdock/declarations.py
+++ b/src/snowdock/declarations.py
@@ -248,7 +248,7 @@
         A struct type whose fields are the allowed keys.
     values
         Keys and texts of the section.
-    error
+    make_error
         Creates the exception for a key and a message.
 
     Returns
--- a/src/snowdock/threads.py
+++ b/src/snowdock/threads.py
@@ -30,7 +30,7 @@
         The function to run.
     name
         The thread's name, which is logged.
-    may_end
+    is_stopping
         Returns whether the end of the thread was requested; by default it never is.
     """
 
--- a/tests/test_play_days.py
+++ b/tests/test_play_days.py
@@ -17,7 +17,7 @@
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        patch = mock.patch.object(play_days, "_DRAWN", pathlib.Path(folder.name))
+        patch = mock.patch.object(play_days, "_DRAWN_FOLDER", pathlib.Path(folder.name))
         patch.start()
         self.addCleanup(patch.stop)
 
