--- a/src/snowdock/cli/explain.py
+++ b/src/snowdock/cli/explain.py
@@ -1,4 +1,4 @@
-"""The story of one job or task, told from the nodes' logs."""
+"""The timeline of one job or task, read from the nodes' logs."""
 
 import dataclasses
 import itertools
@@ -13,7 +13,7 @@
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 _RELATED_SECONDS = 5.0
-"""How long before a line a lost dependency of its node may explain it."""
+"""A lost dependency is related to lines that its node logs within this time after it."""
 
 _DEPENDENCY_EVENTS = ("dependency_lost", "renewal_failed", "election_call_failed", "deposed")
 _WORKER_COUNT_KEYS = ("open", *(reason.value for reason in ExclusionReason))
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a log, by key."""
+    """One parsed line of a log."""
 
     time: float
     event: str
@@ -30,13 +30,13 @@
     fields: dict[str, str]
 
     def mentions(self, job: str) -> bool:
-        """Whether the line names a job or one of its tasks."""
+        """Check whether the line names a job or one of its tasks."""
         return any(job in self.fields.get(key, "") for key in _JOB_KEYS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobTimeline:
-    """What the logs tell of a job: its lines in order, those near them, and the cause."""
+    """A job's log lines in order, related losses of dependencies, and the cause of its outcome."""
 
     job: str
     lines: list[LogLine]
@@ -45,7 +45,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Read a line of key=value pairs, with anything before ``time=`` passed over."""
+    """Parse a line of key=value pairs; anything before ``time=`` is skipped."""
     start = text.find("time=")
     if start < 0:
         return None
@@ -67,12 +67,12 @@
 
 
 def build_timeline(job: str, texts: Iterable[str]) -> JobTimeline:
-    """Put together what the logs of all nodes tell of a job.
+    """Build the timeline of a job from the logs of all nodes.
 
     Parameters
     ----------
     job
-        Its identifier.
+        The job's identifier.
     texts
         Lines of all nodes' logs, in any order.
     """
@@ -114,7 +114,7 @@
 
 
 def _explain_starvation(lines: list[LogLine]) -> str:
-    """Tell what closed the workers to a job that ran nothing beside free room, at its worst."""
+    """Describe why workers were excluded at the longest wait of a job that starved."""
     starving = [line for line in lines if line.event == "job_starves"]
     if not starving:
         return ""
@@ -174,7 +174,7 @@
 
 
 def _explain_duration(lines: list[LogLine], ended: LogLine) -> str:
-    """Name the longest wait between two decisions on the way to the end."""
+    """Describe the longest time between two of the job's lines."""
     until_end = [line for line in lines if line.time <= ended.time]
     pairs = itertools.pairwise(until_end)
     gaps = [(after.time - before.time, before, after) for before, after in pairs]
@@ -191,7 +191,7 @@
 
 
 def format_timeline(timeline: JobTimeline) -> list[str]:
-    """Write a story, a line for each decision."""
+    """Format a timeline as one row for each line, followed by the cause."""
     if not timeline.lines:
         return [f"cause: {timeline.cause}"]
     start = timeline.lines[0].time
