--- a/src/snowdock/node/answers.py
+++ b/src/snowdock/node/answers.py
@@ -1,4 +1,4 @@
-"""Answers of not-repeatable requests, kept for callers that ask again."""
+"""Cache of the outcomes of not-repeatable requests, for callers that retry."""
 
 import collections
 import threading
@@ -11,7 +11,7 @@
 
 
 class AnswerBook:
-    """The newest answers, bounded in bytes; the oldest go first."""
+    """A thread-safe cache of outcomes, bounded in bytes; the oldest are evicted first."""
 
     def __init__(self) -> None:
         self._answers: collections.OrderedDict[str, CallOutcome] = collections.OrderedDict()
@@ -19,7 +19,7 @@
         self._lock = threading.Lock()
 
     def keep(self, request_id: str, outcome: CallOutcome) -> None:
-        """Keep an answer."""
+        """Store the outcome of a request."""
         with self._lock:
             self._answers[request_id] = outcome
             self._bytes += len(outcome.body)
@@ -28,6 +28,6 @@
                 self._bytes -= len(dropped.body)
 
     def find(self, request_id: str) -> CallOutcome | None:
-        """Give the kept answer, if it is still there."""
+        """Return the outcome of a request, or None if it is not cached."""
         with self._lock:
             return self._answers.get(request_id)
--- a/src/snowdock/node/api.py
+++ b/src/snowdock/node/api.py
@@ -51,14 +51,14 @@
 _CATCH_UP_SECONDS = 2.0
 _CATCH_UP_POLL_SECONDS = 0.01
 _CATCH_UP_ENTRIES = 10_000
-"""Numbers further ahead than this are not a lag but a mistake."""
+"""A submission further ahead than this is treated as unknown instead of waited for."""
 
 _OPEN_PATHS = ("/healthz", "/readyz", "/metrics")
 _OPERATORS_PATHS = ("/v1/configuration", "/v1/drain")
 
 
 class ConfigurationChange(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a configuration change: files by name, made from version ``base``."""
+    """The body of a configuration change: files by name, based on version ``base``."""
 
     base: int
     files: dict[str, str]
@@ -66,31 +66,31 @@
 
 
 class SubmittedWork(msgspec.Struct):
-    """One piece of accepted work."""
+    """The number and name of an accepted work."""
 
     work: int
     name: str
 
 
 class Changed(msgspec.Struct):
-    """The version that a change made."""
+    """The configuration version that a change created; 0 for a dry run."""
 
     version: int
 
 
 class Api:
-    """The WSGI application.
+    """The WSGI application of a node's HTTP API.
 
     Parameters
     ----------
-    parts
-        The node.
+    context
+        The node's settings and actors.
     requests
-        Carries out callers' requests.
+        The handler of callers' requests.
     metrics
         The node's metrics.
-    tokens
-        Who may call what.
+    token_store
+        The bearer tokens that authorize requests.
     """
 
     def __init__(
@@ -123,17 +123,17 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are being handled."""
+        """The number of requests being handled."""
         return self._in_flight.count
 
     def drain(self) -> None:
-        """Take no new work and say so to the balancer."""
+        """Reject new work and report the node as not ready to the load balancer."""
         self._draining = True
 
     # -- WSGI ------------------------------------------------------------------------------
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one WSGI request."""
         with self._in_flight.one_more():
             answer = self._answer(environ)
         headers = {
@@ -168,7 +168,7 @@
         }
         if environ.get("CONTENT_TYPE"):
             headers["content-type"] = environ["CONTENT_TYPE"]
-        # WSGI hands paths over as Latin-1; what is not UTF-8 stays as it is.
+        # WSGI decodes paths as Latin-1; bytes that are not valid UTF-8 are replaced.
         path = environ.get("PATH_INFO", "").encode("latin-1").decode("utf-8", "replace")
         return HttpRequest(
             environ["REQUEST_METHOD"], path, environ.get("QUERY_STRING", ""), headers, body
@@ -189,10 +189,10 @@
                 return handler(request, *match.groups())
             allowed.add(method)
         if allowed:
-            raise MethodNotAllowed(f"allowed here: {', '.join(sorted(allowed))}")
+            raise MethodNotAllowed(f"allowed methods: {', '.join(sorted(allowed))}")
         raise NotFound(f"no such path: {request.path[:100]}")
 
-    # -- reading ---------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------
 
     def _view(self, function: Callable) -> object:
         return self._parts.state.ask(View(function), timeout=_ASK_SECONDS)
@@ -243,17 +243,22 @@
         return json_answer(found)
 
     def _catch_up(self, offset: int) -> None:
-        """Wait until this node has read an offset that another one has told of.
+        """Wait until this node has applied a log offset.
 
-        Work accepted through one node would else be unknown at the next for a moment.
+        Without the wait, work just accepted by one node could be reported as unknown by another.
+
+        Raises
+        ------
+        Starting
+            If the node does not reach the offset in time.
         """
         end = steady_seconds() + _CATCH_UP_SECONDS
         while self._parts.applied_offset < offset <= self._parts.applied_offset + _CATCH_UP_ENTRIES:
             if steady_seconds() > end:
-                raise Starting("this node has not read that far yet")
+                raise Starting(f"this node has not yet read the log up to offset {offset}")
             time.sleep(_CATCH_UP_POLL_SECONDS)
 
-    # -- changing --------------------------------------------------------------------------
+    # -- changes ---------------------------------------------------------------------------
 
     def _propose(self, *records: Record) -> tuple[Verdict, ...]:
         future = pykka.ThreadingFuture()
@@ -263,7 +268,7 @@
             result = future.get(timeout=seconds)
         except pykka.Timeout:
             raise VerdictUnknown(
-                "the record may be on the log; send it again with the same key to learn"
+                "the record may be on the log; retry with the same key to find out"
             ) from None
         if isinstance(result, SnowdockError):
             raise result
@@ -274,7 +279,7 @@
         try:
             change = msgspec.json.decode(request.body, type=ConfigurationChange)
         except msgspec.MsgspecError as error:
-            raise InvalidInput(f"the body does not fit: {error}") from error
+            raise InvalidInput(f"invalid configuration change: {error}") from error
         declarations = parse_declarations(change.files)
         PolicySet.check(declarations)
         if request.option("dry_run") == "true":
@@ -290,10 +295,10 @@
     def _submit(self, request: HttpRequest) -> HttpAnswer:
         _want_type(request, _TEXT)
         if self._draining:
-            raise Draining("the node is on its way out; nothing was accepted")
+            raise Draining("the node is draining; nothing was accepted")
         key = request.headers.get("snowdock-key", "")
         if not _KEY.match(key):
-            raise InvalidInput("header Snowdock-Key: 1 to 100 of A-Z a-z 0-9 . _ : - are needed")
+            raise InvalidInput("header Snowdock-Key must be 1 to 100 of A-Z a-z 0-9 . _ : -")
         try:
             text = request.body.decode("utf-8")
         except UnicodeDecodeError as error:
@@ -313,7 +318,13 @@
         return json_answer(accepted, 201)
 
     def _check_possible(self, spec: WorkSpec) -> None:
-        """Say at once what no worker and no quota could ever hold."""
+        """Check that a quota and a worker can hold a task and that the policy admits the work.
+
+        Raises
+        ------
+        WorkImpossible
+            If the work could never be placed.
+        """
 
         def check(parts) -> str:
             team = parts.state.configuration.declarations.teams.get(spec.team)
@@ -341,7 +352,7 @@
         self.request_drain()
         return json_answer({"draining": True}, 202)
 
-    # -- callers' requests -----------------------------------------------------------------
+    # -- forwarded requests ----------------------------------------------------------------
 
     def _call(self, request: HttpRequest) -> HttpAnswer:
         try:
@@ -362,7 +373,7 @@
 def _want_type(request: HttpRequest, wanted: str) -> None:
     given = request.headers.get("content-type", "").partition(";")[0].strip().lower()
     if given != wanted:
-        raise UnsupportedMedia(f"content type {wanted} is needed, not {given[:60]!r}")
+        raise UnsupportedMedia(f"content type must be {wanted}, not {given[:60]!r}")
 
 
 def _reason(status: int) -> str:
--- a/src/snowdock/node/calls.py
+++ b/src/snowdock/node/calls.py
@@ -1,4 +1,4 @@
-"""Callers' requests between HTTP and what the nodes hand to each other."""
+"""Conversion of callers' requests and outcomes between HTTP and messages between nodes."""
 
 import re
 
@@ -25,19 +25,19 @@
 
 
 def read_call(request: HttpRequest) -> CallRequest:
-    """Read a caller's request.
+    """Parse a caller's request.
 
     Raises
     ------
     InvalidInput
-        If one of its headers is malformed; nothing was run.
+        If a header is malformed; nothing was run.
     """
     headers = request.headers
     _, _, rest = request.path.partition("/call/")
     endpoint, _, path = rest.partition("/")
     repeatable = headers.get("snowdock-repeatable", "yes").lower()
     if repeatable not in ("yes", "no"):
-        raise InvalidInput("header Snowdock-Repeatable is yes or no; nothing was run")
+        raise InvalidInput("header Snowdock-Repeatable must be yes or no; nothing was run")
     request_id = headers.get("snowdock-request-id", "")
     if not request_id and repeatable == "no":
         raise InvalidInput("a not-repeatable request needs Snowdock-Request-Id; nothing was run")
@@ -69,12 +69,12 @@
     if text is None:
         return default
     if not text.isascii() or not text.isdigit() or not 0 < int(text[:12]) <= most:
-        raise InvalidInput(f"header {name} is a number from 1 to {most}; nothing was run")
+        raise InvalidInput(f"header {name} must be from 1 to {most}; nothing was run")
     return int(text)
 
 
 def show_outcome(call: CallRequest, outcome: CallOutcome) -> HttpAnswer:
-    """Make the answer that tells a caller of the end of its request."""
+    """Build the HTTP response that reports the outcome of a request to its caller."""
     headers = {
         "Snowdock-Request-Id": call.request_id,
         "Snowdock-Outcome": outcome.outcome.replace("_", "-"),
--- a/src/snowdock/node/daemon.py
+++ b/src/snowdock/node/daemon.py
@@ -1,4 +1,4 @@
-"""``snowdockd``: starts a node's parts, and stops them in order."""
+"""``snowdockd``: starts the components of a node and stops them in order."""
 
 import argparse
 import contextlib
@@ -47,7 +47,13 @@
 
 
 class Node:
-    """All parts of one node."""
+    """One node: its actors, HTTP server and peer connections.
+
+    Parameters
+    ----------
+    settings
+        The node's settings.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -108,7 +114,7 @@
         parts.reader = LogReader.start(log, timing.poll_ms / 1000, parts.state)
 
     def run(self) -> int:
-        """Serve until told to stop; give the exit status."""
+        """Run the node until it is stopped, and return the exit status."""
         self._peers.start()
         self._ask_seeds()
         self._parts.reader.tell(Tick())
@@ -120,14 +126,14 @@
         return self._stop()
 
     def stop(self) -> None:
-        """Ask for a planned stop."""
+        """Request a planned stop."""
         self._stopping.set()
 
     def _note_append(self, answered: bool) -> None:
         self._parts.appends_to_log = answered
 
     def _fail(self) -> None:
-        """End at once: nothing is given back, as if the process had been killed."""
+        """Stop at once without releasing slots or leaving the cluster, as if killed."""
         self._failed = True
         self._stopping.set()
 
@@ -142,7 +148,7 @@
     def _watch_vms(self) -> None:
         interval = self._settings.timing.vms_interval_ms / 1000
         while not self._stopped.wait(interval):
-            # Asked, not told: looks at a slow list must not pile up.
+            # Blocks until the list is read, so that reads of a slow list do not pile up.
             try:
                 self._parts.watcher.ask(Tick())
             except pykka.ActorDeadError:
@@ -189,7 +195,7 @@
         return self._requests.answer_peer(question)
 
     def _ask_seeds(self) -> None:
-        """Take the newest state that a peer has; the log goes on from there."""
+        """Load the state from the first seed that answers; the log is read from its offset."""
         for address in self._settings.node.seed_addresses:
             if address == self._settings.node.peer:
                 continue
@@ -205,11 +211,11 @@
             self._parts.reader.ask(loaded)
             return
 
-    # -- the end ---------------------------------------------------------------------------
+    # -- shutdown --------------------------------------------------------------------------
 
     def _stop(self) -> int:
         if self._failed:
-            log_error("stopped", "a part of the node failed")
+            log_error("stopped", "an actor of the node failed")
             return 1
         log_event("draining")
         name = self._settings.node.name
@@ -228,7 +234,7 @@
 
     def _wait_for_requests(self) -> None:
         end = steady_seconds() + self._settings.timing.drain_ms / 1000
-        # Requests that run here for a peer came in over its sockets, not over the API.
+        # Requests forwarded by a peer do not count as in flight at the API.
         while (self._api.in_flight or self._requests.in_flight) and steady_seconds() < end:
             time.sleep(_STOP_POLL_SECONDS)
 
@@ -236,14 +242,14 @@
         done = threading.Event()
         self._parts.writer.tell(Propose((NodeLeft(name),), lambda result: done.set()))
         if not done.wait(_LEAVE_SECONDS):
-            log_event("left_silently", reason="the log did not answer")
+            log_event("left_silently", reason="no answer from the log")
 
 
 def main() -> None:
     """Run the daemon."""
     parser = argparse.ArgumentParser(prog="snowdockd", description=__doc__)
     parser.add_argument("--settings", required=True, help="the node's INI file")
-    parser.add_argument("--check", action="store_true", help="check the settings and end")
+    parser.add_argument("--check", action="store_true", help="check the settings and exit")
     options = parser.parse_args()
     try:
         settings = read_settings(options.settings)
@@ -252,7 +258,7 @@
             print(f"snowdockd: {error}", file=sys.stderr)
         sys.exit(2)
     if options.check:
-        print("the settings are good")
+        print("the settings are valid")
         return
     log_sink = start_logging(settings.node.name)
     try:
@@ -264,7 +270,7 @@
         signal.signal(number, lambda *_: node.stop())
     status = node.run()
     log_sink.close()
-    # Threads that wait for outside systems may not end by themselves.
+    # Threads blocked on calls to other systems would delay a normal exit.
     os._exit(status)
 
 
--- a/src/snowdock/node/hints.py
+++ b/src/snowdock/node/hints.py
@@ -1,4 +1,4 @@
-"""Which nodes seem able to act, as heard from their heartbeats."""
+"""Tracks which nodes are active, from their heartbeats, to choose the owner of each key."""
 
 from collections.abc import Callable, Mapping
 
@@ -10,20 +10,21 @@
 
 
 class Hints:
-    """Tells which node should act on a thing; wrong hints cost time, never a promise.
+    """The nodes that can act, as seen by this node.
 
-    What is told changes only with `refresh`, after which its caller takes over or gives up
-    things. If it changed by itself, a thing that came up in between two changes could be
-    nobody's for good: a work was once never placed in that way.
+    Nodes may disagree about the owner of a key for a while; this delays work but is safe, since
+    the log decides. The set changes only in `refresh`, after which the caller has to reassign
+    everything it owns. If it changed at other times, a key that appears between two changes
+    could be left without an owner.
 
     Parameters
     ----------
     name
-        This node.
-    silence_seconds
-        A peer that was silent for so long does not seem alive.
+        The name of this node.
+    silence_timeout_s
+        Seconds without a heartbeat after which a peer counts as unresponsive.
     reaches_log
-        Tells whether this node reaches the log itself.
+        Returns whether this node reaches the log.
     """
 
     def __init__(self, name: str, silence_seconds: float, reaches_log: Callable[[], bool]) -> None:
@@ -35,18 +36,19 @@
 
     @property
     def active(self) -> tuple[str, ...]:
-        """The members that seemed able to act at the last `refresh`."""
+        """The names of the members that were active at the last `refresh`."""
         return self._active
 
     def hear(self, node: str, reaches_log: bool) -> None:
-        """Note a peer's heartbeat."""
+        """Record the heartbeat of a peer."""
         self._heard[node] = (steady_seconds(), reaches_log)
 
     def refresh(self, members: Mapping[str, Member]) -> bool:
-        """Work out anew which members seem able to act; tell whether that changed.
+        """Recompute the active members and return whether they changed.
 
-        They are alive, not on their way out, and reach the log. Where none reaches the log,
-        all that are alive count: running work still has to be looked after.
+        A member is active if it is responsive, not draining, and reaches the log. If none
+        reaches the log, all responsive members are active, since running work still needs
+        an owner.
         """
         horizon = steady_seconds() - self._silence
         alive, able = [], []
@@ -62,5 +64,5 @@
         return self._active != before
 
     def is_own(self, thing: str) -> bool:
-        """Tell whether this node should act on a thing."""
+        """Return whether this node owns a key."""
         return ownership.find_owner(thing, self._active) == self._name
--- a/src/snowdock/node/http_models.py
+++ b/src/snowdock/node/http_models.py
@@ -1,4 +1,4 @@
-"""HTTP requests and answers as the API's parts hand them to each other."""
+"""Models of HTTP requests and responses."""
 
 import dataclasses
 from urllib.parse import parse_qs
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """An HTTP request; header names are in lower case."""
+    """An HTTP request with lower-case header names."""
 
     method: str
     path: str
@@ -23,13 +23,13 @@
     body: bytes
 
     def option(self, name: str) -> str:
-        """Give a query parameter, or nothing."""
+        """Return the first value of a query parameter, or an empty string."""
         return parse_qs(self.query).get(name, [""])[0]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes
@@ -38,7 +38,7 @@
 
 
 class Problem(msgspec.Struct):
-    """The body of every failure."""
+    """The body of an error response."""
 
     code: str
     message: str
@@ -47,12 +47,12 @@
 
 
 def json_answer(value: object, status: int = 200) -> HttpAnswer:
-    """Answer with a model as JSON."""
+    """Build a response with a model encoded as JSON."""
     return HttpAnswer(status, msgspec.json.encode(value))
 
 
 def problem_answer(error: SnowdockError | DeclarationErrors) -> HttpAnswer:
-    """Answer with a failure, its code, and when to come back where that is known."""
+    """Build the response for an error, with ``Retry-After`` if the error has a delay."""
     details = [str(e) for e in error.exceptions] if isinstance(error, ExceptionGroup) else []
     message = error.message if isinstance(error, ExceptionGroup) else str(error)
     retry_after = getattr(error, "retry_after_seconds", None)
@@ -62,5 +62,5 @@
 
 
 def whole_seconds(seconds: float) -> str:
-    """Write seconds as the header wants them: whole, and at least one."""
+    """Format seconds for ``Retry-After``: rounded up, at least 1."""
     return str(max(1, -int(-seconds // 1)))
--- a/src/snowdock/node/in_flight.py
+++ b/src/snowdock/node/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts what is in flight, so that a planned stop can wait for it."""
+"""A counter of requests in flight, which a planned stop waits for."""
 
 import contextlib
 import threading
@@ -8,9 +8,9 @@
 
 
 class InFlight:
-    """A count that several threads change.
+    """A thread-safe counter.
 
-    A bare ``+=`` loses counts between threads, and a lost one lets a stop cut a request off.
+    Without the lock, a lost update could let a planned stop cut off a request.
     """
 
     def __init__(self) -> None:
@@ -19,12 +19,12 @@
 
     @property
     def count(self) -> int:
-        """What is in flight now."""
+        """The number of requests in flight."""
         return self._count
 
     @contextlib.contextmanager
     def one_more(self) -> Iterator[None]:
-        """Count one more while the block runs."""
+        """Count one request while the block runs."""
         with self._lock:
             self._count += 1
         try:
--- a/src/snowdock/node/log_actors.py
+++ b/src/snowdock/node/log_actors.py
@@ -1,4 +1,4 @@
-"""The two actors that talk to the platform's log: one appends, one reads."""
+"""The actors that append to and read from the platform's log."""
 
 import threading
 import time
@@ -39,23 +39,23 @@
 
 
 class LogWriter(pykka.ThreadingActor):
-    """Appends batches, one at a time, each until it is surely on the log.
+    """Appends batches to the log one at a time and retries each until it is appended.
 
-    A batch whose answer was lost is appended again under the same sequence number; the
-    reducer finds the second copy void. So the order of a node's records is kept.
+    A batch whose append was not confirmed is appended again with the same sequence number; the
+    reducer rejects the second copy. This keeps a node's records in order.
 
     Parameters
     ----------
     log
-        The log.
+        The client of the log.
     node, incarnation
         The sender in each batch.
-    interval
-        Seconds from one append to the next, which keeps the node within its budget.
+    interval_s
+        Minimum seconds between two appends.
     read_offset
-        Tells how far this node has acted on the log.
-    note_answered
-        Called after each append with whether it was answered.
+        Returns the log offset that this node has applied.
+    on_append_result
+        Called after each append with whether it succeeded.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self._failing = False
 
     def on_receive(self, message: object) -> None:
-        """Take a proposal, a verdict or the time to append."""
+        """Handle a proposal, a batch that was read back, or the append timer."""
         if isinstance(message, Propose):
             self._take(message)
         elif isinstance(message, BatchSeen):
@@ -95,21 +95,21 @@
         self._set_timer()
 
     def on_stop(self) -> None:
-        """Tell everyone who still waits that the verdict will not be seen here."""
+        """Reject the proposals whose verdicts are still outstanding."""
         for proposals in self._waiting.values():
             for proposal in proposals:
-                _refuse(proposal, VerdictUnknown("the node stops; ask another with the same key"))
+                _refuse(proposal, VerdictUnknown("the node is stopping; retry at another node"))
         for proposal in self._queue:
-            _refuse(proposal, LogUnavailable("the node stops; nothing was recorded"))
+            _refuse(proposal, LogUnavailable("the node is stopping; nothing was recorded"))
 
     def _take(self, proposal: Propose) -> None:
-        # A caller's proposal is refused at once while the log is down: it has not been sent,
-        # so "not recorded" is certain. The node's own records wait.
+        # While the log is down, a proposal with a callback is rejected at once: it was not sent,
+        # so it is certain that it was not recorded. The node's own records stay queued.
         if self._failing and proposal.reply is not None:
             _refuse(proposal, LogUnavailable("the log is down; nothing was recorded"))
             return
         if self._queued_records + len(proposal.records) > _MAX_QUEUED_RECORDS:
-            _refuse(proposal, LogUnavailable("too much waits for the log; nothing was recorded"))
+            _refuse(proposal, LogUnavailable("the log's queue is full; nothing was recorded"))
             return
         self._queue.append(proposal)
         self._queued_records += len(proposal.records)
@@ -131,8 +131,8 @@
             self.actor_ref.tell(Tick())
 
     def _next_batch(self) -> Batch:
-        # Ends go first, since they free room, and placements last; records of one kind
-        # that stand together also take fewer bytes.
+        # Ended attempts come first, since they free capacity, and placements last. Adjacent
+        # records of one kind are also encoded in fewer bytes.
         self._queue.sort(key=_batch_order)
         taken, records = [], []
         while self._queue and len(records) < _MAX_BATCH_RECORDS:
@@ -190,7 +190,7 @@
     def _judged(self, seen: BatchSeen) -> None:
         judged = seen.judged
         if self._in_flight is not None and judged.sequence == self._sequence:
-            # The append's answer was lost, but the batch is there.
+            # The append succeeded although its response was lost.
             self._in_flight = None
             self._failing = False
             self._note_answered(True)
@@ -213,16 +213,16 @@
 
 
 class LogReader(pykka.ThreadingActor):
-    """Reads the log from the start, or from the newest snapshot, and follows it.
+    """Reads the log from the start or from the newest snapshot, and then follows it.
 
     Parameters
     ----------
     log
-        The log.
-    wait_seconds
-        How long one read waits for news.
+        The client of the log.
+    poll_timeout_s
+        Seconds that one read waits for new entries.
     target
-        The actor that gets `EntriesRead`, `StateLoaded` and `LogFailed`.
+        The actor that receives `EntriesRead`, `StateLoaded` and `LogFailed`.
     """
 
     def __init__(self, log: LogClient, wait_seconds: float, target: pykka.ActorRef) -> None:
@@ -235,7 +235,7 @@
         self._failing = False
 
     def on_receive(self, message: object) -> None:
-        """Read once and go on; a `StateLoaded` names the offset to go on from."""
+        """Read one page and schedule the next read; `StateLoaded` skips to its offset."""
         if isinstance(message, StateLoaded):
             self._next = max(self._next, message.state.offset + 1)
             return
@@ -272,7 +272,7 @@
     def _load_snapshot(self, end: int, asked_at: float) -> None:
         state = newest_snapshot(self._seeking)
         if state is None:
-            log_error("snapshot_missing", "no whole snapshot on the log", end=end)
+            log_error("snapshot_missing", "no complete snapshot on the log", end=end)
             return
         log_event("snapshot_loaded", offset=state.offset)
         later = tuple(entry for entry in self._seeking if entry.offset > state.offset)
@@ -282,17 +282,17 @@
 
 
 def newest_snapshot(entries: list[RawEntry]) -> State | None:
-    """Find the newest whole snapshot whose next entry is still among the entries.
+    """Find the newest complete snapshot from which the entries continue without a gap.
 
     Parameters
     ----------
     entries
-        All entries that the log still holds, in order.
+        All entries retained by the log, in order.
 
     Returns
     -------
     State or None
-        The decoded snapshot.
+        The decoded snapshot, or None if there is none.
     """
     parts: dict[tuple[str, int], dict[int, SnapshotPart]] = {}
     for entry in entries:
--- a/src/snowdock/node/messages.py
+++ b/src/snowdock/node/messages.py
@@ -42,14 +42,14 @@
 
 @_message
 class Tick:
-    """Time has passed; do what is due."""
+    """A periodic timer fired."""
 
 
 @_message
 class Propose:
-    """Put records on the log.
+    """A request to append records to the log.
 
-    ``reply``, where given, is called once with the tuple of verdicts or a `SnowdockError`.
+    If given, ``on_verdicts`` is called once with the tuple of verdicts or a `SnowdockError`.
     """
 
     records: tuple[Record, ...]
@@ -58,7 +58,7 @@
 
 @_message
 class BatchSeen:
-    """A batch of this node was read back and judged."""
+    """A batch of this node was read back from the log and applied."""
 
     judged: BatchApplied
 
@@ -67,8 +67,8 @@
 class EntriesRead:
     """New entries of the log, in order.
 
-    ``end`` is the offset that the next will get; ``asked_at`` is when the read began, on the
-    monotonic clock.
+    ``end`` is the offset of the next entry to be appended. ``read_started_at`` is the time at
+    which the read started, in seconds on the monotonic clock.
     """
 
     entries: tuple[RawEntry, ...]
@@ -78,28 +78,28 @@
 
 @_message
 class LogConfirmed:
-    """A read of the log that began at ``asked_at`` was answered and applied."""
+    """A read of the log that started at ``read_started_at`` was applied."""
 
     asked_at: float
 
 
 @_message
 class StateLoaded:
-    """A snapshot, from the log or from a peer, to go on from."""
+    """A snapshot from the log or from a peer was loaded."""
 
     state: State
 
 
 @_message
 class LogFailed:
-    """The log did not answer a read."""
+    """A read of the log failed."""
 
     problem: str
 
 
 @_message
 class View:
-    """Read the shared state: the function is called with the state actor's parts."""
+    """Call a function with the receiving actor's state, and return its result."""
 
     function: Callable[..., object]
 
@@ -118,7 +118,7 @@
 
 @_message
 class PeerIdle:
-    """A peer told how many idle slots it has, by minion group."""
+    """A peer's heartbeat reported its idle slots by minion group."""
 
     node: str
     idle_slots: dict[str, int]
@@ -126,21 +126,21 @@
 
 @_message
 class AssignmentChanged:
-    """The workers that this node should drive, by name and address."""
+    """The workers that this node has to drive: addresses by name."""
 
     workers: dict[str, str]
 
 
 @_message
 class WorkerPoked:
-    """There is something to start or stop on a worker."""
+    """A worker has attempts to start or stop."""
 
     worker: str
 
 
 @_message
 class SyncAnswered:
-    """A worker answered an order."""
+    """A worker replied to an order."""
 
     worker: str
     answer: SyncAnswer
@@ -148,7 +148,7 @@
 
 @_message
 class SyncFailed:
-    """A worker did not answer an order."""
+    """A call to a worker failed."""
 
     worker: str
     problem: str
@@ -156,7 +156,7 @@
 
 @_message
 class MinionsChanged:
-    """All minions, and whether this node still takes slots."""
+    """All minions, and whether this node may take slots."""
 
     minions: tuple[MinionView, ...]
     may_take: bool
@@ -164,9 +164,10 @@
 
 @_message
 class Acquire:
-    """Ask for a slot on a minion of a group.
+    """A request for a slot on a minion of a group.
 
-    ``slot`` gets `Granted`, `LentByPeer` or `Refused`.
+    The future is set to `SlotGranted`, `SlotAtPeer` or `SlotRefused`. ``deadline`` is in seconds
+    on the monotonic clock.
     """
 
     group: str
@@ -182,7 +183,7 @@
 
 @_message
 class Granted:
-    """A slot is the asker's until it sends `Released`."""
+    """A slot is reserved for the requester until it sends `SlotReleased`."""
 
     minion: str
     address: str
@@ -190,14 +191,14 @@
 
 @_message
 class LentByPeer:
-    """No slot is idle here, but a peer has some."""
+    """No slot is idle here, but the named peer has one."""
 
     node: str
 
 
 @_message
 class Refused:
-    """No slot, and when to come back."""
+    """No slot is available; retry after ``retry_after_seconds``."""
 
     reason: str
     retry_after_seconds: float
@@ -205,10 +206,10 @@
 
 @_message
 class Released:
-    """A slot is idle again, after ``hold_seconds``.
+    """A slot becomes idle after ``hold_s`` seconds.
 
-    ``failed`` says that the minion did not answer well. A slot is held back where its
-    request may still run at the minion.
+    The hold covers a request that may still be running at the minion. ``failed`` counts against
+    the minion's health, and ``duration_s`` is how long the slot was used.
     """
 
     minion: str
--- a/src/snowdock/node/metrics.py
+++ b/src/snowdock/node/metrics.py
@@ -1,7 +1,6 @@
-"""Metrics by aioprometheus.
+"""Prometheus metrics of a node, based on aioprometheus.
 
-The library is made for asyncio, but its counters, gauges and its ``render`` are ordinary
-functions. A node has no event loop: `render_metrics` is called by the HTTP API's threads.
+Only the synchronous functions of aioprometheus are used, since a node has no event loop.
 """
 
 import threading
@@ -13,15 +12,14 @@
 __all__ = ["Metrics"]
 
 _TIME_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0]
-"""Seconds: calls take some ms, placements some tens, runs seconds."""
 
 _QUANTILES = ((0.5, 0.02), (0.9, 0.01), (0.99, 0.001))
 
 
 class Metrics:
-    """All metrics of one node.
+    """The metrics of one node.
 
-    aioprometheus counts by reading and writing back, so a lock keeps threads apart.
+    A lock makes updates thread-safe, since aioprometheus does not update values atomically.
     """
 
     def __init__(self) -> None:
@@ -45,19 +43,19 @@
             self._find(aioprometheus.Gauge, name, doc).set(labels, value)
 
     def observe(self, name: str, doc: str, value: float, **labels: str) -> None:
-        """Add an observation to a summary with the quantiles 0.5, 0.9 and 0.99."""
+        """Record a value in a summary with the quantiles 0.5, 0.9 and 0.99."""
         with self._lock:
             found = self._find(aioprometheus.Summary, name, doc, invariants=_QUANTILES)
             found.observe(labels, value)
 
     def time(self, name: str, doc: str, seconds: float, **labels: str) -> None:
-        """Add a time to a histogram."""
+        """Record a duration in a histogram."""
         with self._lock:
             found = self._find(aioprometheus.Histogram, name, doc, buckets=_TIME_BUCKETS)
             found.observe(labels, seconds)
 
     def render(self) -> tuple[bytes, str]:
-        """Give all metrics in the text format, and its content type."""
+        """Return all metrics in the text format, and its content type."""
         with self._lock:
             self._find(
                 aioprometheus.Gauge,
--- a/src/snowdock/node/parts.py
+++ b/src/snowdock/node/parts.py
@@ -1,4 +1,4 @@
-"""What the actors of one node know of each other."""
+"""The settings, identity and actor references shared by the actors of one node."""
 
 import dataclasses
 from collections.abc import Callable
@@ -12,31 +12,31 @@
 
 
 def _ignore(*_: object) -> None:
-    """Do nothing; stands where no part has been set yet."""
+    """Do nothing; the default of callbacks that are not set yet."""
 
 
 @dataclasses.dataclass(slots=True)
 class Parts:
-    """One node's identity and the references of its actors.
+    """The settings, identity and actor references of one node.
 
     Attributes
     ----------
     settings, incarnation, api_address
-        Who the node is; the incarnation is new with each start of the process.
+        Identify the node; each start of the process has a new incarnation.
     writer, reader, state, driver, router, watcher
         The actors.
-    peers_changed
+    on_members_changed
         Called with the members whenever they change.
-    fail
-        Called when an actor that nothing can replace has failed.
+    on_fatal_error
+        Called when the node has to stop at once.
     applied_offset
-        How far the node has acted on the log.
-    digest
-        The newest offset at which the state was digested, and the digest.
+        The last log offset that the node has applied.
+    latest_digest
+        The offset and the value of the latest digest of the state.
     reads_log, appends_to_log
-        Whether the last read, and the last append, were answered.
+        Whether the last read and the last append succeeded.
     idle_slots
-        Idle slots of this node by minion group, told to peers.
+        Idle slots of this node by minion group, sent to peers in heartbeats.
     """
 
     settings: Settings
@@ -58,5 +58,5 @@
 
     @property
     def reaches_log(self) -> bool:
-        """Whether this node can both read and append."""
+        """Whether the last read and the last append both succeeded."""
         return self.reads_log and self.appends_to_log
