--- a/src/snowdock/node/api.py
+++ b/src/snowdock/node/api.py
@@ -255,7 +255,7 @@
         end = steady_seconds() + _CATCH_UP_SECONDS
         while self._parts.applied_offset < offset <= self._parts.applied_offset + _CATCH_UP_ENTRIES:
             if steady_seconds() > end:
-                raise Starting(f"this node has not yet read the log up to offset {offset}")
+                raise Starting("this node has not yet read the log far enough")
             time.sleep(_CATCH_UP_POLL_SECONDS)
 
     # -- changes ---------------------------------------------------------------------------
--- a/src/snowdock/node/log_actors.py
+++ b/src/snowdock/node/log_actors.py
@@ -98,7 +98,10 @@
         """Reject the proposals whose verdicts are still outstanding."""
         for proposals in self._waiting.values():
             for proposal in proposals:
-                _refuse(proposal, VerdictUnknown("the node is stopping; retry at another node"))
+                _refuse(
+                    proposal,
+                    VerdictUnknown("the node is stopping; retry at another node with the same key"),
+                )
         for proposal in self._queue:
             _refuse(proposal, LogUnavailable("the node is stopping; nothing was recorded"))
 
--- a/src/snowdock/node/peer_links.py
+++ b/src/snowdock/node/peer_links.py
@@ -1,4 +1,4 @@
-"""Connections from a node to its peers, and which heartbeat is due on each."""
+"""Connections from a node to its peers, and the schedule of heartbeats on them."""
 
 import dataclasses
 from collections.abc import Callable, Collection, Iterator
@@ -8,21 +8,21 @@
 __all__ = ["BeatPlan", "PeerLinks"]
 
 _UNCONFIRMED_SECONDS = 2.0
-"""A connection over which a peer has heard nothing for so long is made anew: it may have gone
-silent without a reset. Three of the less frequent heartbeats are due meanwhile."""
+"""Age of the last confirmed heartbeat after which a connection is replaced: it may be dead
+without a reset. At least three infrequent heartbeats fall into this time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BeatPlan:
-    """Which peers get a heartbeat at each turn; the others get one at each n-th.
+    """How often each peer is sent a heartbeat.
 
     Attributes
     ----------
-    seldom
-        The n: a heartbeat costs a leader some 0.2 ms of processor time for each peer, and most
-        peers need to know of it less soon than those that would take its place.
-    frequent
-        Gives the names of the peers that get one at each turn.
+    rare_interval
+        Number of ticks between heartbeats to the peers that are not frequent. A longer interval
+        saves processor time of the sender, which pays for each heartbeat to each peer.
+    frequent_peers
+        Returns the names of the peers that are sent a heartbeat at each tick.
     """
 
     seldom: int = 1
@@ -31,10 +31,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Link:
-    """One connection.
+    """One connection; times are in seconds on the monotonic clock.
 
-    ``is_new`` until a heartbeat has gone out over it; ``heard_at`` tells when a heartbeat of the
-    peer came last, None before the first, and ``confirmed_at`` when the peer last heard of us.
+    Attributes
+    ----------
+    confirmed_at
+        When the peer last received a heartbeat of this node.
+    is_new
+        Whether no heartbeat has been sent over the connection yet.
+    last_heartbeat_at
+        When the last heartbeat of the peer arrived; None before the first.
     """
 
     address: str
@@ -45,16 +51,16 @@
 
 
 class PeerLinks:
-    """The connections to peers by name, for the one thread that owns them.
+    """The connections to peers by name. Not thread-safe: one thread owns them.
 
     Parameters
     ----------
     make_socket
-        Makes an unconnected socket.
+        Creates an unconnected socket.
     poller
-        Told of each socket.
+        Each socket is registered with it.
     plan
-        Which peers get which heartbeats.
+        How often each peer is sent a heartbeat.
     """
 
     def __init__(
@@ -70,16 +76,16 @@
         return node in self._links
 
     def socket(self, node: str) -> zmq.Socket:
-        """Give the socket that is connected to a peer."""
+        """Return the socket that is connected to a peer."""
         return self._links[node].socket
 
     def connect(self, node: str, address: str, now: float) -> None:
-        """Connect to a peer, if that has not been done."""
+        """Connect to a peer unless it is connected already."""
         if node not in self._links:
             self._links[node] = _Link(address, self._open(address), now)
 
     def keep_only(self, addresses: dict[str, str], now: float) -> None:
-        """Connect to these peers, and to no others."""
+        """Connect to the given peers and close the connections to all others."""
         for node, link in list(self._links.items()):
             if addresses.get(node) != link.address:
                 self._close(self._links.pop(node).socket)
@@ -87,7 +93,17 @@
             self.connect(node, address, now)
 
     def hear(self, node: str, heard_s: float | None, now: float) -> None:
-        """Take over a heartbeat of a peer that last heard of this node so many seconds ago."""
+        """Record a heartbeat of a peer.
+
+        Parameters
+        ----------
+        node
+            The peer.
+        last_received_s
+            Seconds since the peer last received a heartbeat of this node; None if it never did.
+        now
+            The time in seconds on the monotonic clock.
+        """
         link = self._links.get(node)
         if link is None:
             return
@@ -96,7 +112,7 @@
             link.confirmed_at = max(link.confirmed_at, now - heard_s)
 
     def renew_unconfirmed(self, now: float) -> list[str]:
-        """Make connections anew that seem to have gone silent; give the peers' names."""
+        """Replace connections without recent confirmation, and return the names of their peers."""
         renewed = []
         for node, link in self._links.items():
             if now - link.confirmed_at > _UNCONFIRMED_SECONDS:
@@ -108,19 +124,19 @@
         return renewed
 
     def due_beats(self, now: float) -> Iterator[tuple[zmq.Socket, bool, float | None]]:
-        """Give where heartbeats are due at this turn.
+        """Start the next tick and yield the connections on which a heartbeat is due.
 
         Yields
         ------
         tuple
-            The socket, whether that peer gets one at each turn, and how many seconds ago it was
-            heard itself; None where it never was.
+            The socket, whether the peer is sent a heartbeat at each tick, and the seconds since
+            the last heartbeat of the peer arrived, or None if there was none.
         """
         self._turn += 1
         frequent = self._plan.frequent()
         for number, (node, link) in enumerate(self._links.items()):
             is_frequent = node in frequent
-            # The less frequent ones are spread over the turns.
+            # Infrequent heartbeats are spread over the ticks.
             is_turn = (self._turn + number) % self._plan.seldom == 0
             if is_frequent or is_turn or link.is_new:
                 link.is_new = False
--- a/src/snowdock/node/peer_messages.py
+++ b/src/snowdock/node/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes, encoded as arrays by msgspec."""
+"""Messages between nodes, encoded as MessagePack arrays."""
 
 import msgspec
 
@@ -23,9 +23,10 @@
 
 
 class CallOutcome(msgspec.Struct, array_like=True, frozen=True):
-    """What a caller is told of a request.
+    """The outcome of a caller's request.
 
-    ``outcome`` is ``ran``, ``not_run`` or ``unknown``; ``code`` names a failure.
+    ``outcome`` is ``ran``, ``not_run`` or ``unknown``; ``code`` is the code of an error, or
+    empty.
     """
 
     outcome: str
@@ -39,7 +40,7 @@
 
 
 class CallRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A caller's request; ``deadline_ms`` is what is left of its time."""
+    """A caller's request; ``deadline_ms`` is the remaining time in milliseconds."""
 
     request_id: str
     endpoint: str
@@ -55,13 +56,13 @@
 
 
 class _PeerMessage(msgspec.Struct, array_like=True, frozen=True, tag=True):
-    """Base of the messages between nodes; ``number`` ties an answer to its question."""
+    """Base of the messages between nodes; ``number`` matches a response to its request."""
 
 
 class Heartbeat(_PeerMessage, tag="h"):
-    """A node is alive and has applied the log up to ``offset``.
+    """A heartbeat of a node that has applied the log up to ``offset``.
 
-    ``reaches_log`` tells whether its last read and its last append were answered.
+    ``reaches_log`` is whether its last read and its last append of the log succeeded.
     """
 
     node: str
@@ -74,41 +75,41 @@
 
 
 class StateWanted(_PeerMessage, tag="s"):
-    """A starting node that cannot read the log asks for the state."""
+    """A request of a starting node for the state."""
 
     number: int
 
 
 class StateGiven(_PeerMessage, tag="S"):
-    """The whole state, encoded."""
+    """The encoded state."""
 
     number: int
     data: bytes
 
 
 class CallForwarded(_PeerMessage, tag="c"):
-    """A request for which the sender has no idle slot."""
+    """A caller's request that is forwarded because the sender has no idle slot."""
 
     number: int
     request: CallRequest
 
 
 class CallAnswered(_PeerMessage, tag="C"):
-    """The end of a forwarded request."""
+    """The outcome of a forwarded request."""
 
     number: int
     outcome: CallOutcome
 
 
 class AnswerWanted(_PeerMessage, tag="a"):
-    """A caller asks again for a not-repeatable request that the receiver ran."""
+    """A request for the cached outcome of a not-repeatable request that the receiver ran."""
 
     number: int
     request_id: str
 
 
 class AnswerGiven(_PeerMessage, tag="A"):
-    """The kept answer, or None where it is not kept any more."""
+    """The cached outcome, or None if it is no longer cached."""
 
     number: int
     outcome: CallOutcome | None
@@ -133,12 +134,12 @@
     Raises
     ------
     InvalidInput
-        If the bytes are not one.
+        If the bytes are not a valid message.
     """
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise InvalidInput(f"not a peer message: {error}") from error
+        raise InvalidInput(f"invalid peer message: {error}") from error
 
 
 NODE_MESSAGES = PeerMessages(
--- a/src/snowdock/node/peers.py
+++ b/src/snowdock/node/peers.py
@@ -1,4 +1,4 @@
-"""Sockets to the other nodes, by pyzmq: one thread owns them all."""
+"""Messaging between nodes over ZeroMQ; one thread owns all sockets."""
 
 import concurrent.futures
 import contextlib
@@ -24,53 +24,51 @@
 _MAX_QUEUED_MESSAGES = 1000
 _MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 _ANSWERERS = 160
-"""Threads that answer questions: with a slow store each of a leader's may wait for a second or two,
-and 100 jobs a second may come. They are started as they are needed."""
+"""Maximum number of threads that process requests of peers. With a slow store, each may be blocked
+for a second or two. Threads are started on demand."""
 
 _LONGEST_POLL_SECONDS = 0.25
-"""The longest wait for messages: also how late a stop may be noticed."""
+"""Maximum wait for messages, which also bounds the delay of a stop."""
 
 _LINK_HEARTBEAT_MS = 500
-"""Time between signs of life on a connection; three are due before it is made anew."""
+"""Interval between ZeroMQ heartbeats on a connection; a third of the timeout."""
 
 _LINK_TIMEOUT_MS = 1500
-"""A connection without a sign of life for this long is made anew: a peer without power says
-nothing, and TCP alone would wait for minutes."""
+"""Time without ZeroMQ heartbeats after which a connection is replaced. TCP alone would take
+minutes to detect a peer that lost power."""
 
 _KEEPALIVE_SECONDS = 5
 _KEEPALIVE_PROBES = 3
-"""Time between a kernel's probes of a connection without traffic, and how many may be missed."""
+"""TCP keepalive interval, and the number of missed probes after which a connection is closed."""
 
 _TAKEN_AT_A_TIME = 100
-"""The most messages taken from one socket before the others have their turn."""
+"""Maximum number of messages read from one socket before the next one is served."""
 
 _RECONNECT_MS = 100
 _LONGEST_RECONNECT_MS = 1000
-"""Bounds of the pause before a connection is tried again; it doubles with each try."""
-
+"""Bounds of the delay before a reconnect, which doubles with each attempt."""
 
 _EVERY_BEAT = BeatPlan()
-"""Each peer gets each heartbeat."""
+"""Sends every heartbeat to every peer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerOptions:
-    """Where a node listens for peers, and what it needs of them.
+    """The options of a node's connections to its peers.
 
     Attributes
     ----------
     listen
-        IP number and port.
-    beat_seconds
-        Time between heartbeats.
+        IP address and port to listen on.
+    heartbeat_interval_s
+        Seconds between heartbeats.
     public_key, secret_key
-        The cluster's keys in Z85; empty for connections without them.
+        The cluster's CURVE keys in Z85; empty for unauthenticated connections.
     plan
-        Which peers get which heartbeats.
+        How often each peer is sent a heartbeat.
     confirms_links
-        Whether heartbeats tell when the receiver was heard last, so that a connection that has
-        gone silent is noticed by them. Else the connections have signs of life of their own,
-        which cost a leader of 17 peers a quarter of its processor time.
+        Whether heartbeats report when the receiver's last heartbeat arrived, which detects dead
+        connections. Otherwise ZeroMQ heartbeats are used, which cost more processor time.
     """
 
     listen: str
@@ -83,17 +81,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerMessages:
-    """The messages that peers exchange.
+    """The codec and the types of the messages that peers exchange.
 
     Attributes
     ----------
     encode, decode
-        The codec; decoding raises `InvalidInput`.
+        The codec; ``decode`` raises `InvalidInput` for an invalid message.
     heartbeat
         The type of heartbeats.
-    questions, answers
-        The types of questions and of answers; each has a ``number``, but for questions that are
-        never answered.
+    requests, responses
+        The types of requests and responses. Each has a ``number``, except for requests without
+        a response.
     """
 
     encode: Callable[[object], bytes]
@@ -105,21 +103,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Addresses:
-    """All peers and where they listen."""
+    """The addresses of all peers, by name."""
 
     addresses: dict[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Connect:
-    """One more peer, known by its address only."""
+    """An additional peer that is known only by its address."""
 
     address: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Ask:
-    """A question, or a message without an answer, on its way to a peer."""
+    """A message to send to a peer."""
 
     node: str
     data: bytes
@@ -127,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Reply:
-    """An answer on its way back to a socket's identity."""
+    """A response to send to the socket identity of a requester."""
 
     identity: bytes
     data: bytes
@@ -137,35 +135,36 @@
 
 
 class _OneKey:
-    """Knows the one public key whose holders are peers."""
+    """Credentials provider that accepts only the cluster's public key."""
 
     def __init__(self, public_key: str) -> None:
         self._key = public_key.encode()
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tell whether a key, in Z85, may connect; pyzmq names this method."""
+        """Return whether a client with a public key in Z85 may connect; called by pyzmq."""
         return hmac.compare_digest(key, self._key)
 
 
 class Peers:
-    """Sends heartbeats and questions to peers and answers theirs.
+    """Exchanges heartbeats, requests and responses with peers.
 
-    pyzmq's sockets belong to one thread; other threads hand messages over through a queue
+    ZeroMQ sockets are not thread-safe, so one thread owns them. Other threads queue messages
     and wake that thread through an in-process socket.
 
     Parameters
     ----------
     options
-        Where to listen, and how often to send heartbeats.
+        The options of the connections.
     messages
-        What is exchanged.
-    answer
-        Makes the answer to a question; called on one of a few threads.
-    heard
-        Called with each heartbeat.
-    make_beat
-        Makes the heartbeat to send to one peer, given in how many seconds the next one is due, and
-        how many seconds ago that peer was heard last (None for never).
+        The codec and the types of messages.
+    answer_request
+        Returns the response to a request, or None for no response; called on a pool of threads.
+    on_heartbeat
+        Called with each received heartbeat.
+    make_heartbeat
+        Creates the heartbeat to send to a peer. Its arguments are the seconds until the next
+        heartbeat to that peer is due, and the seconds since the last heartbeat of that peer
+        arrived, or None if there was none.
     """
 
     def __init__(
@@ -204,7 +203,7 @@
         self._thread = ServiceThread(self._run, "peers", self._stopped.is_set)
 
     def _start_authenticator(self) -> ThreadAuthenticator | None:
-        """Let only holders of the cluster's keys in, if there are keys."""
+        """Start CURVE authentication if the cluster has keys."""
         public = self._options.public_key
         if not public:
             return None
@@ -226,7 +225,7 @@
         if not options.confirms_links:
             socket.heartbeat_ivl = _LINK_HEARTBEAT_MS
             socket.heartbeat_timeout = _LINK_TIMEOUT_MS
-        # What a peer without power has left open is closed by the kernel.
+        # The kernel closes connections left open by a peer that lost power.
         socket.tcp_keepalive = 1
         socket.tcp_keepalive_idle = _KEEPALIVE_SECONDS
         socket.tcp_keepalive_intvl = _KEEPALIVE_SECONDS
@@ -253,16 +252,25 @@
         self._context.destroy(linger=0)
 
     def set_addresses(self, addresses: dict[str, str]) -> None:
-        """Name the peers and where they listen."""
+        """Set the addresses of all peers, by name."""
         self._hand_over(_Addresses(dict(addresses)))
 
     def ask(self, node: str, make: Callable[[int], object], timeout: float) -> object:
-        """Send a question to a peer and wait for the answer.
+        """Send a request to a peer and wait for the response.
+
+        Parameters
+        ----------
+        node
+            The peer.
+        make
+            Creates the request from its number.
+        timeout
+            Seconds to wait for the response.
 
         Raises
         ------
         PlatformError
-            If there is no answer in time; the peer may have acted on the question.
+            If there is no response in time; the peer may have handled the request.
         """
         number = next(self._numbers)
         future = pykka.ThreadingFuture()
@@ -278,17 +286,17 @@
                 self._questions.pop(number, None)
 
     def tell(self, node: str, message: object) -> None:
-        """Send a peer a message that it does not answer; it may get lost."""
+        """Send a message without a response to a peer; delivery is not guaranteed."""
         self._hand_over(_Ask(node, self._messages.encode(message)))
 
     def ask_address(self, address: str, make: Callable[[int], object], timeout: float) -> object:
-        """Ask a peer that is known by its address only."""
+        """Send a request to a peer that is known only by its address; see `ask`."""
         self._hand_over(_Connect(address))
         return self.ask(address, make, timeout)
 
     def _hand_over(self, item: _Outgoing) -> None:
         self._outgoing.put(item)
-        # A full wake queue means that the thread has been woken often enough.
+        # If the wake queue is full, the thread has enough pending wake-ups.
         with self._wake_lock, contextlib.suppress(zmq.Again):
             self._wake.send(b"", zmq.NOBLOCK)
 
@@ -297,13 +305,13 @@
             ready = [socket for socket, _ in self._poller.poll(self._poll_ms())]
             for socket in ready:
                 self._serve_all(socket)
-            # Last, since it may close sockets that are ready.
+            # Must come after the reads, since it may close sockets that are ready.
             if self._woken in ready:
                 self._send_outgoing()
             self._beat()
 
     def _serve_all(self, socket: zmq.Socket) -> None:
-        """Take what has come over a socket."""
+        """Receive and dispatch the pending messages of a socket."""
         for _ in range(_TAKEN_AT_A_TIME):
             try:
                 frames = socket.recv_multipart(zmq.NOBLOCK)
@@ -314,7 +322,7 @@
             except (InvalidInput, ValueError, zmq.ZMQError) as error:
                 log_error("peer_message_dropped", error)
             except Exception as error:
-                # One message may not end the exchange of all others.
+                # A failing message must not stop the thread.
                 log_error("peer_message_failed", error)
 
     def _poll_ms(self) -> int:
@@ -336,7 +344,7 @@
             try:
                 self._send(item)
             except (ValueError, zmq.ZMQError) as error:
-                # An address or message that does not fit may not end the exchange of all others.
+                # An invalid address or message must not stop the thread.
                 log_error("peer_send_failed", error)
 
     def _send(self, item: _Outgoing) -> None:
@@ -356,7 +364,7 @@
         try:
             socket.send_multipart(frames, zmq.NOBLOCK)
         except zmq.ZMQError as error:
-            # A full queue or a peer that went away; whoever asked runs into its timeout.
+            # The queue is full or the peer is gone; a request runs into its timeout.
             log_error("peer_send_failed", error)
 
     def _take(self, sender: bytes, message: object) -> None:
--- a/src/snowdock/node/repeats.py
+++ b/src/snowdock/node/repeats.py
@@ -1,4 +1,4 @@
-"""Keeps a node from proposing the same thing again and again while it waits to take effect."""
+"""Limits how often a node proposes the same record while it waits for it to take effect."""
 
 from collections.abc import Hashable
 
@@ -10,15 +10,15 @@
 
 
 class RepeatGuard:
-    """Lets each thing pass once in a while.
+    """Allows each key at most once per interval.
 
-    Not once and for all: a full writer may have refused the proposal, and a second one that
-    turns out needless is void.
+    Proposals are repeated because a full writer may have rejected the first one; a redundant
+    second one is rejected by the reducer.
 
     Parameters
     ----------
-    seconds
-        How long a thing that passed is held back.
+    interval_s
+        Seconds after which a key is allowed again.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -26,7 +26,7 @@
         self._passed_at: dict[Hashable, float] = {}
 
     def may_pass(self, thing: Hashable) -> bool:
-        """Tell whether a thing may pass now, and note that it did."""
+        """Return whether a key is allowed now, and if so, start its interval."""
         now = steady_seconds()
         if now - self._passed_at.get(thing, -self._seconds) < self._seconds:
             return False
@@ -37,5 +37,5 @@
         return True
 
     def forget(self, thing: Hashable) -> None:
-        """Let a thing pass again at once."""
+        """Allow a key again at once."""
         self._passed_at.pop(thing, None)
--- a/src/snowdock/node/report_models.py
+++ b/src/snowdock/node/report_models.py
@@ -1,4 +1,4 @@
-"""Models of what the API shows, shared by the daemon and the command line."""
+"""Models of the API's reports, shared by the daemon and the command line."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 class VersionReport(msgspec.Struct):
-    """The configuration in force at one node, and how far that node has read."""
+    """The configuration in force at a node, and the log offset that the node has applied."""
 
     version: int
     author: str
@@ -26,7 +26,7 @@
 
 
 class NodeReport(msgspec.Struct):
-    """A member."""
+    """A member of the cluster."""
 
     name: str
     state: str
@@ -37,7 +37,7 @@
 
 
 class WorkerReport(msgspec.Struct):
-    """A worker and how much of it is promised."""
+    """A worker with its capacity and the part of it in use."""
 
     name: str
     state: str
@@ -50,7 +50,7 @@
 
 
 class MinionReport(msgspec.Struct):
-    """A minion and how its slots are divided."""
+    """A minion with the number of its slots that each node holds."""
 
     name: str
     group: str
@@ -60,7 +60,7 @@
 
 
 class TaskReport(msgspec.Struct):
-    """A task."""
+    """A task of a work."""
 
     number: int
     state: str
@@ -70,7 +70,7 @@
 
 
 class WorkReport(msgspec.Struct):
-    """A work; ``counts`` tells how many tasks are in each state."""
+    """A work; ``counts`` is the number of tasks by state."""
 
     work: int
     kind: str
@@ -86,7 +86,10 @@
 
 
 class ClusterStatus(msgspec.Struct):
-    """The cluster at a glance."""
+    """A summary of the cluster.
+
+    ``cpu_promised`` is the fraction of the live workers' processors that is in use.
+    """
 
     version: int
     members: int
--- a/src/snowdock/node/reports.py
+++ b/src/snowdock/node/reports.py
@@ -1,4 +1,4 @@
-"""What the API shows of the state."""
+"""Builds the API's reports from the state."""
 
 from ..declarations import Declarations
 from ..errors import Starting
@@ -27,12 +27,12 @@
 
 
 def version_report(parts: StateParts, node: str) -> VersionReport:
-    """Tell the version in force.
+    """Report the configuration version in force.
 
     Raises
     ------
     Starting
-        If the node has not read the log far enough to know.
+        If the node has not caught up with the log yet.
     """
     _want_serving(parts)
     current = parts.state.configuration
@@ -45,19 +45,19 @@
 
 
 def configuration(parts: StateParts) -> Declarations:
-    """Give the declarations in force.
+    """Return the declarations in force.
 
     Raises
     ------
     Starting
-        If the node has not read the log far enough to know.
+        If the node has not caught up with the log yet.
     """
     _want_serving(parts)
     return parts.state.configuration.declarations
 
 
 def node_reports(parts: StateParts) -> list[NodeReport]:
-    """List the members."""
+    """Report all members."""
     return [
         NodeReport(
             member.name,
@@ -72,7 +72,7 @@
 
 
 def worker_reports(parts: StateParts) -> list[WorkerReport]:
-    """List the workers."""
+    """Report all workers."""
     return [
         WorkerReport(
             worker.name,
@@ -89,7 +89,7 @@
 
 
 def minion_reports(parts: StateParts) -> list[MinionReport]:
-    """List the minions."""
+    """Report all minions."""
     return [
         MinionReport(minion.name, minion.group, minion.state.value, minion.hall, minion.shares)
         for minion in parts.state.minions.values()
@@ -105,7 +105,7 @@
 
 
 def work_report(parts: StateParts, work: Work, with_tasks: bool) -> WorkReport:
-    """Show one work."""
+    """Report one work."""
     tasks = [
         TaskReport(number, task.state.value, task.attempt, task.worker, task.failures)
         for number, task in enumerate(work.tasks)
@@ -126,12 +126,12 @@
 
 
 def work_reports(parts: StateParts) -> list[WorkReport]:
-    """List all works, the newest last."""
+    """Report all works without their tasks, the newest last."""
     return [work_report(parts, work, False) for work in parts.state.works.values()]
 
 
 def cluster_status(parts: StateParts) -> ClusterStatus:
-    """Show the cluster at a glance."""
+    """Summarize the cluster."""
     state = parts.state
     live = [w for w in state.workers.values() if w.state == VmState.LIVE]
     total = sum(worker.capacity.cpu for worker in live)
--- a/src/snowdock/node/requests.py
+++ b/src/snowdock/node/requests.py
@@ -1,7 +1,7 @@
-"""Callers' requests: routed to a minion, forwarded, and answered whole.
+"""Handling of callers' requests: routing to minions, forwarding to peers, and retries.
 
-A caller is told one of three things: ``ran`` with the whole answer, ``not_run`` with when to
-come back, or ``unknown`` for a not-repeatable request that may have run.
+A request has one of three outcomes: ``ran`` with the complete response, ``not_run`` with a delay
+before a retry, or ``unknown`` if it may have run.
 """
 
 import dataclasses
@@ -57,7 +57,7 @@
 
 
 def outcome_of(error: SnowdockError) -> CallOutcome:
-    """Tell a caller of a failure before which nothing was run."""
+    """Build the outcome of a request that failed before anything was run."""
     return CallOutcome(
         "not_run",
         error.status,
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Try:
-    """What is known while a request is worked on; ``deadline`` is on the monotonic clock."""
+    """The progress of a request; ``deadline`` is in seconds on the monotonic clock."""
 
     request: CallRequest
     endpoint: Endpoint
@@ -82,12 +82,22 @@
 
     @property
     def seconds_left(self) -> float:
-        """Time until the deadline."""
+        """Seconds until the deadline."""
         return self.deadline - steady_seconds()
 
 
 class RequestHandler:
-    """Carries out requests; its methods are called on the HTTP API's and the peers' threads."""
+    """Handles requests of callers and of peers; thread-safe.
+
+    Parameters
+    ----------
+    context
+        The node's settings and actors.
+    client
+        The client of the minions.
+    metrics
+        The node's metrics.
+    """
 
     def __init__(self, parts: Parts, client: MinionClient, metrics: Metrics) -> None:
         self._parts = parts
@@ -102,33 +112,33 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are being carried out, those of peers included."""
+        """The number of requests being handled, including those forwarded by peers."""
         return self._in_flight.count
 
     def set_peers(self, peers: Peers) -> None:
-        """Name the peers; done once, before the first request."""
+        """Set the peers; called once before the first request."""
         self._peers = peers
 
     def drain(self) -> None:
-        """Refuse requests from now on; those in flight go on."""
+        """Reject new requests; those in flight continue."""
         self._draining = True
 
     # -- entry points ----------------------------------------------------------------------
 
     def handle(self, request: CallRequest, may_lend: bool = True) -> CallOutcome:
-        """Carry out a request.
+        """Handle a request.
 
         Parameters
         ----------
         request
             The request.
-        may_lend
-            Whether a peer may run it; a peer's own requests are not handed on again.
+        may_forward
+            Whether it may be forwarded to a peer; a forwarded request is not forwarded again.
 
         Returns
         -------
         CallOutcome
-            The final word on this try of the caller.
+            The outcome to report to the caller.
         """
         with span(
             "request", request.trace, request=request.request_id, endpoint=request.endpoint
@@ -150,11 +160,11 @@
     def _handle_counted(self, request: CallRequest, may_lend: bool) -> CallOutcome:
         try:
             if self._draining:
-                raise Draining("the node is on its way out; nothing was run")
-            # Requests that wait hold a thread of the HTTP server each. With all of them taken,
-            # the next request would wait unseen, past its deadline, before it is refused.
+                raise Draining("the node is draining; nothing was run")
+            # Each waiting request occupies a thread of the HTTP server. If all were occupied, a
+            # new request would exceed its deadline in the server's queue before it is rejected.
             if self._in_flight.count > self._most_in_flight:
-                raise Overloaded("too many requests are in flight here; nothing was run")
+                raise Overloaded("too many requests are in flight; nothing was run")
             endpoint = self._find_endpoint(request)
             known = self._known(request)
             if known is not None:
@@ -165,7 +175,7 @@
             return outcome_of(error)
 
     def answer_peer(self, question: CallForwarded | AnswerWanted) -> CallAnswered | AnswerGiven:
-        """Answer a peer's question about a request."""
+        """Handle a request of a peer: a forwarded call or a lookup of a cached outcome."""
         if isinstance(question, AnswerWanted):
             return AnswerGiven(question.number, self._answers.find(question.request_id))
         return CallAnswered(question.number, self.handle(question.request, may_lend=False))
@@ -178,14 +188,14 @@
             raise NotFound(f"no endpoint {request.endpoint}; nothing was run")
         return found
 
-    # -- at most once ----------------------------------------------------------------------
+    # -- at-most-once requests -------------------------------------------------------------
 
     def _known(self, request: CallRequest) -> CallOutcome | None:
-        """Answer a not-repeatable request whose id is on the log already."""
+        """Find the outcome of a not-repeatable request whose id is already on the log."""
         if request.repeatable:
             return None
         if request_time_ms(request.request_id) is None:
-            raise InvalidInput("a not-repeatable request needs a version 7 UUID as its id")
+            raise InvalidInput("the id of a not-repeatable request must be a version 7 UUID")
         found = self._parts.state.ask(
             View(lambda parts: parts.state.requests.get(request.request_id))
         )
@@ -194,20 +204,23 @@
     def _tell_known(self, request: CallRequest, found) -> CallOutcome:
         if found.outcome == "not_run":
             return CallOutcome(
-                "not_run", 503, code="not_run", reason="this id was not run; use a new one"
+                "not_run",
+                503,
+                code="not_run",
+                reason="the request was not run; retry with a new id",
             )
         kept = self._kept_answer(request.request_id, found.node)
         if kept is not None:
             return kept
         if found.outcome == "ran":
             return CallOutcome(
-                "ran", 410, code="answer_gone", reason="it ran; its answer is no longer kept"
+                "ran", 410, code="answer_gone", reason="it ran; its response is no longer cached"
             )
         return CallOutcome(
             "unknown",
             504,
             code="outcome_unknown",
-            reason="it may have run or may still run; ask again with the same id",
+            reason="it may have run or may still run; retry with the same id",
             retry_after_seconds=_LOG_RETRY_SECONDS,
         )
 
@@ -223,7 +236,13 @@
         return given.outcome
 
     def _intend(self, work: _Try, minion: str) -> CallOutcome | None:
-        """Put the intent on the log; an outcome means that the request must not be sent."""
+        """Append the intent to run a request to the log.
+
+        Returns
+        -------
+        CallOutcome or None
+            None if the request may be sent to the minion; otherwise its outcome.
+        """
         request = work.request
         future = pykka.ThreadingFuture()
         record = RequestIntended(request.request_id, minion)
@@ -231,9 +250,9 @@
         try:
             result = future.get(timeout=max(work.seconds_left, _MIN_SECONDS))
         except pykka.Timeout:
-            # The intent may come onto the log later, but this node does not act on it.
+            # The intent may still reach the log, but this node will not run the request.
             self._note_end(request, "not_run")
-            return _undecided(VerdictUnknown("the log was too slow"))
+            return _undecided(VerdictUnknown("the log did not answer before the deadline"))
         if isinstance(result, SnowdockError):
             return _undecided(result)
         if isinstance(result[0], Accepted):
@@ -247,7 +266,7 @@
     def _note_end(self, request: CallRequest, outcome: str) -> None:
         self._parts.writer.tell(Propose((RequestEnded(request.request_id, outcome),)))
 
-    # -- trying ----------------------------------------------------------------------------
+    # -- attempts --------------------------------------------------------------------------
 
     def _run(self, work: _Try) -> CallOutcome:
         outcome = self._run_tries(work)
@@ -287,11 +306,17 @@
                 wanted=request.session,
             )
         )
-        # The router answers every asker at its deadline; the slack covers a slow thread.
+        # The router replies by the deadline; the margin covers scheduling delays.
         return future.get(timeout=max(work.seconds_left, 0) + _ROUTER_SLACK_SECONDS)
 
     def _forward_to_peer(self, work: _Try, node: str) -> CallOutcome | None:
-        """Let a peer run the request; None means that it surely was not run there."""
+        """Forward a request to a peer.
+
+        Returns
+        -------
+        CallOutcome or None
+            The outcome, or None if the request may be tried here.
+        """
         left = work.seconds_left
         request = msgspec.structs.replace(work.request, deadline_ms=max(1, round(left * 1000)))
         try:
@@ -317,8 +342,8 @@
                     return refused
             exchange = self._send(work, slot)
         finally:
-            # Where the request may still run at the minion, its slot is held back for as long
-            # as any request may take: closing the connection does not end it there.
+            # If the request may still be running at the minion, its slot stays occupied for the
+            # maximum duration of a request, since closing the connection does not stop it.
             seconds = steady_seconds() - started
             failed = work.tries > 0 and exchange.result != ExchangeResult.RAN
             is_unknown = exchange.result == ExchangeResult.UNKNOWN
@@ -342,7 +367,7 @@
             )
 
     def _judge(self, work: _Try, slot: Granted, exchange: Exchange) -> CallOutcome | None:
-        """Decide after one try: the final outcome, or None for another try."""
+        """Return the outcome after an attempt, or None to retry after a backoff."""
         request = work.request
         if exchange.result == ExchangeResult.RAN:
             self._budget.record_success()
@@ -362,7 +387,7 @@
         is_last = work.tries >= _MAX_TRIES or pause >= work.seconds_left
         if is_last or not self._budget.try_spend():
             return _given_up(work, exchange.reason, _LOG_RETRY_SECONDS)
-        self._metrics.count("retries_total", "Tries after the first one.")
+        self._metrics.count("retries_total", "Attempts after the first one.")
         time.sleep(pause)
         return None
 
@@ -372,29 +397,29 @@
         "unknown",
         504,
         code="outcome_unknown",
-        reason=f"{reason}; it may have run: ask again with the same id to learn",
+        reason=f"{reason}; it may have run: retry with the same id to find out",
         retry_after_seconds=_LOG_RETRY_SECONDS,
     )
 
 
 def _undecided(error: SnowdockError) -> CallOutcome:
-    """Tell of a not-repeatable request on whose intent no verdict was seen.
+    """Build the outcome of a not-repeatable request without a verdict on its intent.
 
-    "Not run" would be too much to say, although this try sent nothing: the caller may be
-    asking again, and another node may have run the id. The model checker found this.
+    It cannot be ``not_run``, although this node sent nothing: the request may be a retry, and
+    another node may have run the same id.
     """
     return CallOutcome(
         "unknown",
         503,
         code=error.code,
-        reason=f"{error}; this try sent nothing, an earlier one with the same id may have: "
-        "asking again with the same id is safe",
+        reason=f"{error}; this attempt sent nothing, an earlier one with the same id may have: "
+        "a retry with the same id is safe",
         retry_after_seconds=error.retry_after_seconds or _LOG_RETRY_SECONDS,
     )
 
 
 def _given_up(work: _Try, reason: str, retry_after_seconds: float) -> CallOutcome:
-    """Tell the end of a request: "not run" only where no try of it may have run."""
+    """Build the outcome of a failed request: ``not_run`` only if no attempt may have run."""
     if work.may_have_run:
         return _unknown(reason)
     return outcome_of(Overloaded(f"{reason}; nothing was run", retry_after_seconds))
