--- a/src/snowdock/node/log_actors.py
+++ b/src/snowdock/node/log_actors.py
@@ -112,7 +112,10 @@
             _refuse(proposal, LogUnavailable("the log is down; nothing was recorded"))
             return
         if self._queued_records + len(proposal.records) > _MAX_QUEUED_RECORDS:
-            _refuse(proposal, LogUnavailable("the log's queue is full; nothing was recorded"))
+            _refuse(
+                proposal,
+                LogUnavailable("too many records are queued for the log; nothing was recorded"),
+            )
             return
         self._queue.append(proposal)
         self._queued_records += len(proposal.records)
--- a/src/snowdock/node/requests.py
+++ b/src/snowdock/node/requests.py
@@ -387,7 +387,7 @@
         is_last = work.tries >= _MAX_TRIES or pause >= work.seconds_left
         if is_last or not self._budget.try_spend():
             return _given_up(work, exchange.reason, _LOG_RETRY_SECONDS)
-        self._metrics.count("retries_total", "Attempts after the first one.")
+        self._metrics.count("retries_total", "Tries after the first one.")
         time.sleep(pause)
         return None
 
--- a/src/snowdock/node/router.py
+++ b/src/snowdock/node/router.py
@@ -1,4 +1,4 @@
-"""The actor that hands out this node's slots on minions to waiting requests."""
+"""The actor that assigns this node's slots on minions to requests."""
 
 import dataclasses
 import heapq
@@ -31,14 +31,28 @@
 _TYPICAL_SECONDS = 0.05
 _SMOOTHING = 0.1
 _WORTH_SENDING = 1.0
-"""A request that has less than this many typical runs left is not sent any more."""
+"""A request is rejected once its remaining time is below this many average durations."""
 _PEER_IDLE_SECONDS = 3.0
 _REPROPOSE_SECONDS = 5.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Slots:
-    """Slots of one minion that are this node's."""
+    """The slots of one minion that belong to this node.
+
+    Attributes
+    ----------
+    view
+        The minion and this node's share of it.
+    in_use
+        Slots that are assigned to requests.
+    returning
+        Slots whose return is proposed but not applied yet.
+    last_take_at
+        When this node last proposed to take slots, in seconds on the monotonic clock.
+    health
+        The health of the minion as seen by this node.
+    """
 
     view: MinionView
     in_use: int = 0
@@ -48,21 +62,26 @@
 
     @property
     def usable(self) -> int:
-        """Slots that may be handed out, used ones included."""
+        """The number of slots that may be assigned, including those in use."""
         return self.view.share - self.returning if self.view.is_live else 0
 
     @property
     def idle(self) -> int:
-        """Slots that may be handed out now."""
+        """The number of slots that may be assigned now."""
         return max(0, self.usable - self.in_use)
 
 
 class Router(pykka.ThreadingActor):
-    """Shares this node's slots out: the highest priority first, then the earliest asker.
+    """Assigns slots by priority, then by order of arrival.
+
+    Slots are assigned only from this node's share as recorded on the log, so that all nodes
+    together never exceed a minion's slots. A surplus is taken out of use before its return is
+    recorded.
 
-    A slot is only handed out from the node's own share as the log shows it, so all nodes
-    together never exceed what a minion bears. A share that is no longer wanted here is
-    given back on the log after it was taken out of use.
+    Parameters
+    ----------
+    context
+        The node's settings and actors.
     """
 
     def __init__(self, parts: Parts) -> None:
@@ -82,7 +101,7 @@
         return self._parts.settings.node.hall
 
     def on_receive(self, message: object) -> object:
-        """Dispatch by the message's type."""
+        """Dispatch a message by its type."""
         if isinstance(message, Acquire):
             return self._acquire(message)
         if isinstance(message, Released):
@@ -98,7 +117,7 @@
             return message.function(self._slots)
         raise TypeError(type(message).__name__)
 
-    # -- asking ----------------------------------------------------------------------------
+    # -- assignment ------------------------------------------------------------------------
 
     def _acquire(self, message: Acquire) -> None:
         group = message.group
@@ -117,13 +136,13 @@
             message.slot.set(Refused("no slot is free", self._retry_after(group)))
             return
         if steady_seconds() + self._wait_for(message) > message.deadline:
-            # Waiting would end in a refusal all the same; now the caller can turn elsewhere.
+            # The wait would exceed the deadline, so the caller can try elsewhere at once.
             message.slot.set(Refused("the queue is too long", self._retry_after(group)))
             return
         heapq.heappush(queue, (-message.priority, next(self._order), message))
 
     def _why_hopeless(self, message: Acquire) -> str:
-        """Say why waiting cannot help, or nothing where it can."""
+        """Return why waiting for a slot is useless, or an empty string."""
         if message.wanted:
             wanted = self._slots.get(message.wanted)
             if wanted is None or not wanted.view.is_live:
@@ -150,7 +169,7 @@
         return True
 
     def _lend_waiting(self, idle_slots: dict[str, int]) -> None:
-        """Hand waiting requests to a peer that has just told of idle slots."""
+        """Forward waiting requests to peers with idle slots, after a report of a peer."""
         for group in idle_slots:
             queue = self._waiting.get(group, [])
             for entry in sorted(queue, key=lambda waiting: waiting[:2]):
@@ -174,12 +193,12 @@
         if not idle:
             return None
         node = max(idle, key=idle.get)
-        # Until its next heartbeat the peer is taken to have one slot less.
+        # Counts the slot as used until the peer's next heartbeat.
         self._peers[node][1][group] -= 1
         return node
 
     def _wait_for(self, message: Acquire) -> float:
-        """Work out when a request that joins the queue now would be answered."""
+        """Estimate the seconds until a request that is queued now would be finished."""
         queue = self._waiting.get(message.group, ())
         ahead = sum(1 for priority, _, _ in queue if -priority >= message.priority)
         return self._seconds_until_free(message.group, ahead) + self._seconds
@@ -189,11 +208,11 @@
         return self._seconds * (ahead + 1) / slots
 
     def _retry_after(self, group: str) -> float:
-        """Work out from the queue when a slot is likely to be free."""
+        """Estimate from the queue the seconds until a slot is free."""
         seconds = self._seconds_until_free(group, len(self._waiting.get(group, ())))
         return min(max(seconds, _MIN_RETRY_SECONDS), _MAX_RETRY_SECONDS)
 
-    # -- giving back -----------------------------------------------------------------------
+    # -- release ---------------------------------------------------------------------------
 
     def _release(self, message: Released) -> None:
         slots = self._slots.get(message.minion)
@@ -217,7 +236,7 @@
         while queue:
             message = queue[0][2]
             if message.deadline <= now + self._seconds * _WORTH_SENDING:
-                # What would be answered too late only takes a slot from the next one.
+                # A request that would exceed its deadline must not occupy a slot.
                 heapq.heappop(queue)
                 message.slot.set(Refused("too little time is left", self._retry_after(group)))
             elif self._grant(message):
@@ -225,7 +244,7 @@
             else:
                 return
 
-    # -- the division among nodes ----------------------------------------------------------
+    # -- shares among nodes ----------------------------------------------------------------
 
     def _change(self, message: MinionsChanged) -> None:
         self._may_take = message.may_take
@@ -255,10 +274,10 @@
             group.remove(slots)
 
     def _settle(self) -> None:
-        """Move this node's shares towards their targets."""
+        """Propose changes that move this node's shares towards their targets."""
         if not self._may_take:
-            # A node on its way out needs its slots for what it still has in flight; they
-            # are all given back when it leaves.
+            # A draining node keeps its slots for requests in flight; all are released when it
+            # leaves.
             return
         now = steady_seconds()
         records = []
--- a/src/snowdock/node/scheduler.py
+++ b/src/snowdock/node/scheduler.py
@@ -1,4 +1,4 @@
-"""The queue of works that this node should place, and what it has proposed for them."""
+"""The queue of works that this node has to place, and its pending proposals."""
 
 import dataclasses
 import random
@@ -17,12 +17,12 @@
 
 _PREEMPTION_SECONDS = 3.0
 _PASS_RECORDS = 200
-"""The most records of one pass, so that the node's other matters are not held up."""
+"""Bounds the duration of a pass, which blocks the state actor."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Queued:
-    """A work that waits here; its times are on the monotonic clock, in seconds."""
+    """A queued work; times are in seconds on the monotonic clock."""
 
     work: int
     rank: float = 0.0
@@ -32,21 +32,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Pass:
-    """What one pass over the queue proposes."""
+    """The records that one pass over the queue proposes."""
 
     placements: list[TasksPlaced] = dataclasses.field(default_factory=list)
     stops: list[StopRequested] = dataclasses.field(default_factory=list)
 
 
 class Scheduler:
-    """Places queued works, the highest rank first.
+    """Places queued works in order of descending rank.
 
     Parameters
     ----------
     policies
-        The programs in force.
-    random_source
-        Spreads the choices of several nodes.
+        The policy programs in force.
+    rng
+        Randomizes choices, so that nodes rarely choose the same worker.
     """
 
     def __init__(self, policies: PolicySet, random_source: random.Random) -> None:
@@ -61,39 +61,39 @@
 
     @property
     def index(self) -> CapacityIndex:
-        """Free room as this node sees it."""
+        """The index of the workers' free capacity, including pending proposals."""
         return self._index
 
     @property
     def reasons(self) -> dict[int, str]:
-        """Why works wait, by work number."""
+        """The reasons why works are waiting, by work number."""
         return self._reasons
 
     @property
     def queue_length(self) -> int:
-        """Works that wait here."""
+        """The number of queued works."""
         return len(self._queue)
 
     def enqueue(self, work: int) -> None:
-        """Take a work into the queue."""
+        """Add a work to the queue."""
         if work not in self._queue:
             self._queue[work] = _Queued(work)
         self._dirty = True
 
     def drop(self, work: int) -> None:
-        """Take a work out of the queue."""
+        """Remove a work from the queue."""
         self._queue.pop(work, None)
         self._reasons.pop(work, None)
 
     def keep_only(self, works: set[int]) -> None:
-        """Make the queue hold exactly these works."""
+        """Set the queue to exactly the given works."""
         for number in self._queue.keys() - works:
             self.drop(number)
         for number in works - self._queue.keys():
             self.enqueue(number)
 
     def delay(self, work: Work, failures: int) -> None:
-        """Hold a work back after a failure, for as long as its policy says."""
+        """Delay a work after a failure by the backoff of its policy."""
         described = describe_work(work.spec, 0)
         seconds = self._policies.call(work.spec.kind, "backoff_seconds", described, failures)
         entry = self._queue.get(work.number)
@@ -101,11 +101,11 @@
             entry.not_before = steady_seconds() + float(seconds)
 
     def note_room(self) -> None:
-        """Try again at the next pass: room or quota may have become free."""
+        """Request another pass, since capacity or quota may have become free."""
         self._dirty = True
 
     def rerank(self, state: State) -> None:
-        """Ask the policies for each queued work's rank."""
+        """Recompute the rank of each queued work by its policy."""
         for number, entry in self._queue.items():
             work = state.works[number]
             described = describe_work(work.spec, max(0, state.now_ms - work.submitted_ms))
@@ -123,7 +123,8 @@
         Returns
         -------
         Pass
-            Records to propose; `judged` is to be called for each placement.
+            Records to propose; the caller passes the verdict of each placement to
+            `handle_verdict`.
         """
         if not self._dirty:
             return Pass()
@@ -142,7 +143,7 @@
             if isinstance(placed, TasksPlaced):
                 records.append(placed)
             elif placed.needs_capacity and entry.next_preemption <= now:
-                # What is asked to end needs a while to do so.
+                # Preempted tasks need time to stop.
                 entry.next_preemption = now + _PREEMPTION_SECONDS
                 work = state.works[entry.work]
                 result.stops += choose_preemptions(work, state, self._policies, self._random)
@@ -154,7 +155,7 @@
     def _place(self, state: State, number: int, hopeless: dict[tuple, Unplaced]):
         work = state.works[number]
         spec = work.spec
-        # One failed try stands for all works of the same shape in this pass.
+        # If one work cannot be placed, no other of the same shape can in this pass.
         shape = (spec.kind, spec.team, spec.size, spec.tasks if spec.kind == "gang" else 0)
         if shape in hopeless:
             self._reasons[number] = hopeless[shape].reason
@@ -179,7 +180,17 @@
         )
 
     def judged(self, state: State, record: TasksPlaced, verdict: Verdict | None) -> None:
-        """Give back what a proposal reserved, now that its verdict is known or given up."""
+        """Release the reservation of a placement.
+
+        Parameters
+        ----------
+        state
+            The shared state.
+        record
+            The proposed placement.
+        verdict
+            Its verdict, or None if there will be none.
+        """
         if self._proposed.pop(record.work, None) is None:
             return
         work = state.works.get(record.work)
@@ -195,6 +206,6 @@
 
     @property
     def next_wake(self) -> float | None:
-        """When the earliest held-back work may be tried again, on the monotonic clock."""
+        """The earliest time of a retry of a delayed work, in seconds on the monotonic clock."""
         times = [entry.not_before for entry in self._queue.values() if entry.not_before]
         return min(times, default=None)
--- a/src/snowdock/node/state_actor.py
+++ b/src/snowdock/node/state_actor.py
@@ -1,4 +1,4 @@
-"""The actor that owns the shared state: it folds the log and decides what follows."""
+"""The actor that owns a node's copy of the shared state, applies the log and schedules works."""
 
 import dataclasses
 import random
@@ -81,7 +81,25 @@
 
 @dataclasses.dataclass(slots=True)
 class StateParts:
-    """What a `View` may look at."""
+    """The data available to the function of a `Query`.
+
+    Attributes
+    ----------
+    state
+        The shared state.
+    active
+        The names of the active nodes.
+    scheduler, policies
+        The node's scheduler and policy programs.
+    serving
+        Whether the node has caught up with the log since its start.
+    ready
+        Whether the node is a member with a consistent state.
+    log_end
+        The offset of the next entry of the log.
+    diverged
+        Whether a peer's state differs from this node's.
+    """
 
     state: State
     active: tuple[str, ...]
@@ -98,7 +116,7 @@
 
     Parameters
     ----------
-    parts
+    context
         The node's settings, identity and other actors.
     metrics
         The node's metrics.
@@ -153,11 +171,11 @@
         return self._parts.settings.node.name
 
     def on_receive(self, message: object) -> object:
-        """Dispatch by the message's type."""
+        """Dispatch a message by its type."""
         return self._handlers[type(message)](message)
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
-        """Say why the actor stopped; the daemon ends with it."""
+        """Log the failure and stop the node."""
         log_error("state_actor_failed", repr(exception_value))
         self._parts.fail()
 
@@ -180,8 +198,8 @@
                 self._note_digest()
         self._parts.applied_offset = self._state.offset
         self._parts.driver.tell(LogConfirmed(message.asked_at))
-        # A node that shows what it read halfway would fall back behind what the process
-        # before it had shown.
+        # A node that served before it has caught up would show an older state than the
+        # previous process of this node did.
         self._serving = self._serving or self._state.offset + 1 >= self._first_end
         if not self._joined_proposed and self._state.offset + 1 >= message.end:
             self._join()
@@ -274,13 +292,13 @@
         self._scheduler.note_room()
         self._assign_workers()
         if isinstance(effect, WorkerWithdrawn) and effect.gone:
-            # Any batch confirms to have read so far; an idle node has to send one.
+            # Each batch confirms the read offset, so an idle node appends an empty one.
             self._parts.writer.tell(Propose(()))
 
     def _on_members(self, effect: MembersChanged) -> None:
         member = self._state.members.get(self._name)
         if self._is_member and (member is None or member.incarnation != self._parts.incarnation):
-            # Its slots are being given to others, and nothing that it appends counts.
+            # The slots of this process are reassigned, and its batches are rejected.
             log_error("superseded", "another process joined as this node, or its VM is gone")
             self._parts.fail()
         self._hints.refresh(self._state.members)
@@ -292,7 +310,7 @@
     def _on_shares(self, effect: SharesChanged) -> None:
         self._refresh_minions()
 
-    # -- who acts --------------------------------------------------------------------------
+    # -- ownership -------------------------------------------------------------------------
 
     def _assign_workers(self) -> None:
         if not self._is_member:
@@ -307,7 +325,7 @@
         self._parts.driver.tell(AssignmentChanged(own))
 
     def _refresh_queue(self) -> None:
-        """Take over the works that are this node's to place now."""
+        """Set the queue to the works that this node owns."""
         nodes = self._hints.active
         own = {
             number
@@ -328,7 +346,7 @@
     def _poke(self, worker: str) -> None:
         self._parts.driver.tell(WorkerPoked(worker))
 
-    # -- time ------------------------------------------------------------------------------
+    # -- timers ----------------------------------------------------------------------------
 
     def _tick(self, message: Tick) -> None:
         now = steady_seconds()
@@ -375,7 +393,7 @@
             self._propose_placement(record)
 
     def _propose_placement(self, record: TasksPlaced) -> None:
-        """Propose, and hear of the verdict as a message of its own."""
+        """Propose a placement; its verdict is handled in a message to this actor."""
         ref = self.actor_ref
 
         def reply(result: object) -> None:
@@ -385,7 +403,7 @@
         self._parts.writer.tell(Propose((record,), reply))
 
     def _declare_lost(self) -> None:
-        """Propose the end of attempts on gone workers, once no lease of theirs can hold."""
+        """Propose the loss of attempts on gone workers once their leases have expired."""
         margin = self._state.configuration.declarations.limits.clock_margin_ms
         now_ms = int(time.time() * 1000)
         for worker in self._state.workers.values():
@@ -400,8 +418,8 @@
 
     def _maybe_snapshot(self) -> None:
         every = self._parts.settings.timing.snapshot_entries
-        # Counted in whole intervals of the log, not from this node's start: all nodes have to
-        # ask at the same time whose turn it is, or it may be nobody's.
+        # Intervals are aligned to log offsets, so that all nodes determine the owner of a
+        # snapshot at the same offset. Otherwise a snapshot could have no owner.
         interval = self._state.offset // every
         if interval <= self._snapshot_interval or not self._is_member:
             return
--- a/src/snowdock/node/tokens.py
+++ b/src/snowdock/node/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens: who may call what, read from a file that is read again when it changes."""
+"""Authorization by bearer tokens, which are read from a file and reloaded when it changes."""
 
 import configparser
 import enum
@@ -19,7 +19,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a token's holder may do: an operator may do all that a caller may."""
+    """The role of a token; an operator has all permissions of a caller."""
 
     OPERATOR = "operator"
     CALLER = "caller"
@@ -31,20 +31,21 @@
     Raises
     ------
     TokensUnreadable
-        If the file cannot be read, has no token, or has one of less than 16 characters.
+        If the file cannot be read, has no tokens, or has one with an unknown role or with fewer
+        than 16 characters.
     """
     parser = configparser.ConfigParser(interpolation=None, default_section="\0")
     try:
         parser.read_string(pathlib.Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
-        # The text of the error could show a token.
+        # The error's message could contain a token.
         raise TokensUnreadable(f"cannot read {path}: {type(error).__name__}") from None
     tokens = {}
     for section in parser.sections():
         role = section.partition(" ")[0]
         token = parser[section].get("token", "")
         if role not in list(Role) or len(token) < _SHORTEST:
-            raise TokensUnreadable(f"{path} [{section}]: a role and a long token are needed")
+            raise TokensUnreadable(f"{path} [{section}]: unknown role or token too short")
         tokens[token.encode()] = Role(role)
     if not tokens:
         raise TokensUnreadable(f"{path} has no tokens")
@@ -52,17 +53,17 @@
 
 
 class TokenBook:
-    """The tokens in force.
+    """The bearer tokens and their roles.
 
     Parameters
     ----------
     path
-        The tokens file; without one everybody may do everything.
+        The tokens file; if empty, all requests are authorized.
 
     Raises
     ------
     TokensUnreadable
-        If the file cannot be used at the start.
+        If the file is invalid; a later invalid change of it is only logged.
     """
 
     def __init__(self, path: str) -> None:
@@ -76,16 +77,16 @@
             self._tokens = read_tokens(path)
 
     def check(self, header: str, wanted: Role) -> None:
-        """Let a call pass, or refuse it.
+        """Check that the token of an ``Authorization`` header has a role.
 
-        All tokens are compared, each in constant time, so that the time taken tells nothing.
+        The header is compared with all tokens in constant time, to prevent timing attacks.
 
         Raises
         ------
         Unauthorized
-            If there is no token, or an unknown one.
+            If the token is missing or unknown.
         Forbidden
-            If the token's role does not suffice.
+            If the token's role is insufficient.
         """
         if not self._path:
             return
@@ -96,9 +97,9 @@
             if hmac.compare_digest(token, given):
                 found = role
         if found is None:
-            raise Unauthorized("a known bearer token is needed")
+            raise Unauthorized("missing or unknown bearer token")
         if wanted == Role.OPERATOR and found != Role.OPERATOR:
-            raise Forbidden("only an operator may do this")
+            raise Forbidden("operator role required")
 
     def _look(self) -> None:
         with self._lock:
--- a/src/snowdock/node/traces.py
+++ b/src/snowdock/node/traces.py
@@ -1,4 +1,4 @@
-"""Traces: a span for each hop, carried by W3C trace context, written to the log."""
+"""Tracing: spans with W3C trace context, written to the node's log."""
 
 import contextlib
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Span:
-    """One hop of a trace."""
+    """One span of a trace."""
 
     trace_id: str
     span_id: str
@@ -25,12 +25,12 @@
 
     @property
     def traceparent(self) -> str:
-        """The header that hands the trace on to the next hop."""
+        """The ``traceparent`` header for the next hop."""
         return f"00-{self.trace_id}-{self.span_id}-{int(self.sampled):02x}"
 
 
 def parse_traceparent(header: str) -> Span | None:
-    """Read a ``traceparent`` header, or give None where it is missing or malformed."""
+    """Parse a ``traceparent`` header; return None if it is missing or malformed."""
     match = _TRACEPARENT.match(header)
     if match is None or set(match[1]) == {"0"} or set(match[2]) == {"0"}:
         return None
@@ -39,16 +39,16 @@
 
 @contextlib.contextmanager
 def span(name: str, parent: str, **fields: object) -> Iterator[Span]:
-    """Time one hop and log it, if the caller asked for a trace.
+    """Measure a span, and log it if the trace is sampled.
 
     Parameters
     ----------
     name
-        What happens in the hop.
+        The name of the span.
     parent
-        The ``traceparent`` that came in, or nothing.
+        The received ``traceparent`` header, or an empty string.
     **fields
-        What else the span's line tells.
+        Additional fields of the log line.
     """
     before = parse_traceparent(parent)
     trace_id = before.trace_id if before else secrets.token_hex(16)
--- a/src/snowdock/node/vm_watcher.py
+++ b/src/snowdock/node/vm_watcher.py
@@ -33,10 +33,19 @@
 
 
 class VmWatcher(pykka.ThreadingActor):
-    """Reads the VM list while this node is the one to do so.
-
-    The list lags. A VM that is missing from it after it was seen is taken as ended; its
-    leases are waited for all the same.
+    """Watches the VM list while this node owns this duty.
+
+    The list lags behind and may be wrong. A VM that disappears from it is recorded as gone, but
+    its leases still have to expire before its work is placed elsewhere.
+
+    Parameters
+    ----------
+    context
+        The node's settings and actors.
+    vms
+        The client of the VM list.
+    workers
+        The client of the workers.
     """
 
     def __init__(self, parts: Parts, vms: VmListClient, workers: WorkerClient) -> None:
@@ -50,7 +59,7 @@
         self._failing = False
 
     def on_receive(self, message: object) -> None:
-        """Look at the list when a `Tick` says that it is time."""
+        """Read the list and propose the differences, at each `Tick`."""
         if not isinstance(message, Tick):
             raise TypeError(type(message).__name__)
         name = self._parts.settings.node.name
@@ -95,7 +104,7 @@
         return WorkerSeen(vm.name, answer.boot, capacity, vm.rack, vm.hall, vm.address)
 
     def _differences(self, state: State, vms: dict[str, Vm]) -> list[Record | Vm]:
-        """Work out what is to be recorded; a `Vm` stands for a worker to be asked first."""
+        """Compute the records to propose; a `Vm` is a new worker whose status is needed first."""
         found: list[Record | Vm] = []
         for vm in vms.values():
             if vm.role == "worker":
@@ -110,7 +119,7 @@
         return found
 
     def _gone_nodes(self, state: State, vms: dict[str, Vm]) -> list[Record]:
-        """Name the members whose VM is missing for so long that no lease of theirs holds."""
+        """Find the members whose VM has been missing for longer than their leases last."""
         now_ms = int(time.time() * 1000)
         limits = state.configuration.declarations.limits
         found: list[Record] = []
--- a/src/snowdock/node/worker_driver.py
+++ b/src/snowdock/node/worker_driver.py
@@ -1,4 +1,4 @@
-"""The actor that gives orders to the workers which this node drives."""
+"""The actor that sends orders to the workers driven by this node."""
 
 import concurrent.futures
 import dataclasses
@@ -30,7 +30,21 @@
 
 @dataclasses.dataclass(slots=True)
 class _Driven:
-    """One worker; ``due`` is on the monotonic clock."""
+    """The state of one driven worker.
+
+    Attributes
+    ----------
+    due_at
+        When the next call is due, in seconds on the monotonic clock.
+    is_calling
+        Whether a call is in progress.
+    sync_requested
+        Whether another call was requested during the call in progress.
+    has_active_order
+        Whether the last order renewed, started or stopped attempts.
+    reports
+        The worker's last reports by attempt.
+    """
 
     due: float
     busy: bool = False
@@ -41,17 +55,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Done:
-    """A call to a worker is over."""
+    """A call to a worker finished; ``reports`` is None if it failed."""
 
     worker: str
     reports: dict[str, AttemptReport] | None
 
 
 class WorkerDriver(pykka.ThreadingActor):
-    """Calls each worker when something is to be done there, and else at long intervals.
+    """Calls each worker when it has orders for it, and otherwise at long intervals.
+
+    After a pause of the process, no orders are sent until the log has been read again, since
+    the node's state may be too old to renew leases.
 
-    After a pause of the process nothing is ordered until the log was read again: what this
-    node knows may be too old to renew anything by.
+    Parameters
+    ----------
+    context
+        The node's settings and actors.
+    client
+        The client of the workers.
     """
 
     def __init__(self, parts: Parts, client: WorkerClient) -> None:
@@ -65,11 +86,11 @@
         self._callers = concurrent.futures.ThreadPoolExecutor(_CALLERS, "worker-call")
 
     def on_stop(self) -> None:
-        """End the callers; a call on its way is not waited for."""
+        """Stop the call threads without waiting for calls in progress."""
         self._callers.shutdown(wait=False, cancel_futures=True)
 
     def on_receive(self, message: object) -> None:
-        """Take a change of what is to be driven, the end of a call, or the time."""
+        """Handle a message, then call the workers that are due."""
         self._notice_pause()
         if isinstance(message, WorkerPoked):
             self._poke(message.worker)
@@ -158,7 +179,7 @@
         driven.poked = False
 
     def _interval_of(self, driven: _Driven) -> float:
-        """Look sooner where something runs whose end somebody waits for."""
+        """Return the seconds until the next call, which are fewer while attempts are running."""
         if not driven.watched and not driven.reports:
             return self._interval
         return min(self._interval, self._parts.settings.timing.watch_interval_ms / 1000)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,7 +1,6 @@
-"""Failures brought about over real processes, judged by the stand-ins' ledgers.
+"""Fault injection over real processes, checked against the ledgers of the stand-ins.
 
-Each test asks two things: that the work ends well once the fault is over, and that no promise
-was broken meanwhile.
+Each test checks that work finishes after the fault and that no invariant was violated.
 """
 
 import concurrent.futures
@@ -39,7 +38,7 @@
 
 
 class FailureCase(unittest.TestCase):
-    """Starts a cluster for each test and checks the promises at its end."""
+    """Base of the tests: starts a cluster for each test."""
 
     NODES = 3
     OPTIONS: dict = {}  # noqa: RUF012
@@ -51,7 +50,7 @@
         answer = self.cluster.apply("node-0", {"c.ini": DECLARATIONS})
         self.assertEqual(answer.status, 200, answer.data)
         self.cluster.wait_version(msgspec.json.decode(answer.data)["version"])
-        wait_for(self.slots_divided, "all slots of the minions are divided among the nodes")
+        wait_for(self.slots_divided, "all slots of the minions are assigned to nodes")
 
     def slots_divided(self) -> bool:
         return all(
@@ -79,7 +78,7 @@
                 for vm in self.cluster.get(node, f"/v1/{kind}")
                 if vm["name"] == name
             ),
-            f"all nodes know that {name} leaves",
+            f"all nodes see that {name} is leaving",
         )
 
     def assert_succeeds(self, node: str, work: int) -> None:
@@ -94,7 +93,7 @@
 
 class TestNodes(FailureCase):
     def test_killed_node_and_vanished_worker_at_once(self) -> None:
-        """Two faults together: a node is killed and a worker's VM ends; all work is done."""
+        """Work finishes after a node and a worker are lost at the same time."""
         work = self.submit("node-1", "w", 12, 2)
         report = self.wait_running("node-1", work, 12)
         self.cluster.kill_node("node-0", vm_gone=True)
@@ -105,11 +104,11 @@
         self.assert_promises()
 
     def test_paused_node_renews_nothing_when_it_wakes(self) -> None:
-        """A node stopped for longer than a lease, with its worker lost meanwhile, does no harm."""
+        """A node that resumes after its leases have expired does not renew them."""
         work = self.submit("node-1", "w", 8, 4)
         report = self.wait_running("node-1", work, 8)
         self.cluster.nodes["node-0"].signal(signal.SIGSTOP)
-        # The list is wrong: the worker goes on running what its lease covers.
+        # The list is wrong: the worker is still running its leased tasks.
         self.cluster.remove_vms([report["tasks"][0]["worker"]])
         time.sleep(LONGER_THAN_LEASE)
         self.cluster.nodes["node-0"].signal(signal.SIGCONT)
@@ -118,7 +117,7 @@
         self.assert_promises()
 
     def test_superseded_process_ends(self) -> None:
-        """A process that wakes up after another one joined as its node ends by itself."""
+        """A process that resumes after another one has joined as the same node exits."""
         old = self.cluster.nodes["node-0"]
         old.signal(signal.SIGSTOP)
         self.addCleanup(old.end)
@@ -131,7 +130,7 @@
         self.assert_promises()
 
     def test_planned_stop_cuts_no_request(self) -> None:
-        """A node told to stop answers what is in flight, whole, and ends with status 0."""
+        """A node that is stopped completes the requests in flight and exits with status 0."""
         with concurrent.futures.ThreadPoolExecutor(4) as callers:
             slow = [
                 callers.submit(self.cluster.call, "node-0", b"slow", **{"x-work-ms": "1200"})
@@ -160,7 +159,7 @@
         self.assert_promises()
 
     def test_planned_stop_cuts_no_lent_request(self) -> None:
-        """A node told to stop also ends what it runs for a peer, so that none runs twice."""
+        """A node that is stopped also completes forwarded requests, so that none runs twice."""
 
         def ran() -> list[dict]:
             return [e for e in self.cluster.ledger(self.cluster.minions) if e["event"] == "ran"]
@@ -178,7 +177,7 @@
         self.assertEqual(self.cluster.nodes["node-1"].wait(), 0)
 
     def test_session_outlives_its_node(self) -> None:
-        """A session goes on at its minion through another node after its own was killed."""
+        """After its node is killed, a session continues at the same minion through other nodes."""
         answer = self.cluster.call("node-0", b"first")
         minion = answer.headers["Snowdock-Session"]
         self.cluster.kill_node("node-0")
@@ -192,7 +191,7 @@
         self.assertEqual(lost.headers["Snowdock-Outcome"], "not-run")
 
     def test_idle_slots_return_from_a_killed_node(self) -> None:
-        """A killed node's slots are divided among the others once they must be idle."""
+        """The slots of a killed node are reassigned once they must be idle."""
         self.cluster.kill_node("node-0", vm_gone=True)
 
         def divided() -> bool:
@@ -201,13 +200,13 @@
                 sum(m["shares"].values()) == 8 and "node-0" not in m["shares"] for m in minions
             )
 
-        wait_for(divided, "all slots are divided among two nodes")
+        wait_for(divided, "all slots are assigned to two nodes")
         self.assert_promises()
 
 
 class TestLog(FailureCase):
     def test_work_outlives_an_outage(self) -> None:
-        """With the log down for longer than a lease, running tasks go on and nothing is lost."""
+        """Running tasks survive a log outage that is longer than a lease."""
         work = self.submit("node-0", "w", 6, 3)
         self.wait_running("node-0", work, 6)
         self.cluster.set_faults(self.cluster.log, {"*": {"refuse": True}})
@@ -228,7 +227,7 @@
         self.assert_promises()
 
     def test_requests_during_an_outage(self) -> None:
-        """Repeatable requests go on; a not-repeatable one is unknown at worst, and not sent."""
+        """During a log outage, repeatable requests run and not-repeatable ones are not sent."""
         self.cluster.set_faults(self.cluster.log, {"*": {"refuse": True}})
         request_id = new_request_id()
         once = {"snowdock-request-id": request_id, "snowdock-repeatable": "no"}
@@ -241,7 +240,7 @@
         self.assert_promises(frozenset([request_id]))
 
     def test_node_starts_during_an_outage(self) -> None:
-        """A node that starts while the log is down has the configuration from its peers."""
+        """A node that starts during a log outage loads the configuration from its peers."""
         version = self.cluster.get("node-1", "/v1/version")["version"]
         self.cluster.set_faults(self.cluster.log, {"*": {"refuse": True}})
         self.cluster.kill_node("node-0")
@@ -256,7 +255,7 @@
         self.assert_promises()
 
     def test_lost_append_answers(self) -> None:
-        """Appends whose answers are lost take effect once."""
+        """Appends whose responses are lost take effect once."""
         self.cluster.set_faults(self.cluster.log, {"*": {"lose": True, "path": "/append"}})
         works = [self.submit_again(f"node-{n}", f"w{n}") for n in range(3)]
         self.cluster.set_faults(self.cluster.log, {})
@@ -267,7 +266,7 @@
         self.assert_promises()
 
     def submit_again(self, node: str, name: str) -> int:
-        """Submit as a caller does that is refused while an answer is in doubt: again."""
+        """Submit a work repeatedly with the same key until it is accepted."""
         text = BATCH.format(name=name, tasks=3, seconds=0.3).encode()
         headers = {"Content-Type": "text/plain", "Snowdock-Key": name}
         accepted = wait_for(
@@ -278,7 +277,7 @@
         return msgspec.json.decode(accepted.data)[0]["work"]
 
     def test_node_cut_from_the_log(self) -> None:
-        """A node that alone cannot reach the log serves its slots; the others do the work."""
+        """A node that alone cannot reach the log serves requests; the others place work."""
         self.cluster.set_faults(self.cluster.log, {"node-0": {"refuse": True}})
         work = self.submit("node-1", "w", 8, 0.5)
         self.assertEqual(self.cluster.call("node-0", b"a").status, 200)
@@ -292,7 +291,7 @@
     OPTIONS = {"retention": 60, "timing": {"snapshot_entries": 15}}  # noqa: RUF012
 
     def test_new_node_starts_from_a_snapshot(self) -> None:
-        """Once the log's start is gone, a new node reads snapshot and tail, and agrees."""
+        """After the start of the log has expired, a new node loads a snapshot and the rest."""
         number = 0
         while self.cluster.get("node-0", "/v1/version")["log_end"] < 120:
             self.submit(f"node-{number % 3}", f"w{number}", 1, 0.05)
@@ -307,7 +306,7 @@
 
 class TestWorkers(FailureCase):
     def test_lost_answers_of_starts(self) -> None:
-        """Orders whose answers are lost start each attempt once."""
+        """Orders whose responses are lost start each attempt once."""
         self.cluster.set_faults(self.cluster.workers, {"*": {"lose": True, "path": "/sync"}})
         work = self.submit("node-0", "w", 6, 0.3)
         wait_for(lambda: len(self.events("started")) >= 6, "all started unseen")
@@ -316,7 +315,7 @@
         self.assert_promises()
 
     def test_late_orders_are_refused(self) -> None:
-        """Orders that take longer on their way than they are valid start nothing."""
+        """Orders that arrive after their validity has expired start nothing."""
         self.cluster.set_faults(self.cluster.workers, {"*": {"slow_ms": 2500, "path": "/sync"}})
         work = self.submit("node-0", "w", 4, 0.3)
         time.sleep(4)
@@ -326,7 +325,7 @@
         self.assert_promises()
 
     def test_worker_that_vanishes_from_the_list_but_runs(self) -> None:
-        """A task is placed elsewhere only after its lease lapsed where it still ran."""
+        """Tasks of a running worker that is delisted are placed only after their leases expire."""
         work = self.submit("node-0", "w", 8, 4)
         report = self.wait_running("node-0", work, 8)
         gone = report["tasks"][0]["worker"]
@@ -336,7 +335,7 @@
         self.assert_promises()
 
     def test_rebooted_worker(self) -> None:
-        """Tasks of a worker that started again are run again, and never twice at once."""
+        """Tasks of a restarted worker are rerun, and never run twice at the same time."""
         work = self.submit("node-0", "w", 8, 1.5)
         report = self.wait_running("node-0", work, 8)
         name = report["tasks"][0]["worker"]
@@ -345,7 +344,7 @@
         self.assert_promises()
 
     def test_leaving_worker_gets_nothing_new(self) -> None:
-        """A leaving VM is given no new task, and its tasks move away by checkpoint."""
+        """A leaving worker receives no new tasks, and its tasks are stopped and moved."""
         name = self.cluster.worker_names[0]
         first = self.submit("node-0", "w", 16, 1)
         self.wait_running("node-0", first, 16)
@@ -361,7 +360,7 @@
         self.assert_promises()
 
     def test_worker_that_fails_everything_is_set_aside(self) -> None:
-        """A worker on which every task fails does not keep work from ending."""
+        """Work finishes although every task fails on one worker."""
         bad = self.cluster.worker_names[1]
         self.cluster.post(f"{self.cluster.workers}/{bad}/fail_all?on=1", {})
         work = self.submit("node-0", "w", 24, 0.2)
@@ -371,7 +370,7 @@
 
 class TestPreemption(FailureCase):
     def test_urgent_work_makes_room(self) -> None:
-        """On a full cluster urgent work starts, and what made room for it is run again."""
+        """On a full cluster, urgent work preempts other work, which is rerun."""
         low = self.submit("node-0", "low", 32, 6)
         self.wait_running("node-0", low, 32)
         text = BATCH.format(name="urgent", tasks=4, seconds=0.2)
@@ -387,7 +386,7 @@
 
 class TestMinions(FailureCase):
     def test_leaving_minion_gets_nothing_new(self) -> None:
-        """A leaving minion is sent no new request once the nodes know."""
+        """A leaving minion receives no new requests after all nodes have seen its state."""
         name = self.cluster.minion_names[0]
         self.cluster.set_vms([self.cluster.minion_vm(name, "leaving")])
         self.wait_leaving("minions", name)
@@ -401,7 +400,7 @@
         return [e for e in ledger if e["event"] == "ran" and e["minion"] == name]
 
     def test_overload_is_refused_early_and_slots_are_kept(self) -> None:
-        """What is told as not run did not run, and no minion is overrun."""
+        """Requests reported as not run were not run, and no minion exceeds its slots."""
 
         def call(number: int):
             headers = {"x-work-ms": "300", "snowdock-deadline-ms": "1000"}
@@ -418,7 +417,7 @@
         self.assert_promises()
 
     def test_idle_slots_of_peers_are_used(self) -> None:
-        """A node with more requests than slots hands some to peers, and all are answered."""
+        """A node with more requests than slots forwards some to peers, and all are answered."""
         headers = {"x-work-ms": "700"}
         with concurrent.futures.ThreadPoolExecutor(20) as callers:
             calls = [
@@ -432,7 +431,7 @@
         self.assert_promises()
 
     def test_wrong_and_late_answers_reach_nobody(self) -> None:
-        """An answer to another request, or one that comes too late, is given to no caller."""
+        """A response to another request, or a late one, is not returned to a caller."""
         wrong = self.cluster.call("node-0", b"a", **{"x-behave": "wrong_id"})
         self.assertEqual(wrong.headers["Snowdock-Outcome"], "unknown")
         late = self.cluster.call(
@@ -446,6 +445,6 @@
         self.assert_promises()
 
     def test_not_run_is_never_said_after_an_unknown_try(self) -> None:
-        """Once one try may have run, giving up later is told as unknown."""
+        """A request that may have run at an attempt has the outcome unknown."""
         answer = self.cluster.call("node-0", b"a", **{"x-behave": "truncate"})
         self.assertEqual(answer.headers["Snowdock-Outcome"], "unknown")
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -1,4 +1,4 @@
-"""Tests of the hints on which node acts."""
+"""Tests of the tracking of active nodes."""
 
 import unittest
 
@@ -17,14 +17,14 @@
         self.hints.refresh(MEMBERS)
 
     def test_silent_and_draining_members_do_not_act(self) -> None:
-        """Only members that were heard from and are not on their way out seem able to act."""
+        """Only members with a recent heartbeat that are not draining are active."""
         members = {**MEMBERS, "d": Member("d", "i", "h", "", "")}
         members["b"] = Member("b", "i", "h", "", "", MemberState.DRAINING)
         self.assertTrue(self.hints.refresh(members))
         self.assertEqual(self.hints.active, ("a", "c"))
 
     def test_a_node_without_the_log_lets_others_act(self) -> None:
-        """A node cut off from the log is left out, unless all are."""
+        """A node that cannot reach the log is inactive, unless no node can."""
         self.reaches_log = False
         self.hints.refresh(MEMBERS)
         self.assertEqual(self.hints.active, ("b", "c"))
@@ -34,7 +34,7 @@
         self.assertEqual(self.hints.active, ("a", "b", "c"))
 
     def test_nothing_changes_between_refreshes(self) -> None:
-        """A change is told by refresh and never seen before it (a work was lost that way)."""
+        """Ownership changes only in refresh; otherwise a work could be left without an owner."""
         things = [f"work/{n}" for n in range(50)]
         before = [self.hints.is_own(thing) for thing in things]
         self.reaches_log = False
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of how slots are handed out to waiting requests."""
+"""Tests of the assignment of slots to requests."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class TestRouter(unittest.TestCase):
-    """One minion with one slot, which is this node's."""
+    """One minion with one slot, which belongs to this node."""
 
     def setUp(self) -> None:
         self.router = Router.start(Parts(SETTINGS, "i"))
@@ -50,7 +50,7 @@
         self.router.ask(Released("m", False, 0.05))
 
     def test_who_cannot_be_served_in_time_is_refused_at_once(self) -> None:
-        """A request whose deadline the queue would outlast does not join it (bench.overload)."""
+        """A request that would wait beyond its deadline is rejected instead of queued."""
         self.assertIsInstance(self.get(self.acquire(LONG)), Granted)
         refused = self.get(self.acquire(SHORT))
         self.assertIsInstance(refused, Refused)
@@ -58,7 +58,7 @@
         self.assertGreater(refused.retry_after_seconds, 0)
 
     def test_priority_goes_before_order(self) -> None:
-        """A freed slot goes to the highest priority, then to the earliest asker."""
+        """A free slot goes to the request with the highest priority, then to the earliest."""
         self.get(self.acquire(LONG))
         first, second = self.acquire(LONG), self.acquire(LONG)
         urgent = self.acquire(LONG, priority=90)
@@ -67,12 +67,12 @@
             self.assertIsInstance(self.get(slot), Granted)
 
     def test_a_full_queue_refuses(self) -> None:
-        """The queue's bound is kept."""
+        """A request is rejected when the queue is at its limit."""
         self.get(self.acquire(LONG))
         self.acquire(LONG, queue_limit=1)
         self.assertIsInstance(self.get(self.acquire(LONG, queue_limit=1)), Refused)
 
     def test_no_waiting_where_every_minion_was_tried(self) -> None:
-        """A request that tried all minions gets its final answer at once."""
+        """A request that has tried all minions is rejected at once."""
         refused = self.get(self.acquire(LONG, excluded=frozenset(["m"])))
         self.assertEqual(refused.reason, "no other minion is left")
--- a/tests/test_security.py
+++ b/tests/test_security.py
@@ -1,4 +1,4 @@
-"""Tests of tokens, of the peers' keys, and of what strangers may send."""
+"""Tests of tokens, of the peers' keys, and of invalid input."""
 
 import pathlib
 import tempfile
@@ -28,7 +28,7 @@
         self.path.write_text(TOKENS)
 
     def test_roles(self) -> None:
-        """An operator may do all, a caller what callers do, and nobody else anything."""
+        """Operators have all permissions, callers those of callers, and unknown tokens none."""
         book = TokenBook(str(self.path))
         book.check(f"Bearer {OPERATOR}", Role.OPERATOR)
         book.check(f"Bearer {CALLER}", Role.CALLER)
@@ -39,7 +39,7 @@
                 book.check(header, Role.CALLER)
 
     def test_bad_files_are_refused_without_showing_tokens(self) -> None:
-        """A file that is missing, broken or has weak tokens is refused by type."""
+        """A missing or malformed file, or one with short tokens, raises TokensUnreadable."""
         for text in ("", "[operator a]\ntoken = short\n", f"[king a]\ntoken = {OPERATOR}\n", "[[["):
             self.path.write_text(text)
             with self.subTest(text), self.assertRaises(TokensUnreadable) as caught:
@@ -73,7 +73,7 @@
         return self.cluster.request("node-0", method, path, body, headers).status
 
     def test_callers_may_not_operate(self) -> None:
-        """Who may do what is kept over HTTP, and probes of the balancer stay open."""
+        """Roles are enforced over HTTP, and health probes need no token."""
         change = msgspec.json.encode({"base": 10**6, "files": {}})
         self.assertEqual(self.status("POST", "/v1/configuration", CALLER, change), 403)
         self.assertEqual(self.status("POST", "/v1/drain", CALLER), 403)
@@ -84,12 +84,12 @@
         self.assertEqual(self.status("GET", "/healthz", "wrong"), 200)
 
     def test_peers_with_the_keys_hear_each_other(self) -> None:
-        """Nodes that hold the cluster's keys see each other alive."""
+        """Nodes with the cluster's keys receive each other's heartbeats."""
         nodes = self.cluster.get("node-0", "/v1/nodes")
         self.assertTrue(all(node["seems_alive"] for node in nodes))
 
     def _ask(self, public: bytes | None, secret: bytes | None) -> bool:
-        """Ask node-0 for its state as a peer would, and tell whether it answered."""
+        """Send a state request to node-0 and return whether it is answered."""
         with zmq.Context() as context, context.socket(zmq.DEALER) as socket:
             socket.linger = 0
             if public:
@@ -100,7 +100,7 @@
             return bool(socket.poll(STRANGER_MS))
 
     def test_strangers_are_not_heard(self) -> None:
-        """A question without keys, or with other keys, is dropped; with the keys answered."""
+        """A request without the cluster's keys is dropped, and one with them is answered."""
         self.assertTrue(self._ask(*self.keys))
         self.assertFalse(self._ask(None, None))
         self.assertFalse(self._ask(*zmq.curve_keypair()))
@@ -142,7 +142,7 @@
         ),
     )
     def test_no_input_brings_a_500(self, method, path, suffix, kind, body, headers) -> None:
-        """Whatever is sent to the API, the answer is a typed one and the node goes on."""
+        """The API rejects any invalid input with a typed error and keeps running."""
         answer = self.cluster.request(
             "node-0", method, path + suffix, body, {**headers, "Content-Type": kind}
         )
@@ -154,7 +154,7 @@
 class TestPeerMessages(unittest.TestCase):
     @given(st.binary(max_size=200))
     def test_garbage_is_refused_by_type(self, data: bytes) -> None:
-        """Foreign bytes are a message or bring the typed failure."""
+        """Arbitrary bytes either decode or raise InvalidInput."""
         try:
             decode_peer_message(data)
         except InvalidInput:
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path over real processes: declarations, work, requests, bad input."""
+"""End-to-end tests over real processes: declarations, work, requests and invalid input."""
 
 import unittest
 import uuid
@@ -15,7 +15,7 @@
 
 
 class TestWholePath(unittest.TestCase):
-    """One cluster of three nodes for all tests of the class."""
+    """All tests share one cluster of three nodes."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -26,7 +26,7 @@
         assert done.returncode == 0, done.stderr
 
     def test_work_of_each_kind_runs(self) -> None:
-        """A batch, a gang and the declared service run, and any node tells their outcome."""
+        """A batch, a gang and a service run, and any node reports their state."""
         text = (EXAMPLE / "work" / "payouts.ini").read_text()
         for number in self.cluster.submit("node-0", text, "kinds"):
             report = self.cluster.wait_work("node-2", number)
@@ -41,7 +41,7 @@
         self.assertEqual(check_promises(self.cluster), [])
 
     def test_work_is_known_at_every_node_at_once(self) -> None:
-        """Work accepted through one node is never unknown at another (found by a failed run)."""
+        """Work accepted by one node is never unknown at another."""
         for number in range(30):
             text = BATCH.format(name="seen", tasks=1)
             work = self.cluster.submit("node-0", text, f"seen-{number}")[0]
@@ -49,20 +49,20 @@
                 self.assertEqual(self.cluster.request(node, "GET", f"/v1/work/{work}").status, 200)
 
     def test_waiting_is_told_in_metrics(self) -> None:
-        """After work has run, some node's metrics tell how long it waited."""
+        """After work has run, the metrics of a node include its waiting time."""
         work = self.cluster.submit("node-0", BATCH.format(name="seen", tasks=2), "metrics")[0]
         self.cluster.wait_work("node-0", work)
         pages = [self.cluster.request(f"node-{n}", "GET", "/metrics").data for n in range(3)]
         self.assertTrue(any(b'snowdock_waiting_seconds_count{kind="batch"}' in p for p in pages))
 
     def test_same_key_is_same_work(self) -> None:
-        """A submission that is sent again under its key is not run a second time."""
+        """A submission that is repeated with the same key returns the same work."""
         text = BATCH.format(name="twice", tasks=2)
         first = self.cluster.submit("node-0", text, "twice")
         self.assertEqual(self.cluster.submit("node-1", text, "twice"), first)
 
     def test_answer_is_whole_and_marked(self) -> None:
-        """A caller gets its own answer, with the request's id and its outcome."""
+        """A caller receives the response to its request, with the request id and the outcome."""
         request_id = new_request_id()
         answer = self.cluster.call("node-1", b"fee?", **{"snowdock-request-id": request_id})
         self.assertEqual(answer.data, f"answer to {request_id}: fee?".encode())
@@ -70,7 +70,7 @@
         self.assertEqual(answer.headers["Snowdock-Outcome"], "ran")
 
     def test_not_repeatable_runs_once_across_nodes(self) -> None:
-        """Asked again through another node, a not-repeatable request is answered, not run."""
+        """A not-repeatable request that is retried at another node is answered but not rerun."""
         request_id = new_request_id()
         headers = {"snowdock-request-id": request_id, "snowdock-repeatable": "no"}
         answers = [self.cluster.call(f"node-{n}", b"pay", **headers).data for n in (0, 1, 2, 0)]
@@ -79,7 +79,7 @@
         self.assertEqual(problems, [])
 
     def test_not_repeatable_in_doubt_is_unknown_and_not_retried(self) -> None:
-        """A truncated answer to a not-repeatable request is told as unknown, and ran once."""
+        """After a truncated response, a not-repeatable request is unknown and is not rerun."""
         request_id = new_request_id()
         headers = {"snowdock-request-id": request_id, "snowdock-repeatable": "no"}
         answer = self.cluster.call("node-0", b"pay", **headers, **{"x-behave": "truncate"})
@@ -90,21 +90,21 @@
         self.assertEqual(sum(e["request"] == request_id for e in ran), 1)
 
     def test_refused_request_says_when_to_come_back(self) -> None:
-        """Where no minion takes a request, the answer is not-run with Retry-After."""
+        """A request that all minions refuse has the outcome not-run and Retry-After."""
         answer = self.cluster.call("node-0", b"x", **{"x-behave": "refuse"})
         self.assertEqual(answer.headers["Snowdock-Outcome"], "not-run")
         self.assertEqual(answer.status, 503)
         self.assertGreaterEqual(int(answer.headers["Retry-After"]), 1)
 
     def test_racing_operators(self) -> None:
-        """Of two changes made from the same version one is taken and the other told so."""
+        """Of two changes based on the same version, one is accepted and one conflicts."""
         files = {"c.ini": (EXAMPLE / "cluster.ini").read_text()}
         base = self.cluster.get("node-0", "/v1/version")["version"]
         statuses = [self.cluster.apply(f"node-{n}", files, base).status for n in (0, 1)]
         self.assertEqual(statuses, [200, 409])
 
     def test_bad_input_is_refused_by_type(self) -> None:
-        """Each kind of bad input gets its own code, and nothing of it is kept."""
+        """Each kind of invalid input is rejected with its code and creates no work."""
         before = len(self.cluster.get("node-0", "/v1/work"))
         text = {"Content-Type": "text/plain", "Snowdock-Key": uuid.uuid4().hex}
         json = {"Content-Type": "application/json"}
@@ -130,7 +130,7 @@
             with self.subTest(f"{method} {path} {body[:30]!r}"):
                 answer = self.cluster.request("node-0", method, path, body, headers)
                 self.assertEqual(answer.status, status, answer.data[:300])
-                # The server's own refusal of a large body comes as plain text.
+                # The HTTP server rejects a large body itself, in plain text.
                 if status != 413:
                     problem = msgspec.json.decode(answer.data)
                     self.assertTrue(problem["message"])
@@ -138,7 +138,7 @@
         self.assertEqual(len(self.cluster.get("node-0", "/v1/work")), before)
 
     def test_command_line_tells_mistakes_by_status(self) -> None:
-        """The command line ends with its documented status and without a traceback."""
+        """Commands exit with their documented status and without a traceback."""
         for arguments, status in (
             (("status", "12"), 3),
             (("status", "x"), 2),
