--- a/src/snowdock/entry/takeover.py
+++ b/src/snowdock/entry/takeover.py
@@ -1,4 +1,4 @@
-"""How a node takes the lead over: it shuts out earlier leaders, and reads what is on record."""
+"""Start of a leader after an election: fence earlier leaders, and load the jobs on record."""
 
 import concurrent.futures
 import time
@@ -27,29 +27,35 @@
 __all__ = ["classify_records", "start_leader"]
 
 _CALL_TIMEOUT_SECONDS = 3.0
-"""How long one call to the store may take: a page of many jobs takes longer than an append."""
+"""Timeout of one call to the store; a page of many jobs takes longer than an append."""
 
 _TAKEOVER_RETRY_SECONDS = 0.1
-"""Pause before a takeover that the store did not answer is tried again."""
+"""Pause before a takeover is retried after the store did not answer."""
 
 _READ_THREADS = 12
-"""Partitions that a takeover reads at the same time: on a slow store each call takes some 0.4 s."""
+"""Number of partitions read concurrently, since a call to a slow store takes about 0.4 s."""
 
 
 def _fence_and_read(store: StoreClient, parts: int, epoch: int) -> tuple[RecordedJobs, list[int]]:
-    """Shut earlier leaders out, and read all that is on record of jobs.
+    """Fence earlier leaders, and read all job and progress records.
 
-    Jobs are read meanwhile, since no leader writes them; gives also from where to follow each
-    of their partitions.
+    Jobs are read concurrently with the fencing, since leaders don't write them.
+
+    Returns
+    -------
+    recorded : RecordedJobs
+        The jobs on record.
+    job_offsets : list of int
+        For each partition of the jobs topic, the offset from which to follow it.
     """
     with concurrent.futures.ThreadPoolExecutor(_READ_THREADS) as pool:
         reads = pool.map(
             lambda part: store.newest(JOBS_TOPIC, part, _CALL_TIMEOUT_SECONDS), range(parts)
         )
         fence_progress(store, epoch, _CALL_TIMEOUT_SECONDS)
-        newest = store.newest(PROGRESS_TOPIC, DEFAULT_PARTITION, _CALL_TIMEOUT_SECONDS)
+        progress_page = store.newest(PROGRESS_TOPIC, DEFAULT_PARTITION, _CALL_TIMEOUT_SECONDS)
         pages = list(reads)
-    progress, unreadable = _read_progress(newest.records)
+    progress, unreadable = _read_progress(progress_page.records)
     records = [record for page in pages for record in page.records]
     recorded = classify_records(records, progress, unreadable)
     return recorded, [page.next_offset for page in pages]
@@ -58,9 +64,9 @@
 def _read_progress(
     records: Iterable[KeyedRecord],
 ) -> tuple[dict[JobId, JobProgress], frozenset[JobId]]:
-    """Give the progress of jobs, and those whose record cannot be read.
+    """Return the progress of jobs, and the jobs whose progress record is malformed.
 
-    One record that cannot be read may not keep every node from leading.
+    A malformed record doesn't raise, since it would keep every node from leading.
     """
     progress = {}
     unreadable = set()
@@ -80,10 +86,10 @@
     progress: dict[JobId, JobProgress],
     unreadable: frozenset[JobId] = frozenset(),
 ) -> RecordedJobs:
-    """Tell jobs from cancels, and of jobs that share an identifier the one that counts.
+    """Classify the records of the jobs topic into accepted, cancelled and unstartable jobs.
 
-    That is the one whose team its progress names, else the one that was taken in first: teams
-    choose identifiers themselves, and may choose that of another's job.
+    Teams choose job identifiers themselves, so that jobs of several teams may share one. The job
+    of the team named in the progress record is kept, or else the one accepted first.
     """
     accepted: dict[JobId, AcceptedJob] = {}
     cancelled = set()
@@ -95,37 +101,39 @@
             job = parse_job_id(record.key)
             if job in unreadable:
                 continue
-            known = progress.get(job)
+            job_progress = progress.get(job)
             try:
-                found = decode_accepted(record.value)
+                job_record = decode_accepted(record.value)
             except InvalidInput as error:
                 log_error("job_record_unusable", error, job=record.key)
                 unstartable.add(job)
                 continue
-            if known is not None and known.team != found.team:
-                log_event("job_of_another_team", job=job, team=known.team, by=found.team)
+            if job_progress is not None and job_progress.team != job_record.team:
+                log_event(
+                    "job_of_another_team", job=job, team=job_progress.team, by=job_record.team
+                )
                 continue
-            other = accepted.get(job)
-            if other is None or found.accepted_ms < other.accepted_ms:
-                accepted[job] = found
+            earlier = accepted.get(job)
+            if earlier is None or job_record.accepted_ms < earlier.accepted_ms:
+                accepted[job] = job_record
     unstartable -= accepted.keys()
     return RecordedJobs(accepted, cancelled, progress, unreadable, frozenset(unstartable))
 
 
 def start_leader(context: LeaderContext, still_leads: Callable[[], bool]) -> LeaderHandle | None:
-    """Take over from earlier leaders and start leading.
+    """Fence earlier leaders, load the jobs on record and start a leader.
 
     Parameters
     ----------
     context
-        What the leader needs of its node.
-    is_wanted
-        Whether this node still leads in this epoch; asked between tries.
+        The leader's context.
+    still_leads
+        Returns whether this node still leads in this epoch; called before each attempt.
 
     Returns
     -------
     LeaderHandle or None
-        None where another node leads meanwhile.
+        None if another node has become the leader.
     """
     started_at = steady_seconds()
     while still_leads():
--- a/src/snowdock/jobs/quarantine.py
+++ b/src/snowdock/jobs/quarantine.py
@@ -1,4 +1,4 @@
-"""Workers on which nothing new is placed for a while, and what is told of that."""
+"""Quarantine of workers: nothing new is placed on them for a limited time."""
 
 from .cell import Cell
 from .workers import QuarantineCause, Worker
@@ -14,7 +14,7 @@
     now: float,
     **evidence: float,
 ) -> None:
-    """Place nothing on a worker for so long, unless it is set aside for longer already.
+    """Quarantine a worker for a time, unless it is already quarantined for longer.
 
     Parameters
     ----------
@@ -23,13 +23,13 @@
     worker
         The worker.
     cause
-        What speaks against it.
+        Why it is quarantined.
     seconds
-        For how long.
+        The duration.
     now
         The steady clock, in seconds.
     evidence
-        What the decision rests on, for the log.
+        Figures on which the decision is based, logged as fields.
     """
     until = now + seconds
     if until <= worker.quarantined_until:
@@ -49,7 +49,7 @@
 
 
 def release_worker(cell: Cell, worker: Worker, cause: QuarantineCause, now: float) -> None:
-    """End a worker's time aside, where it is set aside for that cause."""
+    """End a worker's quarantine if it has the given cause."""
     if worker.quarantine_cause is cause:
         worker.quarantined_until = min(worker.quarantined_until, now)
         _log_release(cell, worker, now)
@@ -57,7 +57,7 @@
 
 
 def release_expired(cell: Cell, now: float) -> None:
-    """Tell of workers whose time aside is over."""
+    """Release and log the workers whose quarantine has expired."""
     for worker in cell.workers.values():
         if worker.quarantine_cause is not None and worker.quarantined_until <= now:
             _log_release(cell, worker, now)
@@ -73,7 +73,7 @@
 def count_quarantined(
     cell: Cell, service: str, cause: QuarantineCause, now: float
 ) -> tuple[int, int]:
-    """Count the workers of a service that are set aside for a cause, and all of them."""
+    """Return how many workers of a service are quarantined for a cause, and how many there are."""
     workers = [each for each in cell.workers.values() if each.entry.service == service]
     return sum(
         each.quarantined_until > now and each.quarantine_cause is cause for each in workers
@@ -84,5 +84,5 @@
     cell: Cell, worker: Worker, cause: QuarantineCause, now: float
 ) -> dict[str, object]:
     service = worker.entry.service
-    aside, workers = count_quarantined(cell, service, cause, now)
-    return {"service": service, "aside": aside, "workers": workers}
+    quarantined, workers = count_quarantined(cell, service, cause, now)
+    return {"service": service, "aside": quarantined, "workers": workers}
--- a/src/snowdock/jobs/starving.py
+++ b/src/snowdock/jobs/starving.py
@@ -1,7 +1,7 @@
-"""Jobs that run nothing beside free room: told each second, with what closes the workers to them.
+"""Periodic logging of jobs that run nothing although room is free.
 
-A worker is closed to a step for one reason at a time, the first that applies. Where most of a
-service is free and a task could begin, these counts tell which of them keeps the job waiting.
+For each such job the log line counts the service's workers by the reason for which they are
+excluded for the step. A worker counts for the first reason that applies.
 """
 
 import collections
@@ -18,24 +18,24 @@
 __all__ = ["find_step_exclusion", "log_starving_jobs"]
 
 _LOG_INTERVAL_SECONDS = 1.0
-"""Time between two looks."""
+"""Interval between two checks."""
 
 _IDLE_SECONDS = 1.0
-"""A job that has run nothing for so long is told of; users allow three seconds."""
+"""Time without any run after which a job is logged; the tolerated time is three seconds."""
 
 _MAX_LOGGED = 5
-"""The most jobs told of at a time, those that wait longest first: with 270 workers each takes about
-a millisecond to look at."""
+"""Maximum number of jobs logged at a time, longest waiting first; each takes about 1 ms with 270
+workers."""
 
 _MAX_USED_SHARE = 0.5
-"""Where more of a service's room is in use, a job may wait for its turn."""
+"""Share of a service's room in use above which a waiting job is not considered starving."""
 
 _SPARE_FACTOR = 2
-"""Room counts as free where it holds what waits so many times over."""
+"""Free room must hold this multiple of the waiting tasks to count as sufficient."""
 
 
 def log_starving_jobs(cell: Cell, now: float) -> None:
-    """Tell of jobs that have run nothing for a while beside free room, if it is time."""
+    """Log jobs that have run nothing for a while although room is free, once per interval."""
     if now - cell.starving_logged_at < _LOG_INTERVAL_SECONDS:
         return
     cell.starving_logged_at = now
@@ -71,10 +71,10 @@
 
 def _has_spare_room(step: Step, workers: list[Worker]) -> bool:
     wanted = len(step.tasks) if step.spec.gang else 1
-    seats = 0
+    slots = 0
     for worker in workers:
-        seats += min(count_fitting(worker.free, step.spec.room), max_additional_tasks(step, worker))
-        if seats >= _SPARE_FACTOR * wanted:
+        slots += min(count_fitting(worker.free, step.spec.room), max_additional_tasks(step, worker))
+        if slots >= _SPARE_FACTOR * wanted:
             return True
     return False
 
@@ -103,7 +103,7 @@
 def find_step_exclusion(
     cell: Cell, step: Step, worker: Worker, now: float
 ) -> ExclusionReason | None:
-    """Tell why the next task of a step is not placed on a worker; None where it may be."""
+    """Return why the next task of a step is not placed on a worker, or None if it may be."""
     reason = find_exclusion(worker, now)
     if reason is not None:
         return reason
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""Tests of putting records of jobs on the store: together, once, and truly told."""
+"""Tests of batched appends of job records and of their reported outcomes."""
 
 import threading
 import unittest
@@ -18,7 +18,7 @@
 
 
 class BlockingStore:
-    """A store whose appends wait for the test, raise what it says, or succeed."""
+    """A store whose appends wait for a gate, and then raise an error or succeed."""
 
     def __init__(self) -> None:
         self.error: BaseException | None = None
@@ -39,26 +39,26 @@
     def setUp(self) -> None:
         self.store = BlockingStore()
         self.recorder = Recorder(self.store, 1, Metrics())
-        for name in ("_DOWN_SECONDS", "_RETRY_SECONDS", "_TRYING_SECONDS"):
+        for name in ("_PROBE_DELAY_SECONDS", "_RETRY_DELAY_SECONDS", "_RETRY_PERIOD_SECONDS"):
             patched = mock.patch.object(recorder, name, 0.01)
             patched.start()
             self.addCleanup(patched.stop)
 
     def test_answered_call_ends_the_down_state(self) -> None:
-        """A store that counts as down is tried at once when it has answered any other call."""
+        """After the store has answered any call, a record is appended without waiting."""
         self.store.error = StoreRefused("down")
-        with mock.patch.object(recorder, "_DOWN_SECONDS", 60.0):
+        with mock.patch.object(recorder, "_PROBE_DELAY_SECONDS", 60.0):
             for _ in range(3):
                 self.recorder.record(JOB, RECORD, 1.0)
-            tried = len(self.store.appends)
+            append_count = len(self.store.appends)
             self.store.error = None
             self.assertIs(self.recorder.record(JOB, RECORD, 1.0), RecordOutcome.NOT_DONE)
-            self.assertEqual(len(self.store.appends), tried)
+            self.assertEqual(len(self.store.appends), append_count)
             self.store.answered_at = steady_seconds()
             self.assertIs(self.recorder.record(JOB, RECORD, 1.0), RecordOutcome.DONE)
 
     def record_many(self, count: int) -> list[RecordOutcome]:
-        """Record on many threads while the first append is held; give all outcomes."""
+        """Record on many threads while the first append is blocked; return all outcomes."""
         outcomes: list[RecordOutcome] = []
         self.store.gate.clear()
 
@@ -69,38 +69,38 @@
         threads = [threading.Thread(target=record, args=(number,)) for number in range(count)]
         for thread in threads:
             thread.start()
-            # The order of arrival is that of the numbers.
-            waiting = self.recorder._partitions[0].pending
-            wait_until(lambda: len(waiting) + 1 >= threads.index(thread) + 1)  # noqa: B023
+            # Start the threads one after the other, so that they queue in order.
+            pending = self.recorder._partitions[0].pending
+            wait_until(lambda: len(pending) + 1 >= threads.index(thread) + 1)  # noqa: B023
         self.store.gate.set()
         for thread in threads:
             thread.join(10.0)
         return outcomes
 
     def test_concurrent_records_share_an_append(self) -> None:
-        """While one append is on its way, all that comes goes with the next one."""
+        """Records that arrive during an append are sent together in the next one."""
         outcomes = self.record_many(20)
         self.assertEqual(outcomes, [RecordOutcome.DONE] * 20)
         self.assertEqual([len(keys) for keys in self.store.appends], [1, 19])
 
     def test_append_size_is_bounded(self) -> None:
-        """More than a call may hold goes with several appends."""
+        """Records above the limit of one append are sent in several."""
         outcomes = self.record_many(100)
         self.assertEqual(outcomes, [RecordOutcome.DONE] * 100)
         self.assertEqual([len(keys) for keys in self.store.appends], [1, 64, 35])
 
     def test_unanswered_append_is_unknown_to_all(self) -> None:
-        """Each record of an append without an answer may be on record."""
+        """Every record of an append without an answer is reported as unknown."""
         self.store.error = CallUnanswered("lost", False)
         self.assertEqual(set(self.record_many(5)), {RecordOutcome.UNKNOWN})
 
     def test_refused_append_was_not_done(self) -> None:
-        """A refusal tells surely that nothing was recorded."""
+        """A refused append is reported as not done."""
         self.store.error = StoreRefused("away")
         self.assertEqual(self.recorder.record(JOB, RECORD, 5.0), RecordOutcome.NOT_DONE)
 
     def test_unexpected_error_releases_the_probe(self) -> None:
-        """A record that tries a failing store and ends by an error lets the next one try."""
+        """A probe that ends with an unexpected error lets the next record be the probe."""
         self.store.error = StoreRefused("away")
         for _ in range(4):
             self.recorder.record(JOB, RECORD, 5.0)
@@ -115,10 +115,10 @@
             if self.recorder.record(JOB, RECORD, 5.0) is RecordOutcome.DONE:
                 return
             recorder.time.sleep(0.001)
-        self.fail("no record was tried any more")
+        self.fail("no further record was appended")
 
     def test_record_that_waits_too_long_is_withdrawn(self) -> None:
-        """A record that never went out is surely not there; the one that went out may be."""
+        """A record that is still queued at its timeout is reported as not done, and never sent."""
         self.store.gate.clear()
         outcomes: dict[str, RecordOutcome] = {}
 
@@ -138,30 +138,30 @@
         self.assertIs(outcomes["third"], RecordOutcome.DONE)
 
     def test_slow_store_is_reported_for_a_limited_time(self) -> None:
-        """A store that has become slow is told so, for as long as that was seen lately."""
+        """A slow store is reported until its last append is too old or appends are fast again."""
         health = self.recorder._health
         for _ in range(20):
             health.record_success(0.3)
         self.assertTrue(self.recorder.is_slow)
-        with mock.patch.object(recorder, "_SLOW_MEMORY_SECONDS", -1.0):
+        with mock.patch.object(recorder, "_SLOW_STATE_SECONDS", -1.0):
             self.assertFalse(self.recorder.is_slow)
         for _ in range(20):
             health.record_success(0.01)
         self.assertFalse(self.recorder.is_slow)
 
     def test_slow_store_is_probed_with_one_record(self) -> None:
-        """All others that come until its answer is there go another way."""
+        """After a while one record is let through, and the others still prefer the relay."""
         health = self.recorder._health
         for _ in range(20):
             health.record_success(0.3)
         self.assertTrue(self.recorder.prefers_relay())
-        with mock.patch.object(recorder, "_SLOW_MEMORY_SECONDS", 60.0):
+        with mock.patch.object(recorder, "_SLOW_STATE_SECONDS", 60.0):
             health._last_result_at -= 100.0
-            told = [self.recorder.prefers_relay() for _ in range(5)]
-        self.assertEqual(told, [False, True, True, True, True])
+            decisions = [self.recorder.prefers_relay() for _ in range(5)]
+        self.assertEqual(decisions, [False, True, True, True, True])
 
     def test_hanging_append_marks_the_store_slow(self) -> None:
-        """Before its answer is there, and whatever was usual."""
+        """A hanging append marks the store as slow before its answer arrives."""
         self.store.gate.clear()
         thread = threading.Thread(target=self.recorder.record, args=(JOB, RECORD, 5.0))
         thread.start()
