--- a/src/snowdock/node/hints.py
+++ b/src/snowdock/node/active_nodes.py
@@ -6,10 +6,10 @@
 from ..decisions import ownership
 from ..state import Member, MemberState
 
-__all__ = ["Hints"]
+__all__ = ["ActiveNodes"]
 
 
-class Hints:
+class ActiveNodes:
     """The nodes that can act, as seen by this node.
 
     Nodes may disagree about the owner of a key for a while; this delays work but is safe, since
@@ -27,11 +27,13 @@
         Returns whether this node reaches the log.
     """
 
-    def __init__(self, name: str, silence_seconds: float, reaches_log: Callable[[], bool]) -> None:
+    def __init__(
+        self, name: str, silence_timeout_s: float, reaches_log: Callable[[], bool]
+    ) -> None:
         self._name = name
-        self._silence = silence_seconds
+        self._silence_timeout_s = silence_timeout_s
         self._reaches_log = reaches_log
-        self._heard: dict[str, tuple[float, bool]] = {}
+        self._last_heartbeats: dict[str, tuple[float, bool]] = {}
         self._active: tuple[str, ...] = ()
 
     @property
@@ -39,9 +41,9 @@
         """The names of the members that were active at the last `refresh`."""
         return self._active
 
-    def hear(self, node: str, reaches_log: bool) -> None:
+    def record_heartbeat(self, node: str, reaches_log: bool) -> None:
         """Record the heartbeat of a peer."""
-        self._heard[node] = (steady_seconds(), reaches_log)
+        self._last_heartbeats[node] = (steady_seconds(), reaches_log)
 
     def refresh(self, members: Mapping[str, Member]) -> bool:
         """Recompute the active members and return whether they changed.
@@ -50,19 +52,19 @@
         reaches the log, all responsive members are active, since running work still needs
         an owner.
         """
-        horizon = steady_seconds() - self._silence
-        alive, able = [], []
+        oldest_allowed = steady_seconds() - self._silence_timeout_s
+        alive, with_log = [], []
         for member in members.values():
-            heard, reaches_log = self._heard.get(member.name, (0.0, False))
+            last_heartbeat_at, reaches_log = self._last_heartbeats.get(member.name, (0.0, False))
             if member.name == self._name:
-                heard, reaches_log = horizon + 1, self._reaches_log()
-            if member.state == MemberState.LIVE and heard > horizon:
+                last_heartbeat_at, reaches_log = oldest_allowed + 1, self._reaches_log()
+            if member.state == MemberState.LIVE and last_heartbeat_at > oldest_allowed:
                 alive.append(member.name)
                 if reaches_log:
-                    able.append(member.name)
-        before, self._active = self._active, tuple(able or alive)
-        return self._active != before
+                    with_log.append(member.name)
+        previous, self._active = self._active, tuple(with_log or alive)
+        return self._active != previous
 
-    def is_own(self, thing: str) -> bool:
+    def owns(self, key: str) -> bool:
         """Return whether this node owns a key."""
-        return ownership.find_owner(thing, self._active) == self._name
+        return ownership.find_owner(key, self._active) == self._name
--- a/src/snowdock/node/in_flight.py
+++ b/src/snowdock/node/in_flight.py
@@ -4,10 +4,10 @@
 import threading
 from collections.abc import Iterator
 
-__all__ = ["InFlight"]
+__all__ = ["InFlightCounter"]
 
 
-class InFlight:
+class InFlightCounter:
     """A thread-safe counter.
 
     Without the lock, a lost update could let a planned stop cut off a request.
@@ -23,7 +23,7 @@
         return self._count
 
     @contextlib.contextmanager
-    def one_more(self) -> Iterator[None]:
+    def track(self) -> Iterator[None]:
         """Count one request while the block runs."""
         with self._lock:
             self._count += 1
--- a/src/snowdock/node/messages.py
+++ b/src/snowdock/node/messages.py
@@ -8,31 +8,31 @@
 from ..decisions.shares import MinionView
 from ..effects import BatchApplied
 from ..platform.logs import RawEntry
-from ..platform.workers import SyncAnswer
+from ..platform.worker_client import SyncReport
 from ..records import Record
 from ..state import State
 
 __all__ = [
-    "Acquire",
+    "AcquireSlot",
     "AssignmentChanged",
-    "BatchSeen",
+    "BatchReadBack",
     "EntriesRead",
-    "Granted",
-    "LentByPeer",
+    "HeartbeatReceived",
     "LogConfirmed",
     "LogFailed",
     "MinionsChanged",
-    "PeerHeard",
-    "PeerIdle",
+    "PeerSlotsReported",
     "Propose",
-    "Refused",
-    "Released",
+    "Query",
+    "SlotAtPeer",
+    "SlotGranted",
+    "SlotRefused",
+    "SlotReleased",
     "StateLoaded",
     "SyncAnswered",
     "SyncFailed",
     "Tick",
-    "View",
-    "WorkerPoked",
+    "WorkerSyncRequested",
 ]
 
 
@@ -53,14 +53,14 @@
     """
 
     records: tuple[Record, ...]
-    reply: Callable[[object], None] | None = None
+    on_verdicts: Callable[[object], None] | None = None
 
 
 @_message
-class BatchSeen:
+class BatchReadBack:
     """A batch of this node was read back from the log and applied."""
 
-    judged: BatchApplied
+    applied: BatchApplied
 
 
 @_message
@@ -73,14 +73,14 @@
 
     entries: tuple[RawEntry, ...]
     end: int
-    asked_at: float
+    read_started_at: float
 
 
 @_message
 class LogConfirmed:
     """A read of the log that started at ``read_started_at`` was applied."""
 
-    asked_at: float
+    read_started_at: float
 
 
 @_message
@@ -94,18 +94,18 @@
 class LogFailed:
     """A read of the log failed."""
 
-    problem: str
+    reason: str
 
 
 @_message
-class View:
+class Query:
     """Call a function with the receiving actor's state, and return its result."""
 
     function: Callable[..., object]
 
 
 @_message
-class PeerHeard:
+class HeartbeatReceived:
     """A peer's heartbeat arrived."""
 
     node: str
@@ -117,7 +117,7 @@
 
 
 @_message
-class PeerIdle:
+class PeerSlotsReported:
     """A peer's heartbeat reported its idle slots by minion group."""
 
     node: str
@@ -132,7 +132,7 @@
 
 
 @_message
-class WorkerPoked:
+class WorkerSyncRequested:
     """A worker has attempts to start or stop."""
 
     worker: str
@@ -143,7 +143,7 @@
     """A worker replied to an order."""
 
     worker: str
-    answer: SyncAnswer
+    answer: SyncReport
 
 
 @_message
@@ -151,7 +151,7 @@
     """A call to a worker failed."""
 
     worker: str
-    problem: str
+    reason: str
 
 
 @_message
@@ -159,11 +159,11 @@
     """All minions, and whether this node may take slots."""
 
     minions: tuple[MinionView, ...]
-    may_take: bool
+    may_take_slots: bool
 
 
 @_message
-class Acquire:
+class AcquireSlot:
     """A request for a slot on a minion of a group.
 
     The future is set to `SlotGranted`, `SlotAtPeer` or `SlotRefused`. ``deadline`` is in seconds
@@ -182,7 +182,7 @@
 
 
 @_message
-class Granted:
+class SlotGranted:
     """A slot is reserved for the requester until it sends `SlotReleased`."""
 
     minion: str
@@ -190,14 +190,14 @@
 
 
 @_message
-class LentByPeer:
+class SlotAtPeer:
     """No slot is idle here, but the named peer has one."""
 
     node: str
 
 
 @_message
-class Refused:
+class SlotRefused:
     """No slot is available; retry after ``retry_after_seconds``."""
 
     reason: str
@@ -205,7 +205,7 @@
 
 
 @_message
-class Released:
+class SlotReleased:
     """A slot becomes idle after ``hold_s`` seconds.
 
     The hold covers a request that may still be running at the minion. ``failed`` counts against
@@ -214,5 +214,5 @@
 
     minion: str
     failed: bool
-    seconds: float
-    hold_seconds: float = 0.0
+    duration_s: float
+    hold_s: float = 0.0
--- a/src/snowdock/node/peer_links.py
+++ b/src/snowdock/node/peer_links.py
@@ -5,15 +5,15 @@
 
 import zmq
 
-__all__ = ["BeatPlan", "PeerLinks"]
+__all__ = ["HeartbeatPlan", "PeerLinks"]
 
-_UNCONFIRMED_SECONDS = 2.0
+_CONFIRMATION_TIMEOUT_SECONDS = 2.0
 """Age of the last confirmed heartbeat after which a connection is replaced: it may be dead
 without a reset. At least three infrequent heartbeats fall into this time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BeatPlan:
+class HeartbeatPlan:
     """How often each peer is sent a heartbeat.
 
     Attributes
@@ -25,8 +25,8 @@
         Returns the names of the peers that are sent a heartbeat at each tick.
     """
 
-    seldom: int = 1
-    frequent: Callable[[], Collection[str]] = tuple
+    rare_interval: int = 1
+    frequent_peers: Callable[[], Collection[str]] = tuple
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -47,7 +47,7 @@
     socket: zmq.Socket
     confirmed_at: float
     is_new: bool = True
-    heard_at: float | None = None
+    last_heartbeat_at: float | None = None
 
 
 class PeerLinks:
@@ -64,13 +64,13 @@
     """
 
     def __init__(
-        self, make_socket: Callable[[], zmq.Socket], poller: zmq.Poller, plan: BeatPlan
+        self, make_socket: Callable[[], zmq.Socket], poller: zmq.Poller, plan: HeartbeatPlan
     ) -> None:
         self._make_socket = make_socket
         self._poller = poller
         self._plan = plan
         self._links: dict[str, _Link] = {}
-        self._turn = 0
+        self._tick_count = 0
 
     def __contains__(self, node: str) -> bool:
         return node in self._links
@@ -84,7 +84,7 @@
         if node not in self._links:
             self._links[node] = _Link(address, self._open(address), now)
 
-    def keep_only(self, addresses: dict[str, str], now: float) -> None:
+    def set_addresses(self, addresses: dict[str, str], now: float) -> None:
         """Connect to the given peers and close the connections to all others."""
         for node, link in list(self._links.items()):
             if addresses.get(node) != link.address:
@@ -92,7 +92,7 @@
         for node, address in addresses.items():
             self.connect(node, address, now)
 
-    def hear(self, node: str, heard_s: float | None, now: float) -> None:
+    def record_heartbeat(self, node: str, last_received_s: float | None, now: float) -> None:
         """Record a heartbeat of a peer.
 
         Parameters
@@ -107,23 +107,23 @@
         link = self._links.get(node)
         if link is None:
             return
-        link.heard_at = now
-        if heard_s is not None:
-            link.confirmed_at = max(link.confirmed_at, now - heard_s)
+        link.last_heartbeat_at = now
+        if last_received_s is not None:
+            link.confirmed_at = max(link.confirmed_at, now - last_received_s)
 
-    def renew_unconfirmed(self, now: float) -> list[str]:
+    def reconnect_unconfirmed(self, now: float) -> list[str]:
         """Replace connections without recent confirmation, and return the names of their peers."""
-        renewed = []
+        reconnected = []
         for node, link in self._links.items():
-            if now - link.confirmed_at > _UNCONFIRMED_SECONDS:
+            if now - link.confirmed_at > _CONFIRMATION_TIMEOUT_SECONDS:
                 self._close(link.socket)
                 link.socket = self._open(link.address)
                 link.confirmed_at = now
                 link.is_new = True
-                renewed.append(node)
-        return renewed
+                reconnected.append(node)
+        return reconnected
 
-    def due_beats(self, now: float) -> Iterator[tuple[zmq.Socket, bool, float | None]]:
+    def due_heartbeats(self, now: float) -> Iterator[tuple[zmq.Socket, bool, float | None]]:
         """Start the next tick and yield the connections on which a heartbeat is due.
 
         Yields
@@ -132,19 +132,19 @@
             The socket, whether the peer is sent a heartbeat at each tick, and the seconds since
             the last heartbeat of the peer arrived, or None if there was none.
         """
-        self._turn += 1
-        frequent = self._plan.frequent()
+        self._tick_count += 1
+        frequent_peers = self._plan.frequent_peers()
         for number, (node, link) in enumerate(self._links.items()):
-            is_frequent = node in frequent
+            is_frequent = node in frequent_peers
             # Infrequent heartbeats are spread over the ticks.
-            is_turn = (self._turn + number) % self._plan.seldom == 0
-            if is_frequent or is_turn or link.is_new:
+            is_scheduled = (self._tick_count + number) % self._plan.rare_interval == 0
+            if is_frequent or is_scheduled or link.is_new:
                 link.is_new = False
-                yield link.socket, is_frequent, self._heard_s(link, now)
+                yield link.socket, is_frequent, self._heartbeat_age_s(link, now)
 
     @staticmethod
-    def _heard_s(link: _Link, now: float) -> float | None:
-        return None if link.heard_at is None else now - link.heard_at
+    def _heartbeat_age_s(link: _Link, now: float) -> float | None:
+        return None if link.last_heartbeat_at is None else now - link.last_heartbeat_at
 
     def _open(self, address: str) -> zmq.Socket:
         socket = self._make_socket()
--- a/src/snowdock/node/peer_messages.py
+++ b/src/snowdock/node/peer_messages.py
@@ -7,16 +7,16 @@
 
 __all__ = [
     "NODE_MESSAGES",
-    "AnswerGiven",
-    "AnswerWanted",
-    "CallAnswered",
-    "CallForwarded",
     "CallOutcome",
     "CallRequest",
+    "ForwardedCallRequest",
+    "ForwardedCallResponse",
     "Heartbeat",
+    "KeptAnswerRequest",
+    "KeptAnswerResponse",
     "PeerMessage",
-    "StateGiven",
-    "StateWanted",
+    "StateRequest",
+    "StateResponse",
     "decode_peer_message",
     "encode_peer_message",
 ]
@@ -74,41 +74,41 @@
     idle_slots: dict[str, int]
 
 
-class StateWanted(_PeerMessage, tag="s"):
+class StateRequest(_PeerMessage, tag="s"):
     """A request of a starting node for the state."""
 
     number: int
 
 
-class StateGiven(_PeerMessage, tag="S"):
+class StateResponse(_PeerMessage, tag="S"):
     """The encoded state."""
 
     number: int
     data: bytes
 
 
-class CallForwarded(_PeerMessage, tag="c"):
+class ForwardedCallRequest(_PeerMessage, tag="c"):
     """A caller's request that is forwarded because the sender has no idle slot."""
 
     number: int
     request: CallRequest
 
 
-class CallAnswered(_PeerMessage, tag="C"):
+class ForwardedCallResponse(_PeerMessage, tag="C"):
     """The outcome of a forwarded request."""
 
     number: int
     outcome: CallOutcome
 
 
-class AnswerWanted(_PeerMessage, tag="a"):
+class KeptAnswerRequest(_PeerMessage, tag="a"):
     """A request for the cached outcome of a not-repeatable request that the receiver ran."""
 
     number: int
     request_id: str
 
 
-class AnswerGiven(_PeerMessage, tag="A"):
+class KeptAnswerResponse(_PeerMessage, tag="A"):
     """The cached outcome, or None if it is no longer cached."""
 
     number: int
@@ -116,7 +116,13 @@
 
 
 PeerMessage = (
-    Heartbeat | StateWanted | StateGiven | CallForwarded | CallAnswered | AnswerWanted | AnswerGiven
+    Heartbeat
+    | StateRequest
+    | StateResponse
+    | ForwardedCallRequest
+    | ForwardedCallResponse
+    | KeptAnswerRequest
+    | KeptAnswerResponse
 )
 
 _encoder = msgspec.msgpack.Encoder()
@@ -146,6 +152,6 @@
     encode=encode_peer_message,
     decode=decode_peer_message,
     heartbeat=Heartbeat,
-    questions=(StateWanted, CallForwarded, AnswerWanted),
-    answers=(StateGiven, CallAnswered, AnswerGiven),
+    requests=(StateRequest, ForwardedCallRequest, KeptAnswerRequest),
+    responses=(StateResponse, ForwardedCallResponse, KeptAnswerResponse),
 )
