--- a/src/snowdock/node/state_actor.py
+++ b/src/snowdock/node/state_actor.py
@@ -404,7 +404,7 @@
 
         def reply(result: object) -> None:
             verdict = result[0] if isinstance(result, tuple) else None
-            ref.tell(Query(lambda parts: parts.scheduler.judged(parts.state, record, verdict)))
+            ref.tell(Query(lambda parts: parts.scheduler.handle_verdict(parts.state, record, verdict)))
 
         self._context.writer.tell(Propose((record,), reply))
 
