--- a/src/snowdock/node/api.py
+++ b/src/snowdock/node/api.py
@@ -202,11 +202,11 @@
         return self._context.state.ask(Query(function), timeout=_STATE_TIMEOUT_SECONDS)
 
     def _health(self, request: HttpRequest) -> HttpResponse:
-        self._query_state(lambda parts: None)
+        self._query_state(lambda view: None)
         return json_response({"healthy": True})
 
     def _ready(self, request: HttpRequest) -> HttpResponse:
-        ready = self._query_state(lambda parts: parts.ready) and not self._draining
+        ready = self._query_state(lambda view: view.ready) and not self._draining
         return json_response({"ready": ready}, 200 if ready else 503)
 
     def _render_metrics(self, request: HttpRequest) -> HttpResponse:
@@ -215,7 +215,7 @@
 
     def _version(self, request: HttpRequest) -> HttpResponse:
         node = self._context.settings.node.name
-        return json_response(self._query_state(lambda parts: reports.version_report(parts, node)))
+        return json_response(self._query_state(lambda view: reports.version_report(view, node)))
 
     def _status(self, request: HttpRequest) -> HttpResponse:
         return json_response(self._query_state(reports.cluster_status))
@@ -236,9 +236,9 @@
         return json_response(self._query_state(reports.work_reports))
 
     def _work(self, request: HttpRequest, number: str) -> HttpResponse:
-        def show(parts) -> reports.WorkReport | None:
-            work = parts.state.works.get(int(number))
-            return None if work is None else reports.work_report(parts, work, True)
+        def show(view) -> reports.WorkReport | None:
+            work = view.state.works.get(int(number))
+            return None if work is None else reports.work_report(view, work, True)
 
         self._wait_for_offset(submission_offset(int(number)))
         report = self._query_state(show)
@@ -334,16 +334,16 @@
             If the work could never be placed.
         """
 
-        def check(parts) -> str:
-            team = parts.state.configuration.declarations.teams.get(spec.team)
+        def check(view) -> str:
+            team = view.state.configuration.declarations.teams.get(spec.team)
             if team is None:
                 return f"unknown team {spec.team}"
             if not team.quota.holds(spec.size):
                 return f"one task is larger than the quota of team {spec.team}"
-            index = parts.scheduler.index
+            index = view.scheduler.index
             if len(index) and fits_nowhere(index, spec.size):
                 return "no worker could ever hold one task"
-            admitted = parts.policies.call(spec.kind, "admit", describe_work(spec, 0))
+            admitted = view.policies.call(spec.kind, "admit", describe_work(spec, 0))
             return "" if admitted is True else f"the policy does not admit it: {admitted}"
 
         problem = self._query_state(check)
--- a/src/snowdock/node/daemon.py
+++ b/src/snowdock/node/daemon.py
@@ -98,20 +98,22 @@
         )
         self._requests.set_peers(self._peers)
         self._context.on_members_changed = self._update_peers
-        parts = self._context
-        parts.writer = LogWriter.start(
+        context = self._context
+        context.writer = LogWriter.start(
             log,
             node.name,
-            parts.incarnation,
+            context.incarnation,
             timing.append_interval_ms / 1000,
-            lambda: parts.applied_offset,
+            lambda: context.applied_offset,
             self._record_append_result,
         )
-        parts.router = Router.start(parts)
-        parts.driver = WorkerDriver.start(parts, workers)
-        parts.state = StateActor.start(parts, metrics)
-        parts.watcher = VmWatcher.start(parts, VmListClient(client, settings.platform.vms), workers)
-        parts.reader = LogReader.start(log, timing.poll_ms / 1000, parts.state)
+        context.router = Router.start(context)
+        context.driver = WorkerDriver.start(context, workers)
+        context.state = StateActor.start(context, metrics)
+        context.watcher = VmWatcher.start(
+            context, VmListClient(client, settings.platform.vms), workers
+        )
+        context.reader = LogReader.start(log, timing.poll_ms / 1000, context.state)
 
     def run(self) -> int:
         """Run the node until it is stopped, and return the exit status."""
@@ -163,16 +165,16 @@
         )
 
     def _build_heartbeat(self, _due_s: float, _last_received_s: float | None) -> Heartbeat:
-        parts = self._context
-        digest_offset, digest = parts.latest_digest
+        context = self._context
+        digest_offset, digest = context.latest_digest
         return Heartbeat(
             self._settings.node.name,
-            parts.incarnation,
-            parts.applied_offset,
+            context.incarnation,
+            context.applied_offset,
             digest_offset,
             digest,
-            parts.reaches_log,
-            parts.idle_slots,
+            context.reaches_log,
+            context.idle_slots,
         )
 
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -190,7 +192,7 @@
 
     def _answer_peer(self, request):
         if isinstance(request, StateRequest):
-            data = self._context.state.ask(Query(lambda parts: encode_state(parts.state)))
+            data = self._context.state.ask(Query(lambda view: encode_state(view.state)))
             return StateResponse(request.number, data)
         return self._requests.answer_peer(request)
 
--- a/src/snowdock/node/messages.py
+++ b/src/snowdock/node/messages.py
@@ -175,10 +175,10 @@
     priority: int
     deadline: float
     excluded: frozenset[str]
-    may_lend: bool
+    may_forward: bool
     may_wait: bool
-    slot: pykka.Future
-    wanted: str = ""
+    result: pykka.Future
+    session_minion: str = ""
 
 
 @_message
--- a/src/snowdock/node/reports.py
+++ b/src/snowdock/node/reports.py
@@ -26,7 +26,7 @@
 ]
 
 
-def version_report(parts: StateView, node: str) -> VersionReport:
+def version_report(view: StateView, node: str) -> VersionReport:
     """Report the configuration version in force.
 
     Raises
@@ -34,17 +34,17 @@
     Starting
         If the node has not caught up with the log yet.
     """
-    _require_serving(parts)
-    current = parts.state.configuration
-    return VersionReport(current.version, current.author, node, parts.state.offset, parts.log_end)
+    _require_serving(view)
+    current = view.state.configuration
+    return VersionReport(current.version, current.author, node, view.state.offset, view.log_end)
 
 
-def _require_serving(parts: StateView) -> None:
-    if not parts.serving:
+def _require_serving(view: StateView) -> None:
+    if not view.serving:
         raise Starting("the node is still reading the log; nothing was run")
 
 
-def configuration(parts: StateView) -> Declarations:
+def configuration(view: StateView) -> Declarations:
     """Return the declarations in force.
 
     Raises
@@ -52,11 +52,11 @@
     Starting
         If the node has not caught up with the log yet.
     """
-    _require_serving(parts)
-    return parts.state.configuration.declarations
+    _require_serving(view)
+    return view.state.configuration.declarations
 
 
-def node_reports(parts: StateView) -> list[NodeReport]:
+def node_reports(view: StateView) -> list[NodeReport]:
     """Report all members."""
     return [
         NodeReport(
@@ -64,14 +64,14 @@
             member.state.value,
             member.hall,
             member.api_address,
-            member.name in parts.active,
+            member.name in view.active,
             member.read_offset,
         )
-        for member in parts.state.members.values()
+        for member in view.state.members.values()
     ]
 
 
-def worker_reports(parts: StateView) -> list[WorkerReport]:
+def worker_reports(view: StateView) -> list[WorkerReport]:
     """Report all workers."""
     return [
         WorkerReport(
@@ -84,15 +84,15 @@
             len(worker.attempts),
             worker.failure_streak,
         )
-        for worker in parts.state.workers.values()
+        for worker in view.state.workers.values()
     ]
 
 
-def minion_reports(parts: StateView) -> list[MinionReport]:
+def minion_reports(view: StateView) -> list[MinionReport]:
     """Report all minions."""
     return [
         MinionReport(minion.name, minion.group, minion.state.value, minion.hall, minion.shares)
-        for minion in parts.state.minions.values()
+        for minion in view.state.minions.values()
     ]
 
 
@@ -104,7 +104,7 @@
     return "cancelled" if work.cancelled else "failed"
 
 
-def work_report(parts: StateView, work: Work, with_tasks: bool) -> WorkReport:
+def work_report(view: StateView, work: Work, with_tasks: bool) -> WorkReport:
     """Report one work."""
     tasks = [
         TaskReport(number, task.state.value, task.attempt, task.worker, task.failures)
@@ -120,19 +120,19 @@
         work.submitted_ms,
         work.started_ms,
         work.finished_ms,
-        parts.scheduler.reasons.get(work.number, ""),
+        view.scheduler.reasons.get(work.number, ""),
         tasks if with_tasks else [],
     )
 
 
-def work_reports(parts: StateView) -> list[WorkReport]:
+def work_reports(view: StateView) -> list[WorkReport]:
     """Report all works without their tasks, the newest last."""
-    return [work_report(parts, work, False) for work in parts.state.works.values()]
+    return [work_report(view, work, False) for work in view.state.works.values()]
 
 
-def cluster_status(parts: StateView) -> ClusterStatus:
+def cluster_status(view: StateView) -> ClusterStatus:
     """Summarize the cluster."""
-    state = parts.state
+    state = view.state
     live = [w for w in state.workers.values() if w.state == VmState.LIVE]
     total = sum(worker.capacity.cpu for worker in live)
     used = sum(worker.used.cpu for worker in live)
--- a/src/snowdock/node/requests.py
+++ b/src/snowdock/node/requests.py
@@ -196,7 +196,7 @@
 
     def _find_endpoint(self, request: CallRequest) -> Endpoint:
         found = self._context.state.ask(
-            Query(lambda parts: configuration(parts).endpoints.get(request.endpoint))
+            Query(lambda view: configuration(view).endpoints.get(request.endpoint))
         )
         if found is None:
             raise NotFound(f"no endpoint {request.endpoint}; nothing was run")
@@ -211,7 +211,7 @@
         if request_time_ms(request.request_id) is None:
             raise InvalidInput("the id of a not-repeatable request must be a version 7 UUID")
         found = self._context.state.ask(
-            Query(lambda parts: parts.state.requests.get(request.request_id))
+            Query(lambda view: view.state.requests.get(request.request_id))
         )
         return None if found is None else self._build_known_outcome(request, found)
 
@@ -316,10 +316,10 @@
                 priority=request.priority,
                 deadline=call.deadline,
                 excluded=frozenset(call.failed_minions),
-                may_lend=call.may_forward and not call.is_intent_recorded,
+                may_forward=call.may_forward and not call.is_intent_recorded,
                 may_wait=call.may_forward or call.attempts > 0,
-                slot=future,
-                wanted=request.session,
+                result=future,
+                session_minion=request.session,
             )
         )
         # The router replies by the deadline; the margin covers scheduling delays.
@@ -355,7 +355,7 @@
 
     def _try_minion(self, call: _CallState, slot: SlotGranted) -> CallOutcome | None:
         request = call.request
-        started = steady_seconds()
+        started_at = steady_seconds()
         exchange = ForwardResult(ForwardOutcome.NOT_RUN, reason="not sent")
         try:
             if not request.repeatable and not call.is_intent_recorded:
@@ -366,11 +366,11 @@
         finally:
             # If the request may still be running at the minion, its slot stays occupied for the
             # maximum duration of a request, since closing the connection does not stop it.
-            seconds = steady_seconds() - started
+            duration_s = steady_seconds() - started_at
             failed = call.attempts > 0 and exchange.outcome != ForwardOutcome.RAN
             is_unknown = exchange.outcome == ForwardOutcome.UNKNOWN
-            hold = call.endpoint.deadline_ms / 1000 if is_unknown else 0.0
-            self._context.router.tell(SlotReleased(slot.minion, failed, seconds, hold))
+            hold_s = call.endpoint.deadline_ms / 1000 if is_unknown else 0.0
+            self._context.router.tell(SlotReleased(slot.minion, failed, duration_s, hold_s))
         return self._evaluate_exchange(call, slot, exchange)
 
     def _send(self, call: _CallState, slot: SlotGranted) -> ForwardResult:
--- a/src/snowdock/node/router.py
+++ b/src/snowdock/node/router.py
@@ -125,26 +125,26 @@
             return
         reason = self._find_refusal_reason(message)
         if reason:
-            message.slot.set(SlotRefused(reason, self._retry_after(group)))
+            message.result.set(SlotRefused(reason, self._retry_after(group)))
             return
-        peer = self._reserve_peer_slot(group) if message.may_lend else None
+        peer = self._reserve_peer_slot(group) if message.may_forward else None
         if peer is not None:
-            message.slot.set(SlotAtPeer(peer))
+            message.result.set(SlotAtPeer(peer))
             return
         queue = self._waiting.setdefault(group, [])
         if not message.may_wait or len(queue) >= message.queue_limit:
-            message.slot.set(SlotRefused("no slot is free", self._retry_after(group)))
+            message.result.set(SlotRefused("no slot is free", self._retry_after(group)))
             return
         if steady_seconds() + self._estimate_completion_s(message) > message.deadline:
             # The wait would exceed the deadline, so the caller can try elsewhere at once.
-            message.slot.set(SlotRefused("the queue is too long", self._retry_after(group)))
+            message.result.set(SlotRefused("the queue is too long", self._retry_after(group)))
             return
         heapq.heappush(queue, (-message.priority, next(self._sequence), message))
 
     def _find_refusal_reason(self, message: AcquireSlot) -> str:
         """Return why waiting for a slot is useless, or an empty string."""
-        if message.wanted:
-            session_slots = self._slots.get(message.wanted)
+        if message.session_minion:
+            session_slots = self._slots.get(message.session_minion)
             if session_slots is None or not session_slots.view.is_live:
                 return "the session's minion is gone"
         usable = [s.view.name for s in self._by_group.get(message.group, ()) if s.usable]
@@ -159,13 +159,13 @@
             for slots in self._by_group.get(message.group, ())
             if slots.idle > 0 and slots.view.name not in message.excluded
         )
-        found = choose_minion(candidates, self._hall, message.wanted, now)
+        found = choose_minion(candidates, self._hall, message.session_minion, now)
         if found is None:
             return False
         slots = self._slots[found.name]
         slots.in_use += 1
         slots.health.is_probing = slots.health.failures > 0
-        message.slot.set(SlotGranted(found.name, found.address))
+        message.result.set(SlotGranted(found.name, found.address))
         return True
 
     def _forward_waiting(self, idle_slots: dict[str, int]) -> None:
@@ -174,13 +174,13 @@
             queue = self._waiting.get(group, [])
             for entry in sorted(queue, key=lambda waiting: waiting[:2]):
                 message = entry[2]
-                if not message.may_lend:
+                if not message.may_forward:
                     continue
                 node = self._reserve_peer_slot(group)
                 if node is None:
                     break
                 queue.remove(entry)
-                message.slot.set(SlotAtPeer(node))
+                message.result.set(SlotAtPeer(node))
             heapq.heapify(queue)
 
     def _reserve_peer_slot(self, group: str) -> str | None:
@@ -240,7 +240,7 @@
             if message.deadline <= now + self._average_duration_s * _MIN_REMAINING_DURATIONS:
                 # A request that would exceed its deadline must not occupy a slot.
                 heapq.heappop(queue)
-                message.slot.set(SlotRefused("too little time is left", self._retry_after(group)))
+                message.result.set(SlotRefused("too little time is left", self._retry_after(group)))
             elif self._grant(message):
                 heapq.heappop(queue)
             else:
--- a/src/snowdock/node/state_actor.py
+++ b/src/snowdock/node/state_actor.py
@@ -345,9 +345,9 @@
 
     def _refresh_minions(self) -> None:
         member = self._state.members.get(self._name)
-        may_take = self._is_member and member is not None and member.state == MemberState.LIVE
+        may_take_slots = self._is_member and member is not None and member.state == MemberState.LIVE
         views = view_minions(self._state, self._name, int(time.time() * 1000))
-        self._context.router.tell(MinionsChanged(views, may_take))
+        self._context.router.tell(MinionsChanged(views, may_take_slots))
 
     def _request_sync(self, worker: str) -> None:
         self._context.driver.tell(WorkerSyncRequested(worker))
@@ -404,7 +404,7 @@
 
         def reply(result: object) -> None:
             verdict = result[0] if isinstance(result, tuple) else None
-            ref.tell(Query(lambda parts: parts.scheduler.handle_verdict(parts.state, record, verdict)))
+            ref.tell(Query(lambda view: view.scheduler.handle_verdict(view.state, record, verdict)))
 
         self._context.writer.tell(Propose((record,), reply))
 
--- a/src/snowdock/node/traces.py
+++ b/src/snowdock/node/traces.py
@@ -53,7 +53,7 @@
     parent_span = parse_traceparent(parent)
     trace_id = parent_span.trace_id if parent_span else secrets.token_hex(16)
     current_span = Span(trace_id, secrets.token_hex(8), bool(parent_span and parent_span.sampled))
-    started = time.perf_counter()
+    started_at = time.perf_counter()
     try:
         yield current_span
     finally:
@@ -64,6 +64,6 @@
                 trace=current_span.trace_id,
                 span=current_span.span_id,
                 parent=parent_span.span_id,
-                seconds=time.perf_counter() - started,
+                seconds=time.perf_counter() - started_at,
                 **fields,
             )
--- a/src/snowdock/node/vm_watcher.py
+++ b/src/snowdock/node/vm_watcher.py
@@ -64,9 +64,7 @@
             raise TypeError(type(message).__name__)
         name = self._context.settings.node.name
         is_responsible = self._context.state.ask(
-            Query(
-                lambda parts: parts.ready and ownership.find_owner("vm-list", parts.active) == name
-            )
+            Query(lambda view: view.ready and ownership.find_owner("vm-list", view.active) == name)
         )
         if not is_responsible:
             return
@@ -85,11 +83,11 @@
 
     def _compare(self, vms: dict[str, Vm]) -> None:
         records = self._context.state.ask(
-            Query(lambda parts: self._find_differences(parts.state, vms))
+            Query(lambda view: self._find_differences(view.state, vms))
         )
-        seen = [vm for vm in records if isinstance(vm, Vm)]
+        unrecorded_workers = [vm for vm in records if isinstance(vm, Vm)]
         records = [record for record in records if not isinstance(record, Vm)]
-        for vm in seen:
+        for vm in unrecorded_workers:
             record = self._query_worker(vm)
             if record is not None:
                 records.append(record)
--- a/src/snowdock/node/worker_driver.py
+++ b/src/snowdock/node/worker_driver.py
@@ -134,7 +134,7 @@
         due = [name for name, d in self._workers.items() if d.due_at <= now and not d.is_calling]
         if not due:
             return
-        orders = self._context.state.ask(Query(lambda parts: self._build_orders(parts.state, due)))
+        orders = self._context.state.ask(Query(lambda view: self._build_orders(view.state, due)))
         for name, order in orders.items():
             worker = self._workers[name]
             if order is None:
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -42,9 +42,9 @@
             priority=priority,
             deadline=steady_seconds() + seconds,
             excluded=fields.get("excluded", frozenset()),
-            may_lend=False,
+            may_forward=False,
             may_wait=True,
-            slot=result,
+            result=result,
         )
         self.router.ask(request)
         return result
