--- a/src/snowdock/node/answer_cache.py
+++ b/src/snowdock/node/answer_cache.py
@@ -14,20 +14,20 @@
     """A thread-safe cache of outcomes, bounded in bytes; the oldest are evicted first."""
 
     def __init__(self) -> None:
-        self._answers: collections.OrderedDict[str, CallOutcome] = collections.OrderedDict()
+        self._outcomes: collections.OrderedDict[str, CallOutcome] = collections.OrderedDict()
         self._bytes = 0
         self._lock = threading.Lock()
 
     def store(self, request_id: str, outcome: CallOutcome) -> None:
         """Store the outcome of a request."""
         with self._lock:
-            self._answers[request_id] = outcome
+            self._outcomes[request_id] = outcome
             self._bytes += len(outcome.body)
-            while self._bytes > _MAX_CACHED_BYTES and len(self._answers) > 1:
-                _, dropped = self._answers.popitem(last=False)
-                self._bytes -= len(dropped.body)
+            while self._bytes > _MAX_CACHED_BYTES and len(self._outcomes) > 1:
+                _, evicted = self._outcomes.popitem(last=False)
+                self._bytes -= len(evicted.body)
 
     def find(self, request_id: str) -> CallOutcome | None:
         """Return the outcome of a request, or None if it is not cached."""
         with self._lock:
-            return self._answers.get(request_id)
+            return self._outcomes.get(request_id)
--- a/src/snowdock/node/log_actors.py
+++ b/src/snowdock/node/log_actors.py
@@ -80,7 +80,7 @@
         self._in_flight: Batch | None = None
         self._awaiting_verdicts: dict[int, list[Propose]] = {}
         self._next_append_at = 0.0
-        self._timer_set = False
+        self._is_timer_set = False
         self._failing = False
 
     def on_receive(self, message: object) -> None:
@@ -90,7 +90,7 @@
         elif isinstance(message, BatchReadBack):
             self._handle_applied_batch(message)
         elif isinstance(message, Tick):
-            self._timer_set = False
+            self._is_timer_set = False
             self._append()
         self._set_timer()
 
@@ -121,9 +121,9 @@
         self._queued_records += len(proposal.records)
 
     def _set_timer(self) -> None:
-        if self._timer_set or not (self._queue or self._in_flight):
+        if self._is_timer_set or not (self._queue or self._in_flight):
             return
-        self._timer_set = True
+        self._is_timer_set = True
         delay = self._next_append_at - steady_seconds()
         if delay <= 0:
             self.actor_ref.tell(Tick())
--- a/src/snowdock/node/scheduler.py
+++ b/src/snowdock/node/scheduler.py
@@ -122,7 +122,7 @@
 
         Returns
         -------
-        Pass
+        PassResult
             Records to propose; the caller passes the verdict of each placement to
             `handle_verdict`.
         """
--- a/src/snowdock/node/state_actor.py
+++ b/src/snowdock/node/state_actor.py
@@ -385,10 +385,10 @@
         if now >= self._next_rerank:
             self._scheduler.rerank(self._state)
             self._next_rerank = now + _RERANK_INTERVAL_SECONDS
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         result = self._scheduler.run(self._state)
         if result.placements:
-            seconds = (time.perf_counter() - started) / len(result.placements)
+            seconds = (time.perf_counter() - started_at) / len(result.placements)
             self._metrics.observe("decision_seconds", "Time of one placement decision.", seconds)
         if result.stops:
             self._metrics.count(
@@ -438,8 +438,8 @@
             for start in range(0, len(data), _MAX_SNAPSHOT_PART_BYTES)
         ]
         log_event("snapshot_written", offset=self._state.offset, bytes=len(data))
-        for index, piece in enumerate(chunks):
-            self._propose(SnapshotPart(self._state.offset, index, len(chunks), piece))
+        for index, chunk in enumerate(chunks):
+            self._propose(SnapshotPart(self._state.offset, index, len(chunks), chunk))
 
     # -- peers -----------------------------------------------------------------------------
 
@@ -453,8 +453,8 @@
         member = self._state.members.get(message.node)
         if member is not None and member.incarnation == message.incarnation:
             self._active_nodes.record_heartbeat(message.node, message.reaches_log)
-        own = self._digests.get(message.digest_offset)
-        if own is not None and own != message.digest and not self._diverged:
+        own_digest = self._digests.get(message.digest_offset)
+        if own_digest is not None and own_digest != message.digest and not self._diverged:
             self._diverged = True
             log_error("state_diverged", "digests differ", offset=message.digest_offset)
             self._metrics.set("diverged", "1 where a peer's state differs.", 1)
--- a/src/snowdock/node/worker_driver.py
+++ b/src/snowdock/node/worker_driver.py
@@ -79,7 +79,7 @@
         super().__init__()
         self._context = context
         self._client = client
-        self._interval = context.settings.timing.sync_interval_ms / 1000
+        self._interval_s = context.settings.timing.sync_interval_ms / 1000
         self._workers: dict[str, _DrivenWorker] = {}
         self._last_message_at = steady_seconds()
         self._paused_at: float | None = None
@@ -138,7 +138,7 @@
         for name, order in orders.items():
             worker = self._workers[name]
             if order is None:
-                worker.due_at = now + self._interval
+                worker.due_at = now + self._interval_s
                 continue
             worker.is_calling = True
             worker.has_active_order = bool(
@@ -160,10 +160,10 @@
             return
         self._report_result(SyncAnswered(name, answer), _CallFinished(name, answer.attempts))
 
-    def _report_result(self, result: object, done: _CallFinished) -> None:
+    def _report_result(self, result: object, call_finished: _CallFinished) -> None:
         try:
             self._context.state.tell(result)
-            self.actor_ref.tell(done)
+            self.actor_ref.tell(call_finished)
         except pykka.ActorDeadError:
             return
 
@@ -183,5 +183,5 @@
     def _sync_interval_s(self, worker: _DrivenWorker) -> float:
         """Return the seconds until the next call, which are fewer while attempts are running."""
         if not worker.has_active_order and not worker.reports:
-            return self._interval
-        return min(self._interval, self._context.settings.timing.watch_interval_ms / 1000)
+            return self._interval_s
+        return min(self._interval_s, self._context.settings.timing.watch_interval_ms / 1000)
