--- a/src/snowdock/node/api.py
+++ b/src/snowdock/node/api.py
@@ -51,14 +51,14 @@
 _CATCH_UP_TIMEOUT_SECONDS = 2.0
 _CATCH_UP_POLL_SECONDS = 0.01
 _MAX_CATCH_UP_ENTRIES = 10_000
-"""Numbers further ahead than this are not a lag but a mistake."""
+"""A submission further ahead than this is treated as unknown instead of waited for."""
 
 _UNAUTHENTICATED_PATHS = ("/healthz", "/readyz", "/metrics")
 _OPERATOR_PATHS = ("/v1/configuration", "/v1/drain")
 
 
 class ConfigurationChange(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a configuration change: files by name, made from version ``base``."""
+    """The body of a configuration change: files by name, based on version ``base``."""
 
     base: int
     files: dict[str, str]
@@ -66,31 +66,31 @@
 
 
 class SubmittedWork(msgspec.Struct):
-    """One piece of accepted work."""
+    """The number and name of an accepted work."""
 
     work: int
     name: str
 
 
 class ChangeResult(msgspec.Struct):
-    """The version that a change made."""
+    """The configuration version that a change created; 0 for a dry run."""
 
     version: int
 
 
 class Api:
-    """The WSGI application.
+    """The WSGI application of a node's HTTP API.
 
     Parameters
     ----------
-    parts
-        The node.
+    context
+        The node's settings and actors.
     requests
-        Carries out callers' requests.
+        The handler of callers' requests.
     metrics
         The node's metrics.
-    tokens
-        Who may call what.
+    token_store
+        The bearer tokens that authorize requests.
     """
 
     def __init__(
@@ -127,17 +127,17 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are being handled."""
+        """The number of requests being handled."""
         return self._in_flight.count
 
     def drain(self) -> None:
-        """Take no new work and say so to the balancer."""
+        """Reject new work and report the node as not ready to the load balancer."""
         self._draining = True
 
     # -- WSGI ------------------------------------------------------------------------------
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one WSGI request."""
         with self._in_flight.track():
             answer = self._respond(environ)
         headers = {
@@ -172,7 +172,7 @@
         }
         if environ.get("CONTENT_TYPE"):
             headers["content-type"] = environ["CONTENT_TYPE"]
-        # WSGI hands paths over as Latin-1; what is not UTF-8 stays as it is.
+        # WSGI decodes paths as Latin-1; bytes that are not valid UTF-8 are replaced.
         path = environ.get("PATH_INFO", "").encode("latin-1").decode("utf-8", "replace")
         return HttpRequest(
             environ["REQUEST_METHOD"], path, environ.get("QUERY_STRING", ""), headers, body
@@ -193,20 +193,20 @@
                 return handler(request, *match.groups())
             allowed.add(method)
         if allowed:
-            raise MethodNotAllowed(f"allowed here: {', '.join(sorted(allowed))}")
+            raise MethodNotAllowed(f"allowed methods: {', '.join(sorted(allowed))}")
         raise NotFound(f"no such path: {request.path[:100]}")
 
-    # -- reading ---------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------
 
     def _query_state(self, function: Callable) -> object:
         return self._context.state.ask(Query(function), timeout=_STATE_TIMEOUT_SECONDS)
 
     def _health(self, request: HttpRequest) -> HttpResponse:
-        self._query_state(lambda parts: None)
+        self._query_state(lambda view: None)
         return json_response({"healthy": True})
 
     def _ready(self, request: HttpRequest) -> HttpResponse:
-        ready = self._query_state(lambda parts: parts.ready) and not self._draining
+        ready = self._query_state(lambda view: view.ready) and not self._draining
         return json_response({"ready": ready}, 200 if ready else 503)
 
     def _render_metrics(self, request: HttpRequest) -> HttpResponse:
@@ -215,7 +215,7 @@
 
     def _version(self, request: HttpRequest) -> HttpResponse:
         node = self._context.settings.node.name
-        return json_response(self._query_state(lambda parts: reports.version_report(parts, node)))
+        return json_response(self._query_state(lambda view: reports.version_report(view, node)))
 
     def _status(self, request: HttpRequest) -> HttpResponse:
         return json_response(self._query_state(reports.cluster_status))
@@ -236,9 +236,9 @@
         return json_response(self._query_state(reports.work_reports))
 
     def _work(self, request: HttpRequest, number: str) -> HttpResponse:
-        def show(parts) -> reports.WorkReport | None:
-            work = parts.state.works.get(int(number))
-            return None if work is None else reports.work_report(parts, work, True)
+        def show(view) -> reports.WorkReport | None:
+            work = view.state.works.get(int(number))
+            return None if work is None else reports.work_report(view, work, True)
 
         self._wait_for_offset(submission_offset(int(number)))
         report = self._query_state(show)
@@ -247,9 +247,14 @@
         return json_response(report)
 
     def _wait_for_offset(self, offset: int) -> None:
-        """Wait until this node has read an offset that another one has told of.
+        """Wait until this node has applied a log offset.
 
-        Work accepted through one node would else be unknown at the next for a moment.
+        Without the wait, work just accepted by one node could be reported as unknown by another.
+
+        Raises
+        ------
+        Starting
+            If the node does not reach the offset in time.
         """
         deadline = steady_seconds() + _CATCH_UP_TIMEOUT_SECONDS
         while (
@@ -258,10 +263,10 @@
             <= self._context.applied_offset + _MAX_CATCH_UP_ENTRIES
         ):
             if steady_seconds() > deadline:
-                raise Starting("this node has not read that far yet")
+                raise Starting("this node has not yet read the log far enough")
             time.sleep(_CATCH_UP_POLL_SECONDS)
 
-    # -- changing --------------------------------------------------------------------------
+    # -- changes ---------------------------------------------------------------------------
 
     def _propose(self, *records: Record) -> tuple[Verdict, ...]:
         future = pykka.ThreadingFuture()
@@ -271,7 +276,7 @@
             result = future.get(timeout=seconds)
         except pykka.Timeout:
             raise VerdictUnknown(
-                "the record may be on the log; send it again with the same key to learn"
+                "the record may be on the log; retry with the same key to find out"
             ) from None
         if isinstance(result, SnowdockError):
             raise result
@@ -282,7 +287,7 @@
         try:
             change = msgspec.json.decode(request.body, type=ConfigurationChange)
         except msgspec.MsgspecError as error:
-            raise InvalidInput(f"the body does not fit: {error}") from error
+            raise InvalidInput(f"invalid configuration change: {error}") from error
         declarations = parse_declarations(change.files)
         PolicySet.check(declarations)
         if request.query_parameter("dry_run") == "true":
@@ -298,10 +303,10 @@
     def _submit(self, request: HttpRequest) -> HttpResponse:
         _require_content_type(request, _TEXT)
         if self._draining:
-            raise Draining("the node is on its way out; nothing was accepted")
+            raise Draining("the node is draining; nothing was accepted")
         key = request.headers.get("snowdock-key", "")
         if not _KEY_PATTERN.match(key):
-            raise InvalidInput("header Snowdock-Key: 1 to 100 of A-Z a-z 0-9 . _ : - are needed")
+            raise InvalidInput("header Snowdock-Key must be 1 to 100 of A-Z a-z 0-9 . _ : -")
         try:
             text = request.body.decode("utf-8")
         except UnicodeDecodeError as error:
@@ -321,18 +326,24 @@
         return json_response(accepted, 201)
 
     def _check_feasible(self, spec: WorkSpec) -> None:
-        """Say at once what no worker and no quota could ever hold."""
+        """Check that a quota and a worker can hold a task and that the policy admits the work.
+
+        Raises
+        ------
+        WorkImpossible
+            If the work could never be placed.
+        """
 
-        def check(parts) -> str:
-            team = parts.state.configuration.declarations.teams.get(spec.team)
+        def check(view) -> str:
+            team = view.state.configuration.declarations.teams.get(spec.team)
             if team is None:
                 return f"unknown team {spec.team}"
             if not team.quota.holds(spec.size):
                 return f"one task is larger than the quota of team {spec.team}"
-            index = parts.scheduler.index
+            index = view.scheduler.index
             if len(index) and fits_nowhere(index, spec.size):
                 return "no worker could ever hold one task"
-            admitted = parts.policies.call(spec.kind, "admit", describe_work(spec, 0))
+            admitted = view.policies.call(spec.kind, "admit", describe_work(spec, 0))
             return "" if admitted is True else f"the policy does not admit it: {admitted}"
 
         problem = self._query_state(check)
@@ -349,7 +360,7 @@
         self.request_drain()
         return json_response({"draining": True}, 202)
 
-    # -- callers' requests -----------------------------------------------------------------
+    # -- forwarded requests ----------------------------------------------------------------
 
     def _call(self, request: HttpRequest) -> HttpResponse:
         try:
@@ -370,7 +381,7 @@
 def _require_content_type(request: HttpRequest, expected: str) -> None:
     actual = request.headers.get("content-type", "").partition(";")[0].strip().lower()
     if actual != expected:
-        raise UnsupportedMedia(f"content type {expected} is needed, not {actual[:60]!r}")
+        raise UnsupportedMedia(f"content type must be {expected}, not {actual[:60]!r}")
 
 
 def _reason_phrase(status: int) -> str:
--- a/src/snowdock/node/daemon.py
+++ b/src/snowdock/node/daemon.py
@@ -1,4 +1,4 @@
-"""``snowdockd``: starts a node's parts, and stops them in order."""
+"""``snowdockd``: starts the components of a node and stops them in order."""
 
 import argparse
 import contextlib
@@ -47,7 +47,13 @@
 
 
 class Node:
-    """All parts of one node."""
+    """One node: its actors, HTTP server and peer connections.
+
+    Parameters
+    ----------
+    settings
+        The node's settings.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -92,23 +98,25 @@
         )
         self._requests.set_peers(self._peers)
         self._context.on_members_changed = self._update_peers
-        parts = self._context
-        parts.writer = LogWriter.start(
+        context = self._context
+        context.writer = LogWriter.start(
             log,
             node.name,
-            parts.incarnation,
+            context.incarnation,
             timing.append_interval_ms / 1000,
-            lambda: parts.applied_offset,
+            lambda: context.applied_offset,
             self._record_append_result,
         )
-        parts.router = Router.start(parts)
-        parts.driver = WorkerDriver.start(parts, workers)
-        parts.state = StateActor.start(parts, metrics)
-        parts.watcher = VmWatcher.start(parts, VmListClient(client, settings.platform.vms), workers)
-        parts.reader = LogReader.start(log, timing.poll_ms / 1000, parts.state)
+        context.router = Router.start(context)
+        context.driver = WorkerDriver.start(context, workers)
+        context.state = StateActor.start(context, metrics)
+        context.watcher = VmWatcher.start(
+            context, VmListClient(client, settings.platform.vms), workers
+        )
+        context.reader = LogReader.start(log, timing.poll_ms / 1000, context.state)
 
     def run(self) -> int:
-        """Serve until told to stop; give the exit status."""
+        """Run the node until it is stopped, and return the exit status."""
         self._peers.start()
         self._load_state_from_seed()
         self._context.reader.tell(Tick())
@@ -120,14 +128,14 @@
         return self._stop()
 
     def stop(self) -> None:
-        """Ask for a planned stop."""
+        """Request a planned stop."""
         self._stopping.set()
 
     def _record_append_result(self, succeeded: bool) -> None:
         self._context.appends_to_log = succeeded
 
     def _fail(self) -> None:
-        """End at once: nothing is given back, as if the process had been killed."""
+        """Stop at once without releasing slots or leaving the cluster, as if killed."""
         self._failed = True
         self._stopping.set()
 
@@ -142,7 +150,7 @@
     def _watch_vms(self) -> None:
         interval = self._settings.timing.vms_interval_ms / 1000
         while not self._stopped.wait(interval):
-            # Asked, not told: looks at a slow list must not pile up.
+            # Blocks until the list is read, so that reads of a slow list do not pile up.
             try:
                 self._context.watcher.ask(Tick())
             except pykka.ActorDeadError:
@@ -157,16 +165,16 @@
         )
 
     def _build_heartbeat(self, _due_s: float, _last_received_s: float | None) -> Heartbeat:
-        parts = self._context
-        digest_offset, digest = parts.latest_digest
+        context = self._context
+        digest_offset, digest = context.latest_digest
         return Heartbeat(
             self._settings.node.name,
-            parts.incarnation,
-            parts.applied_offset,
+            context.incarnation,
+            context.applied_offset,
             digest_offset,
             digest,
-            parts.reaches_log,
-            parts.idle_slots,
+            context.reaches_log,
+            context.idle_slots,
         )
 
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -184,12 +192,12 @@
 
     def _answer_peer(self, request):
         if isinstance(request, StateRequest):
-            data = self._context.state.ask(Query(lambda parts: encode_state(parts.state)))
+            data = self._context.state.ask(Query(lambda view: encode_state(view.state)))
             return StateResponse(request.number, data)
         return self._requests.answer_peer(request)
 
     def _load_state_from_seed(self) -> None:
-        """Take the newest state that a peer has; the log goes on from there."""
+        """Load the state from the first seed that answers; the log is read from its offset."""
         for address in self._settings.node.seed_addresses:
             if address == self._settings.node.peer:
                 continue
@@ -205,11 +213,11 @@
             self._context.reader.ask(loaded)
             return
 
-    # -- the end ---------------------------------------------------------------------------
+    # -- shutdown --------------------------------------------------------------------------
 
     def _stop(self) -> int:
         if self._failed:
-            log_error("stopped", "a part of the node failed")
+            log_error("stopped", "an actor of the node failed")
             return 1
         log_event("draining")
         name = self._settings.node.name
@@ -228,7 +236,7 @@
 
     def _wait_for_requests(self) -> None:
         deadline = steady_seconds() + self._settings.timing.drain_ms / 1000
-        # Requests that run here for a peer came in over its sockets, not over the API.
+        # Requests forwarded by a peer do not count as in flight at the API.
         while (self._api.in_flight or self._requests.in_flight) and steady_seconds() < deadline:
             time.sleep(_STOP_POLL_SECONDS)
 
@@ -236,14 +244,14 @@
         done = threading.Event()
         self._context.writer.tell(Propose((NodeLeft(name),), lambda result: done.set()))
         if not done.wait(_LEAVE_TIMEOUT_SECONDS):
-            log_event("left_silently", reason="the log did not answer")
+            log_event("left_silently", reason="no answer from the log")
 
 
 def main() -> None:
     """Run the daemon."""
     parser = argparse.ArgumentParser(prog="snowdockd", description=__doc__)
     parser.add_argument("--settings", required=True, help="the node's INI file")
-    parser.add_argument("--check", action="store_true", help="check the settings and end")
+    parser.add_argument("--check", action="store_true", help="check the settings and exit")
     options = parser.parse_args()
     try:
         settings = read_settings(options.settings)
@@ -252,7 +260,7 @@
             print(f"snowdockd: {error}", file=sys.stderr)
         sys.exit(2)
     if options.check:
-        print("the settings are good")
+        print("the settings are valid")
         return
     log_sink = start_logging(settings.node.name)
     try:
@@ -264,7 +272,7 @@
         signal.signal(number, lambda *_: node.stop())
     status = node.run()
     log_sink.close()
-    # Threads that wait for outside systems may not end by themselves.
+    # Threads blocked on calls to other systems would delay a normal exit.
     os._exit(status)
 
 
--- a/src/snowdock/node/http_models.py
+++ b/src/snowdock/node/http_models.py
@@ -1,4 +1,4 @@
-"""HTTP requests and answers as the API's parts hand them to each other."""
+"""Models of HTTP requests and responses."""
 
 import dataclasses
 from urllib.parse import parse_qs
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """An HTTP request; header names are in lower case."""
+    """An HTTP request with lower-case header names."""
 
     method: str
     path: str
@@ -30,13 +30,13 @@
     body: bytes
 
     def query_parameter(self, name: str) -> str:
-        """Give a query parameter, or nothing."""
+        """Return the first value of a query parameter, or an empty string."""
         return parse_qs(self.query).get(name, [""])[0]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes
@@ -45,7 +45,7 @@
 
 
 class Problem(msgspec.Struct):
-    """The body of every failure."""
+    """The body of an error response."""
 
     code: str
     message: str
@@ -54,12 +54,12 @@
 
 
 def json_response(value: object, status: int = 200) -> HttpResponse:
-    """Answer with a model as JSON."""
+    """Build a response with a model encoded as JSON."""
     return HttpResponse(status, msgspec.json.encode(value))
 
 
 def problem_response(error: SnowdockError | DeclarationErrors) -> HttpResponse:
-    """Answer with a failure, its code, and when to come back where that is known."""
+    """Build the response for an error, with ``Retry-After`` if the error has a delay."""
     details = [str(e) for e in error.exceptions] if isinstance(error, ExceptionGroup) else []
     message = error.message if isinstance(error, ExceptionGroup) else str(error)
     retry_after = getattr(error, "retry_after_seconds", None)
@@ -69,5 +69,5 @@
 
 
 def format_retry_after(seconds: float) -> str:
-    """Write seconds as the header wants them: whole, and at least one."""
+    """Format seconds for ``Retry-After``: rounded up, at least 1."""
     return str(max(1, -int(-seconds // 1)))
--- a/src/snowdock/node/reports.py
+++ b/src/snowdock/node/reports.py
@@ -1,4 +1,4 @@
-"""What the API shows of the state."""
+"""Builds the API's reports from the state."""
 
 from ..declarations import Declarations
 from ..errors import Starting
@@ -26,53 +26,53 @@
 ]
 
 
-def version_report(parts: StateView, node: str) -> VersionReport:
-    """Tell the version in force.
+def version_report(view: StateView, node: str) -> VersionReport:
+    """Report the configuration version in force.
 
     Raises
     ------
     Starting
-        If the node has not read the log far enough to know.
+        If the node has not caught up with the log yet.
     """
-    _require_serving(parts)
-    current = parts.state.configuration
-    return VersionReport(current.version, current.author, node, parts.state.offset, parts.log_end)
+    _require_serving(view)
+    current = view.state.configuration
+    return VersionReport(current.version, current.author, node, view.state.offset, view.log_end)
 
 
-def _require_serving(parts: StateView) -> None:
-    if not parts.serving:
+def _require_serving(view: StateView) -> None:
+    if not view.serving:
         raise Starting("the node is still reading the log; nothing was run")
 
 
-def configuration(parts: StateView) -> Declarations:
-    """Give the declarations in force.
+def configuration(view: StateView) -> Declarations:
+    """Return the declarations in force.
 
     Raises
     ------
     Starting
-        If the node has not read the log far enough to know.
+        If the node has not caught up with the log yet.
     """
-    _require_serving(parts)
-    return parts.state.configuration.declarations
+    _require_serving(view)
+    return view.state.configuration.declarations
 
 
-def node_reports(parts: StateView) -> list[NodeReport]:
-    """List the members."""
+def node_reports(view: StateView) -> list[NodeReport]:
+    """Report all members."""
     return [
         NodeReport(
             member.name,
             member.state.value,
             member.hall,
             member.api_address,
-            member.name in parts.active,
+            member.name in view.active,
             member.read_offset,
         )
-        for member in parts.state.members.values()
+        for member in view.state.members.values()
     ]
 
 
-def worker_reports(parts: StateView) -> list[WorkerReport]:
-    """List the workers."""
+def worker_reports(view: StateView) -> list[WorkerReport]:
+    """Report all workers."""
     return [
         WorkerReport(
             worker.name,
@@ -84,15 +84,15 @@
             len(worker.attempts),
             worker.failure_streak,
         )
-        for worker in parts.state.workers.values()
+        for worker in view.state.workers.values()
     ]
 
 
-def minion_reports(parts: StateView) -> list[MinionReport]:
-    """List the minions."""
+def minion_reports(view: StateView) -> list[MinionReport]:
+    """Report all minions."""
     return [
         MinionReport(minion.name, minion.group, minion.state.value, minion.hall, minion.shares)
-        for minion in parts.state.minions.values()
+        for minion in view.state.minions.values()
     ]
 
 
@@ -104,8 +104,8 @@
     return "cancelled" if work.cancelled else "failed"
 
 
-def work_report(parts: StateView, work: Work, with_tasks: bool) -> WorkReport:
-    """Show one work."""
+def work_report(view: StateView, work: Work, with_tasks: bool) -> WorkReport:
+    """Report one work."""
     tasks = [
         TaskReport(number, task.state.value, task.attempt, task.worker, task.failures)
         for number, task in enumerate(work.tasks)
@@ -120,19 +120,19 @@
         work.submitted_ms,
         work.started_ms,
         work.finished_ms,
-        parts.scheduler.reasons.get(work.number, ""),
+        view.scheduler.reasons.get(work.number, ""),
         tasks if with_tasks else [],
     )
 
 
-def work_reports(parts: StateView) -> list[WorkReport]:
-    """List all works, the newest last."""
-    return [work_report(parts, work, False) for work in parts.state.works.values()]
+def work_reports(view: StateView) -> list[WorkReport]:
+    """Report all works without their tasks, the newest last."""
+    return [work_report(view, work, False) for work in view.state.works.values()]
 
 
-def cluster_status(parts: StateView) -> ClusterStatus:
-    """Show the cluster at a glance."""
-    state = parts.state
+def cluster_status(view: StateView) -> ClusterStatus:
+    """Summarize the cluster."""
+    state = view.state
     live = [w for w in state.workers.values() if w.state == VmState.LIVE]
     total = sum(worker.capacity.cpu for worker in live)
     used = sum(worker.used.cpu for worker in live)
--- a/src/snowdock/node/requests.py
+++ b/src/snowdock/node/requests.py
@@ -1,7 +1,7 @@
-"""Callers' requests: routed to a minion, forwarded, and answered whole.
+"""Handling of callers' requests: routing to minions, forwarding to peers, and retries.
 
-A caller is told one of three things: ``ran`` with the whole answer, ``not_run`` with when to
-come back, or ``unknown`` for a not-repeatable request that may have run.
+A request has one of three outcomes: ``ran`` with the complete response, ``not_run`` with a delay
+before a retry, or ``unknown`` if it may have run.
 """
 
 import dataclasses
@@ -65,7 +65,7 @@
 
 
 def build_not_run_outcome(error: SnowdockError) -> CallOutcome:
-    """Tell a caller of a failure before which nothing was run."""
+    """Build the outcome of a request that failed before anything was run."""
     return CallOutcome(
         "not_run",
         error.status,
@@ -77,7 +77,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _CallState:
-    """What is known while a request is worked on; ``deadline`` is on the monotonic clock."""
+    """The progress of a request; ``deadline`` is in seconds on the monotonic clock."""
 
     request: CallRequest
     endpoint: Endpoint
@@ -90,12 +90,22 @@
 
     @property
     def seconds_left(self) -> float:
-        """Time until the deadline."""
+        """Seconds until the deadline."""
         return self.deadline - steady_seconds()
 
 
 class RequestHandler:
-    """Carries out requests; its methods are called on the HTTP API's and the peers' threads."""
+    """Handles requests of callers and of peers; thread-safe.
+
+    Parameters
+    ----------
+    context
+        The node's settings and actors.
+    client
+        The client of the minions.
+    metrics
+        The node's metrics.
+    """
 
     def __init__(self, context: NodeContext, client: MinionClient, metrics: Metrics) -> None:
         self._context = context
@@ -110,33 +120,33 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are being carried out, those of peers included."""
+        """The number of requests being handled, including those forwarded by peers."""
         return self._in_flight.count
 
     def set_peers(self, peers: Peers) -> None:
-        """Name the peers; done once, before the first request."""
+        """Set the peers; called once before the first request."""
         self._peers = peers
 
     def drain(self) -> None:
-        """Refuse requests from now on; those in flight go on."""
+        """Reject new requests; those in flight continue."""
         self._draining = True
 
     # -- entry points ----------------------------------------------------------------------
 
     def handle(self, request: CallRequest, may_forward: bool = True) -> CallOutcome:
-        """Carry out a request.
+        """Handle a request.
 
         Parameters
         ----------
         request
             The request.
-        may_lend
-            Whether a peer may run it; a peer's own requests are not handed on again.
+        may_forward
+            Whether it may be forwarded to a peer; a forwarded request is not forwarded again.
 
         Returns
         -------
         CallOutcome
-            The final word on this try of the caller.
+            The outcome to report to the caller.
         """
         with span(
             "request", request.trace, request=request.request_id, endpoint=request.endpoint
@@ -158,11 +168,11 @@
     def _handle_counted(self, request: CallRequest, may_forward: bool) -> CallOutcome:
         try:
             if self._draining:
-                raise Draining("the node is on its way out; nothing was run")
-            # Requests that wait hold a thread of the HTTP server each. With all of them taken,
-            # the next request would wait unseen, past its deadline, before it is refused.
+                raise Draining("the node is draining; nothing was run")
+            # Each waiting request occupies a thread of the HTTP server. If all were occupied, a
+            # new request would exceed its deadline in the server's queue before it is rejected.
             if self._in_flight.count > self._max_in_flight:
-                raise Overloaded("too many requests are in flight here; nothing was run")
+                raise Overloaded("too many requests are in flight; nothing was run")
             endpoint = self._find_endpoint(request)
             known = self._find_known_outcome(request)
             if known is not None:
@@ -175,7 +185,7 @@
     def answer_peer(
         self, peer_request: ForwardedCallRequest | KeptAnswerRequest
     ) -> ForwardedCallResponse | KeptAnswerResponse:
-        """Answer a peer's question about a request."""
+        """Handle a request of a peer: a forwarded call or a lookup of a cached outcome."""
         if isinstance(peer_request, KeptAnswerRequest):
             return KeptAnswerResponse(
                 peer_request.number, self._answer_cache.find(peer_request.request_id)
@@ -186,42 +196,45 @@
 
     def _find_endpoint(self, request: CallRequest) -> Endpoint:
         found = self._context.state.ask(
-            Query(lambda parts: configuration(parts).endpoints.get(request.endpoint))
+            Query(lambda view: configuration(view).endpoints.get(request.endpoint))
         )
         if found is None:
             raise NotFound(f"no endpoint {request.endpoint}; nothing was run")
         return found
 
-    # -- at most once ----------------------------------------------------------------------
+    # -- at-most-once requests -------------------------------------------------------------
 
     def _find_known_outcome(self, request: CallRequest) -> CallOutcome | None:
-        """Answer a not-repeatable request whose id is on the log already."""
+        """Find the outcome of a not-repeatable request whose id is already on the log."""
         if request.repeatable:
             return None
         if request_time_ms(request.request_id) is None:
-            raise InvalidInput("a not-repeatable request needs a version 7 UUID as its id")
+            raise InvalidInput("the id of a not-repeatable request must be a version 7 UUID")
         found = self._context.state.ask(
-            Query(lambda parts: parts.state.requests.get(request.request_id))
+            Query(lambda view: view.state.requests.get(request.request_id))
         )
         return None if found is None else self._build_known_outcome(request, found)
 
     def _build_known_outcome(self, request: CallRequest, record) -> CallOutcome:
         if record.outcome == "not_run":
             return CallOutcome(
-                "not_run", 503, code="not_run", reason="this id was not run; use a new one"
+                "not_run",
+                503,
+                code="not_run",
+                reason="the request was not run; retry with a new id",
             )
         answer = self._find_kept_answer(request.request_id, record.node)
         if answer is not None:
             return answer
         if record.outcome == "ran":
             return CallOutcome(
-                "ran", 410, code="answer_gone", reason="it ran; its answer is no longer kept"
+                "ran", 410, code="answer_gone", reason="it ran; its response is no longer cached"
             )
         return CallOutcome(
             "unknown",
             504,
             code="outcome_unknown",
-            reason="it may have run or may still run; ask again with the same id",
+            reason="it may have run or may still run; retry with the same id",
             retry_after_seconds=_LOG_RETRY_SECONDS,
         )
 
@@ -237,7 +250,13 @@
         return response.outcome
 
     def _record_intent(self, call: _CallState, minion: str) -> CallOutcome | None:
-        """Put the intent on the log; an outcome means that the request must not be sent."""
+        """Append the intent to run a request to the log.
+
+        Returns
+        -------
+        CallOutcome or None
+            None if the request may be sent to the minion; otherwise its outcome.
+        """
         request = call.request
         future = pykka.ThreadingFuture()
         record = RequestIntended(request.request_id, minion)
@@ -245,9 +264,11 @@
         try:
             result = future.get(timeout=max(call.seconds_left, _MIN_TIMEOUT_SECONDS))
         except pykka.Timeout:
-            # The intent may come onto the log later, but this node does not act on it.
+            # The intent may still reach the log, but this node will not run the request.
             self._record_end(request, "not_run")
-            return _build_undecided_outcome(VerdictUnknown("the log was too slow"))
+            return _build_undecided_outcome(
+                VerdictUnknown("the log did not answer before the deadline")
+            )
         if isinstance(result, SnowdockError):
             return _build_undecided_outcome(result)
         if isinstance(result[0], Accepted):
@@ -261,7 +282,7 @@
     def _record_end(self, request: CallRequest, outcome: str) -> None:
         self._context.writer.tell(Propose((RequestEnded(request.request_id, outcome),)))
 
-    # -- trying ----------------------------------------------------------------------------
+    # -- attempts --------------------------------------------------------------------------
 
     def _run(self, call: _CallState) -> CallOutcome:
         outcome = self._run_attempts(call)
@@ -295,17 +316,23 @@
                 priority=request.priority,
                 deadline=call.deadline,
                 excluded=frozenset(call.failed_minions),
-                may_lend=call.may_forward and not call.is_intent_recorded,
+                may_forward=call.may_forward and not call.is_intent_recorded,
                 may_wait=call.may_forward or call.attempts > 0,
-                slot=future,
-                wanted=request.session,
+                result=future,
+                session_minion=request.session,
             )
         )
-        # The router answers every asker at its deadline; the slack covers a slow thread.
+        # The router replies by the deadline; the margin covers scheduling delays.
         return future.get(timeout=max(call.seconds_left, 0) + _ROUTER_MARGIN_SECONDS)
 
     def _forward_to_peer(self, call: _CallState, node: str) -> CallOutcome | None:
-        """Let a peer run the request; None means that it surely was not run there."""
+        """Forward a request to a peer.
+
+        Returns
+        -------
+        CallOutcome or None
+            The outcome, or None if the request may be tried here.
+        """
         remaining_s = call.seconds_left
         request = msgspec.structs.replace(
             call.request, deadline_ms=max(1, round(remaining_s * 1000))
@@ -328,7 +355,7 @@
 
     def _try_minion(self, call: _CallState, slot: SlotGranted) -> CallOutcome | None:
         request = call.request
-        started = steady_seconds()
+        started_at = steady_seconds()
         exchange = ForwardResult(ForwardOutcome.NOT_RUN, reason="not sent")
         try:
             if not request.repeatable and not call.is_intent_recorded:
@@ -337,13 +364,13 @@
                     return refused
             exchange = self._send(call, slot)
         finally:
-            # Where the request may still run at the minion, its slot is held back for as long
-            # as any request may take: closing the connection does not end it there.
-            seconds = steady_seconds() - started
+            # If the request may still be running at the minion, its slot stays occupied for the
+            # maximum duration of a request, since closing the connection does not stop it.
+            duration_s = steady_seconds() - started_at
             failed = call.attempts > 0 and exchange.outcome != ForwardOutcome.RAN
             is_unknown = exchange.outcome == ForwardOutcome.UNKNOWN
-            hold = call.endpoint.deadline_ms / 1000 if is_unknown else 0.0
-            self._context.router.tell(SlotReleased(slot.minion, failed, seconds, hold))
+            hold_s = call.endpoint.deadline_ms / 1000 if is_unknown else 0.0
+            self._context.router.tell(SlotReleased(slot.minion, failed, duration_s, hold_s))
         return self._evaluate_exchange(call, slot, exchange)
 
     def _send(self, call: _CallState, slot: SlotGranted) -> ForwardResult:
@@ -364,7 +391,7 @@
     def _evaluate_exchange(
         self, call: _CallState, slot: SlotGranted, exchange: ForwardResult
     ) -> CallOutcome | None:
-        """Decide after one try: the final outcome, or None for another try."""
+        """Return the outcome after an attempt, or None to retry after a backoff."""
         request = call.request
         if exchange.outcome == ForwardOutcome.RAN:
             self._retry_budget.record_success()
@@ -394,23 +421,23 @@
         "unknown",
         504,
         code="outcome_unknown",
-        reason=f"{reason}; it may have run: ask again with the same id to learn",
+        reason=f"{reason}; it may have run: retry with the same id to find out",
         retry_after_seconds=_LOG_RETRY_SECONDS,
     )
 
 
 def _build_undecided_outcome(error: SnowdockError) -> CallOutcome:
-    """Tell of a not-repeatable request on whose intent no verdict was seen.
+    """Build the outcome of a not-repeatable request without a verdict on its intent.
 
-    "Not run" would be too much to say, although this try sent nothing: the caller may be
-    asking again, and another node may have run the id. The model checker found this.
+    It cannot be ``not_run``, although this node sent nothing: the request may be a retry, and
+    another node may have run the same id.
     """
     return CallOutcome(
         "unknown",
         503,
         code=error.code,
-        reason=f"{error}; this try sent nothing, an earlier one with the same id may have: "
-        "asking again with the same id is safe",
+        reason=f"{error}; this attempt sent nothing, an earlier one with the same id may have: "
+        "a retry with the same id is safe",
         retry_after_seconds=error.retry_after_seconds or _LOG_RETRY_SECONDS,
     )
 
@@ -418,7 +445,7 @@
 def _build_failure_outcome(
     call: _CallState, reason: str, retry_after_seconds: float
 ) -> CallOutcome:
-    """Tell the end of a request: "not run" only where no try of it may have run."""
+    """Build the outcome of a failed request: ``not_run`` only if no attempt may have run."""
     if call.may_have_run:
         return _build_unknown_outcome(reason)
     return build_not_run_outcome(Overloaded(f"{reason}; nothing was run", retry_after_seconds))
--- a/src/snowdock/node/router.py
+++ b/src/snowdock/node/router.py
@@ -1,4 +1,4 @@
-"""The actor that hands out this node's slots on minions to waiting requests."""
+"""The actor that assigns this node's slots on minions to requests."""
 
 import dataclasses
 import heapq
@@ -31,14 +31,28 @@
 _INITIAL_DURATION_SECONDS = 0.05
 _SMOOTHING_FACTOR = 0.1
 _MIN_REMAINING_DURATIONS = 1.0
-"""A request that has less than this many typical runs left is not sent any more."""
+"""A request is rejected once its remaining time is below this many average durations."""
 _PEER_SLOTS_VALID_SECONDS = 3.0
 _REPROPOSE_SECONDS = 5.0
 
 
 @dataclasses.dataclass(slots=True)
 class _MinionSlots:
-    """Slots of one minion that are this node's."""
+    """The slots of one minion that belong to this node.
+
+    Attributes
+    ----------
+    view
+        The minion and this node's share of it.
+    in_use
+        Slots that are assigned to requests.
+    returning
+        Slots whose return is proposed but not applied yet.
+    last_take_at
+        When this node last proposed to take slots, in seconds on the monotonic clock.
+    health
+        The health of the minion as seen by this node.
+    """
 
     view: MinionView
     in_use: int = 0
@@ -48,21 +62,26 @@
 
     @property
     def usable(self) -> int:
-        """Slots that may be handed out, used ones included."""
+        """The number of slots that may be assigned, including those in use."""
         return self.view.share - self.returning if self.view.is_live else 0
 
     @property
     def idle(self) -> int:
-        """Slots that may be handed out now."""
+        """The number of slots that may be assigned now."""
         return max(0, self.usable - self.in_use)
 
 
 class Router(pykka.ThreadingActor):
-    """Shares this node's slots out: the highest priority first, then the earliest asker.
+    """Assigns slots by priority, then by order of arrival.
+
+    Slots are assigned only from this node's share as recorded on the log, so that all nodes
+    together never exceed a minion's slots. A surplus is taken out of use before its return is
+    recorded.
 
-    A slot is only handed out from the node's own share as the log shows it, so all nodes
-    together never exceed what a minion bears. A share that is no longer wanted here is
-    given back on the log after it was taken out of use.
+    Parameters
+    ----------
+    context
+        The node's settings and actors.
     """
 
     def __init__(self, context: NodeContext) -> None:
@@ -82,7 +101,7 @@
         return self._context.settings.node.hall
 
     def on_receive(self, message: object) -> object:
-        """Dispatch by the message's type."""
+        """Dispatch a message by its type."""
         if isinstance(message, AcquireSlot):
             return self._acquire(message)
         if isinstance(message, SlotReleased):
@@ -98,7 +117,7 @@
             return message.function(self._slots)
         raise TypeError(type(message).__name__)
 
-    # -- asking ----------------------------------------------------------------------------
+    # -- assignment ------------------------------------------------------------------------
 
     def _acquire(self, message: AcquireSlot) -> None:
         group = message.group
@@ -106,26 +125,26 @@
             return
         reason = self._find_refusal_reason(message)
         if reason:
-            message.slot.set(SlotRefused(reason, self._retry_after(group)))
+            message.result.set(SlotRefused(reason, self._retry_after(group)))
             return
-        peer = self._reserve_peer_slot(group) if message.may_lend else None
+        peer = self._reserve_peer_slot(group) if message.may_forward else None
         if peer is not None:
-            message.slot.set(SlotAtPeer(peer))
+            message.result.set(SlotAtPeer(peer))
             return
         queue = self._waiting.setdefault(group, [])
         if not message.may_wait or len(queue) >= message.queue_limit:
-            message.slot.set(SlotRefused("no slot is free", self._retry_after(group)))
+            message.result.set(SlotRefused("no slot is free", self._retry_after(group)))
             return
         if steady_seconds() + self._estimate_completion_s(message) > message.deadline:
-            # Waiting would end in a refusal all the same; now the caller can turn elsewhere.
-            message.slot.set(SlotRefused("the queue is too long", self._retry_after(group)))
+            # The wait would exceed the deadline, so the caller can try elsewhere at once.
+            message.result.set(SlotRefused("the queue is too long", self._retry_after(group)))
             return
         heapq.heappush(queue, (-message.priority, next(self._sequence), message))
 
     def _find_refusal_reason(self, message: AcquireSlot) -> str:
-        """Say why waiting cannot help, or nothing where it can."""
-        if message.wanted:
-            session_slots = self._slots.get(message.wanted)
+        """Return why waiting for a slot is useless, or an empty string."""
+        if message.session_minion:
+            session_slots = self._slots.get(message.session_minion)
             if session_slots is None or not session_slots.view.is_live:
                 return "the session's minion is gone"
         usable = [s.view.name for s in self._by_group.get(message.group, ()) if s.usable]
@@ -140,28 +159,28 @@
             for slots in self._by_group.get(message.group, ())
             if slots.idle > 0 and slots.view.name not in message.excluded
         )
-        found = choose_minion(candidates, self._hall, message.wanted, now)
+        found = choose_minion(candidates, self._hall, message.session_minion, now)
         if found is None:
             return False
         slots = self._slots[found.name]
         slots.in_use += 1
         slots.health.is_probing = slots.health.failures > 0
-        message.slot.set(SlotGranted(found.name, found.address))
+        message.result.set(SlotGranted(found.name, found.address))
         return True
 
     def _forward_waiting(self, idle_slots: dict[str, int]) -> None:
-        """Hand waiting requests to a peer that has just told of idle slots."""
+        """Forward waiting requests to peers with idle slots, after a report of a peer."""
         for group in idle_slots:
             queue = self._waiting.get(group, [])
             for entry in sorted(queue, key=lambda waiting: waiting[:2]):
                 message = entry[2]
-                if not message.may_lend:
+                if not message.may_forward:
                     continue
                 node = self._reserve_peer_slot(group)
                 if node is None:
                     break
                 queue.remove(entry)
-                message.slot.set(SlotAtPeer(node))
+                message.result.set(SlotAtPeer(node))
             heapq.heapify(queue)
 
     def _reserve_peer_slot(self, group: str) -> str | None:
@@ -174,12 +193,12 @@
         if not idle:
             return None
         node = max(idle, key=idle.get)
-        # Until its next heartbeat the peer is taken to have one slot less.
+        # Counts the slot as used until the peer's next heartbeat.
         self._peer_idle_slots[node][1][group] -= 1
         return node
 
     def _estimate_completion_s(self, message: AcquireSlot) -> float:
-        """Work out when a request that joins the queue now would be answered."""
+        """Estimate the seconds until a request that is queued now would be finished."""
         queue = self._waiting.get(message.group, ())
         ahead = sum(1 for priority, _, _ in queue if -priority >= message.priority)
         return self._estimate_wait_s(message.group, ahead) + self._average_duration_s
@@ -189,11 +208,11 @@
         return self._average_duration_s * (ahead + 1) / slots
 
     def _retry_after(self, group: str) -> float:
-        """Work out from the queue when a slot is likely to be free."""
+        """Estimate from the queue the seconds until a slot is free."""
         seconds = self._estimate_wait_s(group, len(self._waiting.get(group, ())))
         return min(max(seconds, _MIN_RETRY_SECONDS), _MAX_RETRY_SECONDS)
 
-    # -- giving back -----------------------------------------------------------------------
+    # -- release ---------------------------------------------------------------------------
 
     def _release(self, message: SlotReleased) -> None:
         slots = self._slots.get(message.minion)
@@ -219,15 +238,15 @@
         while queue:
             message = queue[0][2]
             if message.deadline <= now + self._average_duration_s * _MIN_REMAINING_DURATIONS:
-                # What would be answered too late only takes a slot from the next one.
+                # A request that would exceed its deadline must not occupy a slot.
                 heapq.heappop(queue)
-                message.slot.set(SlotRefused("too little time is left", self._retry_after(group)))
+                message.result.set(SlotRefused("too little time is left", self._retry_after(group)))
             elif self._grant(message):
                 heapq.heappop(queue)
             else:
                 return
 
-    # -- the division among nodes ----------------------------------------------------------
+    # -- shares among nodes ----------------------------------------------------------------
 
     def _update_minions(self, message: MinionsChanged) -> None:
         self._may_take_slots = message.may_take_slots
@@ -257,10 +276,10 @@
             group.remove(slots)
 
     def _adjust_shares(self) -> None:
-        """Move this node's shares towards their targets."""
+        """Propose changes that move this node's shares towards their targets."""
         if not self._may_take_slots:
-            # A node on its way out needs its slots for what it still has in flight; they
-            # are all given back when it leaves.
+            # A draining node keeps its slots for requests in flight; all are released when it
+            # leaves.
             return
         now = steady_seconds()
         records = []
--- a/src/snowdock/node/state_actor.py
+++ b/src/snowdock/node/state_actor.py
@@ -1,4 +1,4 @@
-"""The actor that owns the shared state: it folds the log and decides what follows."""
+"""The actor that owns a node's copy of the shared state, applies the log and schedules works."""
 
 import dataclasses
 import random
@@ -81,7 +81,25 @@
 
 @dataclasses.dataclass(slots=True)
 class StateView:
-    """What a `View` may look at."""
+    """The data available to the function of a `Query`.
+
+    Attributes
+    ----------
+    state
+        The shared state.
+    active
+        The names of the active nodes.
+    scheduler, policies
+        The node's scheduler and policy programs.
+    serving
+        Whether the node has caught up with the log since its start.
+    ready
+        Whether the node is a member with a consistent state.
+    log_end
+        The offset of the next entry of the log.
+    diverged
+        Whether a peer's state differs from this node's.
+    """
 
     state: State
     active: tuple[str, ...]
@@ -98,7 +116,7 @@
 
     Parameters
     ----------
-    parts
+    context
         The node's settings, identity and other actors.
     metrics
         The node's metrics.
@@ -155,11 +173,11 @@
         return self._context.settings.node.name
 
     def on_receive(self, message: object) -> object:
-        """Dispatch by the message's type."""
+        """Dispatch a message by its type."""
         return self._handlers[type(message)](message)
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
-        """Say why the actor stopped; the daemon ends with it."""
+        """Log the failure and stop the node."""
         log_error("state_actor_failed", repr(exception_value))
         self._context.on_fatal_error()
 
@@ -182,8 +200,8 @@
                 self._record_digest()
         self._context.applied_offset = self._state.offset
         self._context.driver.tell(LogConfirmed(message.read_started_at))
-        # A node that shows what it read halfway would fall back behind what the process
-        # before it had shown.
+        # A node that served before it has caught up would show an older state than the
+        # previous process of this node did.
         self._serving = self._serving or self._state.offset + 1 >= self._initial_log_end
         if not self._is_join_proposed and self._state.offset + 1 >= message.end:
             self._join()
@@ -280,13 +298,13 @@
         self._scheduler.request_pass()
         self._assign_workers()
         if isinstance(effect, WorkerWithdrawn) and effect.gone:
-            # Any batch confirms to have read so far; an idle node has to send one.
+            # Each batch confirms the read offset, so an idle node appends an empty one.
             self._context.writer.tell(Propose(()))
 
     def _on_members(self, effect: MembersChanged) -> None:
         member = self._state.members.get(self._name)
         if self._is_member and (member is None or member.incarnation != self._context.incarnation):
-            # Its slots are being given to others, and nothing that it appends counts.
+            # The slots of this process are reassigned, and its batches are rejected.
             log_error("superseded", "another process joined as this node, or its VM is gone")
             self._context.on_fatal_error()
         self._active_nodes.refresh(self._state.members)
@@ -298,7 +316,7 @@
     def _on_shares(self, effect: SharesChanged) -> None:
         self._refresh_minions()
 
-    # -- who acts --------------------------------------------------------------------------
+    # -- ownership -------------------------------------------------------------------------
 
     def _assign_workers(self) -> None:
         if not self._is_member:
@@ -313,7 +331,7 @@
         self._context.driver.tell(AssignmentChanged(own))
 
     def _refresh_queue(self) -> None:
-        """Take over the works that are this node's to place now."""
+        """Set the queue to the works that this node owns."""
         nodes = self._active_nodes.active
         own = {
             number
@@ -327,14 +345,14 @@
 
     def _refresh_minions(self) -> None:
         member = self._state.members.get(self._name)
-        may_take = self._is_member and member is not None and member.state == MemberState.LIVE
+        may_take_slots = self._is_member and member is not None and member.state == MemberState.LIVE
         views = view_minions(self._state, self._name, int(time.time() * 1000))
-        self._context.router.tell(MinionsChanged(views, may_take))
+        self._context.router.tell(MinionsChanged(views, may_take_slots))
 
     def _request_sync(self, worker: str) -> None:
         self._context.driver.tell(WorkerSyncRequested(worker))
 
-    # -- time ------------------------------------------------------------------------------
+    # -- timers ----------------------------------------------------------------------------
 
     def _tick(self, message: Tick) -> None:
         now = steady_seconds()
@@ -367,10 +385,10 @@
         if now >= self._next_rerank:
             self._scheduler.rerank(self._state)
             self._next_rerank = now + _RERANK_INTERVAL_SECONDS
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         result = self._scheduler.run(self._state)
         if result.placements:
-            seconds = (time.perf_counter() - started) / len(result.placements)
+            seconds = (time.perf_counter() - started_at) / len(result.placements)
             self._metrics.observe("decision_seconds", "Time of one placement decision.", seconds)
         if result.stops:
             self._metrics.count(
@@ -381,17 +399,17 @@
             self._propose_placement(record)
 
     def _propose_placement(self, record: TasksPlaced) -> None:
-        """Propose, and hear of the verdict as a message of its own."""
+        """Propose a placement; its verdict is handled in a message to this actor."""
         ref = self.actor_ref
 
         def reply(result: object) -> None:
             verdict = result[0] if isinstance(result, tuple) else None
-            ref.tell(Query(lambda parts: parts.scheduler.judged(parts.state, record, verdict)))
+            ref.tell(Query(lambda view: view.scheduler.handle_verdict(view.state, record, verdict)))
 
         self._context.writer.tell(Propose((record,), reply))
 
     def _propose_lost_attempts(self) -> None:
-        """Propose the end of attempts on gone workers, once no lease of theirs can hold."""
+        """Propose the loss of attempts on gone workers once their leases have expired."""
         margin = self._state.configuration.declarations.limits.clock_margin_ms
         now_ms = int(time.time() * 1000)
         for worker in self._state.workers.values():
@@ -406,8 +424,8 @@
 
     def _write_snapshot_if_due(self) -> None:
         entries_per_snapshot = self._context.settings.timing.snapshot_entries
-        # Counted in whole intervals of the log, not from this node's start: all nodes have to
-        # ask at the same time whose turn it is, or it may be nobody's.
+        # Intervals are aligned to log offsets, so that all nodes determine the owner of a
+        # snapshot at the same offset. Otherwise a snapshot could have no owner.
         interval = self._state.offset // entries_per_snapshot
         if interval <= self._last_snapshot_interval or not self._is_member:
             return
@@ -420,8 +438,8 @@
             for start in range(0, len(data), _MAX_SNAPSHOT_PART_BYTES)
         ]
         log_event("snapshot_written", offset=self._state.offset, bytes=len(data))
-        for index, piece in enumerate(chunks):
-            self._propose(SnapshotPart(self._state.offset, index, len(chunks), piece))
+        for index, chunk in enumerate(chunks):
+            self._propose(SnapshotPart(self._state.offset, index, len(chunks), chunk))
 
     # -- peers -----------------------------------------------------------------------------
 
@@ -435,8 +453,8 @@
         member = self._state.members.get(message.node)
         if member is not None and member.incarnation == message.incarnation:
             self._active_nodes.record_heartbeat(message.node, message.reaches_log)
-        own = self._digests.get(message.digest_offset)
-        if own is not None and own != message.digest and not self._diverged:
+        own_digest = self._digests.get(message.digest_offset)
+        if own_digest is not None and own_digest != message.digest and not self._diverged:
             self._diverged = True
             log_error("state_diverged", "digests differ", offset=message.digest_offset)
             self._metrics.set("diverged", "1 where a peer's state differs.", 1)
--- a/src/snowdock/node/throttle.py
+++ b/src/snowdock/node/throttle.py
@@ -1,4 +1,4 @@
-"""Keeps a node from proposing the same thing again and again while it waits to take effect."""
+"""Limits how often a node proposes the same record while it waits for it to take effect."""
 
 from collections.abc import Hashable
 
@@ -10,15 +10,15 @@
 
 
 class ProposalThrottle:
-    """Lets each thing pass once in a while.
+    """Allows each key at most once per interval.
 
-    Not once and for all: a full writer may have refused the proposal, and a second one that
-    turns out needless is void.
+    Proposals are repeated because a full writer may have rejected the first one; a redundant
+    second one is rejected by the reducer.
 
     Parameters
     ----------
-    seconds
-        How long a thing that passed is held back.
+    interval_s
+        Seconds after which a key is allowed again.
     """
 
     def __init__(self, interval_s: float) -> None:
@@ -26,7 +26,7 @@
         self._passed_at: dict[Hashable, float] = {}
 
     def try_pass(self, key: Hashable) -> bool:
-        """Tell whether a thing may pass now, and note that it did."""
+        """Return whether a key is allowed now, and if so, start its interval."""
         now = steady_seconds()
         if now - self._passed_at.get(key, -self._interval_s) < self._interval_s:
             return False
@@ -37,5 +37,5 @@
         return True
 
     def forget(self, key: Hashable) -> None:
-        """Let a thing pass again at once."""
+        """Allow a key again at once."""
         self._passed_at.pop(key, None)
--- a/src/snowdock/node/vm_watcher.py
+++ b/src/snowdock/node/vm_watcher.py
@@ -33,10 +33,19 @@
 
 
 class VmWatcher(pykka.ThreadingActor):
-    """Reads the VM list while this node is the one to do so.
-
-    The list lags. A VM that is missing from it after it was seen is taken as ended; its
-    leases are waited for all the same.
+    """Watches the VM list while this node owns this duty.
+
+    The list lags behind and may be wrong. A VM that disappears from it is recorded as gone, but
+    its leases still have to expire before its work is placed elsewhere.
+
+    Parameters
+    ----------
+    context
+        The node's settings and actors.
+    vms
+        The client of the VM list.
+    workers
+        The client of the workers.
     """
 
     def __init__(self, context: NodeContext, vms: VmListClient, workers: WorkerClient) -> None:
@@ -50,14 +59,12 @@
         self._failing = False
 
     def on_receive(self, message: object) -> None:
-        """Look at the list when a `Tick` says that it is time."""
+        """Read the list and propose the differences, at each `Tick`."""
         if not isinstance(message, Tick):
             raise TypeError(type(message).__name__)
         name = self._context.settings.node.name
         is_responsible = self._context.state.ask(
-            Query(
-                lambda parts: parts.ready and ownership.find_owner("vm-list", parts.active) == name
-            )
+            Query(lambda view: view.ready and ownership.find_owner("vm-list", view.active) == name)
         )
         if not is_responsible:
             return
@@ -76,11 +83,11 @@
 
     def _compare(self, vms: dict[str, Vm]) -> None:
         records = self._context.state.ask(
-            Query(lambda parts: self._find_differences(parts.state, vms))
+            Query(lambda view: self._find_differences(view.state, vms))
         )
-        seen = [vm for vm in records if isinstance(vm, Vm)]
+        unrecorded_workers = [vm for vm in records if isinstance(vm, Vm)]
         records = [record for record in records if not isinstance(record, Vm)]
-        for vm in seen:
+        for vm in unrecorded_workers:
             record = self._query_worker(vm)
             if record is not None:
                 records.append(record)
@@ -97,7 +104,7 @@
         return WorkerSeen(vm.name, answer.boot, capacity, vm.rack, vm.hall, vm.address)
 
     def _find_differences(self, state: State, vms: dict[str, Vm]) -> list[Record | Vm]:
-        """Work out what is to be recorded; a `Vm` stands for a worker to be asked first."""
+        """Compute the records to propose; a `Vm` is a new worker whose status is needed first."""
         found: list[Record | Vm] = []
         for vm in vms.values():
             if vm.role == "worker":
@@ -112,7 +119,7 @@
         return found
 
     def _find_gone_nodes(self, state: State, vms: dict[str, Vm]) -> list[Record]:
-        """Name the members whose VM is missing for so long that no lease of theirs holds."""
+        """Find the members whose VM has been missing for longer than their leases last."""
         now_ms = int(time.time() * 1000)
         limits = state.configuration.declarations.limits
         found: list[Record] = []
--- a/src/snowdock/node/worker_driver.py
+++ b/src/snowdock/node/worker_driver.py
@@ -1,4 +1,4 @@
-"""The actor that gives orders to the workers which this node drives."""
+"""The actor that sends orders to the workers driven by this node."""
 
 import concurrent.futures
 import dataclasses
@@ -30,7 +30,21 @@
 
 @dataclasses.dataclass(slots=True)
 class _DrivenWorker:
-    """One worker; ``due`` is on the monotonic clock."""
+    """The state of one driven worker.
+
+    Attributes
+    ----------
+    due_at
+        When the next call is due, in seconds on the monotonic clock.
+    is_calling
+        Whether a call is in progress.
+    sync_requested
+        Whether another call was requested during the call in progress.
+    has_active_order
+        Whether the last order renewed, started or stopped attempts.
+    reports
+        The worker's last reports by attempt.
+    """
 
     due_at: float
     is_calling: bool = False
@@ -41,35 +55,42 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _CallFinished:
-    """A call to a worker is over."""
+    """A call to a worker finished; ``reports`` is None if it failed."""
 
     worker: str
     reports: dict[str, AttemptReport] | None
 
 
 class WorkerDriver(pykka.ThreadingActor):
-    """Calls each worker when something is to be done there, and else at long intervals.
+    """Calls each worker when it has orders for it, and otherwise at long intervals.
+
+    After a pause of the process, no orders are sent until the log has been read again, since
+    the node's state may be too old to renew leases.
 
-    After a pause of the process nothing is ordered until the log was read again: what this
-    node knows may be too old to renew anything by.
+    Parameters
+    ----------
+    context
+        The node's settings and actors.
+    client
+        The client of the workers.
     """
 
     def __init__(self, context: NodeContext, client: WorkerClient) -> None:
         super().__init__()
         self._context = context
         self._client = client
-        self._interval = context.settings.timing.sync_interval_ms / 1000
+        self._interval_s = context.settings.timing.sync_interval_ms / 1000
         self._workers: dict[str, _DrivenWorker] = {}
         self._last_message_at = steady_seconds()
         self._paused_at: float | None = None
         self._call_pool = concurrent.futures.ThreadPoolExecutor(_MAX_CALL_THREADS, "worker-call")
 
     def on_stop(self) -> None:
-        """End the callers; a call on its way is not waited for."""
+        """Stop the call threads without waiting for calls in progress."""
         self._call_pool.shutdown(wait=False, cancel_futures=True)
 
     def on_receive(self, message: object) -> None:
-        """Take a change of what is to be driven, the end of a call, or the time."""
+        """Handle a message, then call the workers that are due."""
         self._detect_pause()
         if isinstance(message, WorkerSyncRequested):
             self._request_sync(message.worker)
@@ -113,11 +134,11 @@
         due = [name for name, d in self._workers.items() if d.due_at <= now and not d.is_calling]
         if not due:
             return
-        orders = self._context.state.ask(Query(lambda parts: self._build_orders(parts.state, due)))
+        orders = self._context.state.ask(Query(lambda view: self._build_orders(view.state, due)))
         for name, order in orders.items():
             worker = self._workers[name]
             if order is None:
-                worker.due_at = now + self._interval
+                worker.due_at = now + self._interval_s
                 continue
             worker.is_calling = True
             worker.has_active_order = bool(
@@ -139,10 +160,10 @@
             return
         self._report_result(SyncAnswered(name, answer), _CallFinished(name, answer.attempts))
 
-    def _report_result(self, result: object, done: _CallFinished) -> None:
+    def _report_result(self, result: object, call_finished: _CallFinished) -> None:
         try:
             self._context.state.tell(result)
-            self.actor_ref.tell(done)
+            self.actor_ref.tell(call_finished)
         except pykka.ActorDeadError:
             return
 
@@ -160,7 +181,7 @@
         worker.sync_requested = False
 
     def _sync_interval_s(self, worker: _DrivenWorker) -> float:
-        """Look sooner where something runs whose end somebody waits for."""
+        """Return the seconds until the next call, which are fewer while attempts are running."""
         if not worker.has_active_order and not worker.reports:
-            return self._interval
-        return min(self._interval, self._context.settings.timing.watch_interval_ms / 1000)
+            return self._interval_s
+        return min(self._interval_s, self._context.settings.timing.watch_interval_ms / 1000)
--- a/tests/test_active_nodes.py
+++ b/tests/test_active_nodes.py
@@ -1,4 +1,4 @@
-"""Tests of the hints on which node acts."""
+"""Tests of the tracking of active nodes."""
 
 import unittest
 
@@ -17,14 +17,14 @@
         self.active_nodes.refresh(MEMBERS)
 
     def test_unresponsive_and_draining_members_are_inactive(self) -> None:
-        """Only members that were heard from and are not on their way out seem able to act."""
+        """Only members with a recent heartbeat that are not draining are active."""
         members = {**MEMBERS, "d": Member("d", "i", "h", "", "")}
         members["b"] = Member("b", "i", "h", "", "", MemberState.DRAINING)
         self.assertTrue(self.active_nodes.refresh(members))
         self.assertEqual(self.active_nodes.active, ("a", "c"))
 
     def test_node_without_the_log_is_inactive(self) -> None:
-        """A node cut off from the log is left out, unless all are."""
+        """A node that cannot reach the log is inactive, unless no node can."""
         self.reaches_log = False
         self.active_nodes.refresh(MEMBERS)
         self.assertEqual(self.active_nodes.active, ("b", "c"))
@@ -34,7 +34,7 @@
         self.assertEqual(self.active_nodes.active, ("a", "b", "c"))
 
     def test_nothing_changes_between_refreshes(self) -> None:
-        """A change is told by refresh and never seen before it (a work was lost that way)."""
+        """Ownership changes only in refresh; otherwise a work could be left without an owner."""
         keys = [f"work/{n}" for n in range(50)]
         before = [self.active_nodes.owns(thing) for thing in keys]
         self.reaches_log = False
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of how slots are handed out to waiting requests."""
+"""Tests of the assignment of slots to requests."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 class TestRouter(unittest.TestCase):
-    """One minion with one slot, which is this node's."""
+    """One minion with one slot, which belongs to this node."""
 
     def setUp(self) -> None:
         self.router = Router.start(NodeContext(SETTINGS, "i"))
@@ -42,9 +42,9 @@
             priority=priority,
             deadline=steady_seconds() + seconds,
             excluded=fields.get("excluded", frozenset()),
-            may_lend=False,
+            may_forward=False,
             may_wait=True,
-            slot=result,
+            result=result,
         )
         self.router.ask(request)
         return result
@@ -56,7 +56,7 @@
         self.router.ask(SlotReleased("m", False, 0.05))
 
     def test_request_that_cannot_meet_its_deadline_is_refused(self) -> None:
-        """A request whose deadline the queue would outlast does not join it (bench.overload)."""
+        """A request that would wait beyond its deadline is rejected instead of queued."""
         self.assertIsInstance(
             self.wait_for_result(self.acquire(LONG_DEADLINE_SECONDS)), SlotGranted
         )
@@ -66,7 +66,7 @@
         self.assertGreater(refused.retry_after_seconds, 0)
 
     def test_higher_priority_is_served_first(self) -> None:
-        """A freed slot goes to the highest priority, then to the earliest asker."""
+        """A free slot goes to the request with the highest priority, then to the earliest."""
         self.wait_for_result(self.acquire(LONG_DEADLINE_SECONDS))
         first, second = self.acquire(LONG_DEADLINE_SECONDS), self.acquire(LONG_DEADLINE_SECONDS)
         urgent = self.acquire(LONG_DEADLINE_SECONDS, priority=90)
@@ -75,7 +75,7 @@
             self.assertIsInstance(self.wait_for_result(slot), SlotGranted)
 
     def test_full_queue_refuses_requests(self) -> None:
-        """The queue's bound is kept."""
+        """A request is rejected when the queue is at its limit."""
         self.wait_for_result(self.acquire(LONG_DEADLINE_SECONDS))
         self.acquire(LONG_DEADLINE_SECONDS, queue_limit=1)
         self.assertIsInstance(
@@ -83,7 +83,7 @@
         )
 
     def test_request_that_excludes_all_minions_is_refused(self) -> None:
-        """A request that tried all minions gets its final answer at once."""
+        """A request that has tried all minions is rejected at once."""
         refused = self.wait_for_result(
             self.acquire(LONG_DEADLINE_SECONDS, excluded=frozenset(["m"]))
         )
