--- a/specs/check.py
+++ b/specs/check.py
@@ -1,7 +1,7 @@
-"""Check all models, and that each rule left out is refuted: ``python -m specs.check``.
+"""Check all models, and check that leaving out any rule is refuted: ``python -m specs.check``.
 
-Prints a line for each search. Ends with status 1 if the protocol as it is does not hold within
-the bounds, or if a rule can be left out without the checker noticing.
+Prints a line for each search. Exits with status 1 if a complete protocol violates an invariant
+within the bounds, or if a rule can be left out without the checker finding a counterexample.
 """
 
 import argparse
@@ -28,12 +28,12 @@
 
 _MAX_STATES = 500_000
 _LIMITS_LEFT_OUT = (10_000, 40_000, 150_000)
-"""A refutation is sound in an unfinished search, so short ones are tried first."""
+"""State limits of successive searches; a counterexample is valid in an incomplete search, too."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """What one search found: None means undecided within the bounds."""
+    """The result of one search; None means undecided within the bounds."""
 
     model: str
     left_out: str
@@ -45,7 +45,7 @@
 
     @property
     def is_expected(self) -> bool:
-        """Whether the protocol holds, or the left-out rule was missed."""
+        """Whether the complete protocol holds, or the one without a rule is refuted."""
         if self.left_out:
             return self.holds is False
         return self.holds is True and self.can_finish is True
@@ -74,7 +74,7 @@
     starvation_model: starvation_model.Bounds(takeovers=0, failures=3),
     life_model: life_model.Bounds(restarts=1, takeovers=1, runs=2),
 }
-"""Bounds for every run of the tests."""
+"""Bounds that are small enough for each run of the test suite."""
 
 
 def check(module: ModuleType, bounds: object, left_out: str = "") -> Result:
@@ -87,7 +87,7 @@
     bounds
         Its bounds.
     left_out
-        A rule to leave out, or nothing.
+        The rule to leave out, or an empty string.
     """
     started = time.perf_counter()
     protocol = module.make_model(bounds, left_out)
@@ -113,7 +113,7 @@
 
 
 def describe(result: Result) -> str:
-    """Write a result as one line."""
+    """Format a result as one line."""
     what = f"without {result.left_out}" if result.left_out else "as it is"
     if result.holds is False:
         verdict = f"refuted in {result.steps} steps"
@@ -126,7 +126,7 @@
 
 
 def main() -> int:
-    """Check everything."""
+    """Check all models and return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--small", action="store_true", help="use the bounds of the tests")
     options = parser.parse_args()
@@ -135,7 +135,7 @@
     for module, bounds in all_bounds.items():
         print(f"{module.__name__}: {bounds}")
         for left_out in ("", *module.RULES):
-            # Leaving a rule out is refuted best within the larger bounds.
+            # Some counterexamples need the larger bounds.
             result = check(module, FULL[module] if left_out else bounds, left_out)
             print(describe(result), flush=True)
             is_good = is_good and result.is_expected
--- a/specs/configuration_model.py
+++ b/specs/configuration_model.py
@@ -1,7 +1,7 @@
-"""The protocol of the configuration: racing operators, and versions that never fall.
+"""Model of configuration changes: concurrent operators, and versions that never decrease.
 
-Two operators change the configuration through two nodes, each from the version that its node
-showed. A node may restart with empty memory and reads the log from its start.
+Two operators change the configuration through two nodes, each based on the version that its node
+showed. A node may restart with empty memory and then reads the log from its start.
 """
 
 import dataclasses
@@ -19,16 +19,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     records: int = 3
     restarts: int = 1
 
 
 class Node(NamedTuple):
-    """What a node has read, whether it serves, and the change that it has on its way.
+    """A node's position in the log, and its pending change.
 
-    ``end`` is where the log ended when the node started, which it reads to before it serves.
+    ``end`` is the end of the log when the node started; the node reads up to it before it serves.
     """
 
     read: int = 0
@@ -37,19 +37,23 @@
 
 
 class Append(NamedTuple):
-    """A change: who sent it, and the version it is made from."""
+    """A change: the node that sent it, and the version that it is based on."""
 
     node: int
     base: int
 
     @property
     def label(self) -> str:
-        """The step's name in a trace."""
+        """The transition's label in a trace."""
         return f"log takes change {self.node} from {self.base}"
 
 
 class State(NamedTuple):
-    """``log`` holds the changes and whether each is valid; ``shown`` the newest version shown."""
+    """The log and the nodes.
+
+    ``log`` holds pairs of a change and whether it is valid; ``shown`` is the latest version shown
+    by each node.
+    """
 
     log: tuple = ()
     nodes: tuple = (Node(), Node())
@@ -59,7 +63,7 @@
 
 
 def parse_append(label: str) -> Append | None:
-    """Read back an append from a step's name, or None for another step."""
+    """Parse the append from a transition's label; return None for other transitions."""
     words = label.split()
     if words[:2] != ["log", "takes"]:
         return None
@@ -67,19 +71,19 @@
 
 
 def version_at(log: tuple, length: int) -> int:
-    """Give the version that a prefix of the log means: the position of its last valid change."""
+    """Return the version of a prefix of the log: the position of its last valid change."""
     return max((n + 1 for n, (_, valid) in enumerate(log[:length]) if valid), default=0)
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         steps = []
         for number, node in enumerate(state.nodes):
             steps += self._node_steps(state, number, node)
@@ -105,7 +109,7 @@
             step(f"operator asks node {number}", node._replace(pending=change))
         if node.pending and len(state.log) < self._bounds.records:
             taken = self._append(state, node.pending)
-            # The answer may be lost; then the same change is appended again.
+            # The response may be lost; the same change is then appended again.
             steps.append((node.pending.label, taken))
             nodes = replaced(taken.nodes, number, node._replace(pending=()))
             steps.append((node.pending.label, taken._replace(nodes=nodes)))
@@ -115,14 +119,14 @@
         return steps
 
     def _append(self, state: State, change: Append) -> State:
-        # A repeated change needs no rule of its own: its base is no longer current.
+        # A repeated change is invalid, since its base is no longer current.
         is_current = change.base == version_at(state.log, len(state.log))
         valid = is_current or not self._holds("base_is_current")
         return state._replace(log=(*state.log, (change, valid)))
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     return make_protocol(
         "configuration",
@@ -142,7 +146,7 @@
 
 
 def _not_overwritten(state: dict) -> bool:
-    """Check that each valid change was made from the version right before it."""
+    """Check whether each valid change is based on the version right before it."""
     log = state["log"]
     return all(
         not valid or change.base == version_at(log, n) for n, (change, valid) in enumerate(log)
--- a/specs/crash_model.py
+++ b/specs/crash_model.py
@@ -1,8 +1,8 @@
-"""A task that ends each worker that starts it: how often it is started before it is given up.
+"""Model of a task that crashes each worker that starts it: the number of its starts is bounded.
 
-A start that arrives ends its worker, or is broken off with its gang just before. The leader sees
-one of several things of that, or takes over from an earlier leader; whatever it sees is charged, on
-record, and the sum bounds the starts after the third crash.
+A start that arrives crashes its worker, or is interrupted with its gang just before. The leader may
+observe this in several ways, and may be replaced by another leader. Each observation is charged to
+the task and recorded; the charges bound the number of starts after the third crash.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 MOST_LOSSES = 5
 COUNT_ALL_FROM = 3
 MOST_MORE = 2
-"""How many starts users allow after the third crash."""
+"""The number of starts that users allow after the third crash."""
 
 RULES = (
     "answered",
@@ -31,11 +31,11 @@
     "told_ends",
     "on_record",
 )
-"""Rules that may be left out: what is charged, and that charges are on record before a start."""
+"""Rules that may be left out: what is charged, and that charges are recorded before a start."""
 
 
 class Phase(enum.IntEnum):
-    """What the leader believes of the task."""
+    """The task's phase in the leader's state."""
 
     WAITING = 0
     PLACED = 1
@@ -43,18 +43,18 @@
     UNANSWERED = 3
     RUNNING = 4
     ADOPTED = 5
-    """An earlier leader placed it; its worker has not told yet."""
+    """Placed by an earlier leader; its worker has not reported yet."""
     GIVEN_UP = 6
 
 
 class There(enum.IntEnum):
-    """What is at the worker of the newest run."""
+    """The state of the latest run at its worker."""
 
     NOTHING = 0
     ON_ITS_WAY = 1
     CRASHED = 2
     BROKEN_OFF = 3
-    """It was there, and ended with its gang while its worker went on."""
+    """The run ended with its gang, and its worker continued."""
 
 
 _PLACED = (Phase.PLACED, Phase.ORDERED, Phase.UNANSWERED, Phase.RUNNING, Phase.ADOPTED)
@@ -64,18 +64,18 @@
     Phase.UNANSWERED: "unanswered",
     Phase.ADOPTED: "adopted",
 }
-"""The rule by which another life's answer is charged."""
+"""The rule by which a response of the worker's next life is charged, for each phase."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     takeovers: int = 2
 
 
 class Record(NamedTuple):
-    """What the store keeps of the task; of its newest run's number, whether it is odd."""
+    """The task's record in the store; ``run`` is the parity of the latest run's number."""
 
     run: int = 0
     is_placed: bool = False
@@ -84,10 +84,10 @@
 
 
 class State(NamedTuple):
-    """The leader's belief, what is on record, and the truth.
+    """The leader's state, the record in the store, and the actual state.
 
-    The truth is what is at the worker, how many workers have crashed, three at most, and how many
-    starts arrived after that.
+    The actual state is the run's state at the worker (``there``), the number of crashed workers
+    (``crashed``, at most three), and the number of starts that arrived after that (``more``).
     """
 
     phase: Phase = Phase.WAITING
@@ -102,14 +102,14 @@
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         state = state._replace(record=Record(*state.record))
         if state.more > MOST_MORE:
             return []
@@ -122,7 +122,7 @@
 
     @staticmethod
     def _put_on_record(state: State) -> State:
-        # Until then, a successor looks for the run before.
+        # A new leader looks for the previous run until the new one is recorded.
         is_new = state.record.run != state.run
         there = There.NOTHING if is_new else state.there
         return state._replace(record=_to_record(state), there=there)
@@ -154,7 +154,7 @@
         return self._settle(state)
 
     def _settle(self, state: State) -> list:
-        """List how it becomes sure that a run is over."""
+        """Return the transitions by which the leader learns that a run has ended."""
         phase, there = state.phase, state.there
         if phase not in _RULE_OF_PHASE:
             return []
@@ -163,9 +163,9 @@
             after = self._charge(state, "told_ends", 0) if counts else self._forget(state)
             return [("is told as broken off", after)]
         if there is not There.CRASHED:
-            # The worker refuses for good what is not there yet, or the new leader's token does.
+            # A start that is still in transit is rejected: by the worker, or by its fencing token.
             return [("was not there", self._forget(state))] if phase is not Phase.RUNNING else []
-        # Without the worker's word it may have gone before the start arrived.
+        # If the worker has not confirmed the run, it may have gone before the start arrived.
         crashes = 1 if phase is Phase.RUNNING else 0
         steps = [("another life answers", self._charge(state, _RULE_OF_PHASE[phase], crashes))]
         steps.append(("another life answers, it had drained", self._charge(state, "leaving", 0)))
@@ -208,7 +208,7 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     return make_protocol(
         "crash",
--- a/specs/election_model.py
+++ b/specs/election_model.py
@@ -1,7 +1,7 @@
-"""Who leads: claims on condition, fencing at workers, and how long a silent leader is waited for.
+"""Model of the leader election: conditional claims, fencing at workers, and leader timeouts.
 
-Each claimant gives no sign for a while after its claim: it reads and restores. The waits are those
-of the code (`snowdock.entry.turnover`).
+A new leader is silent for a while after its claim, since it reads and restores state. The timeouts
+are those of `snowdock.entry.turnover`.
 """
 
 import dataclasses
@@ -17,13 +17,13 @@
 
 NODES = 2
 USUAL_WAIT = 1
-"""Ticks for which a settled leader that is silent is waited for."""
+"""The timeout in ticks for a leader that has restored its state."""
 
 SILENCE = 5
-"""Ticks for which a claimant gives no sign."""
+"""Ticks for which a new leader is silent."""
 
 MOST_CLAIMS = 4
-"""Waits of 1, 2 and 4 ticks are too short, one of 8 is not."""
+"""Timeouts of 1, 2 and 4 ticks are too short, and one of 8 is long enough."""
 
 RULES = ("claim_on_condition", "growing_patience", "fenced_orders")
 """Rules that may be left out."""
@@ -31,21 +31,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     ticks: int = 14
     orders: int = 2
 
 
 class Node(NamedTuple):
-    """What a node has read of the leaders' partition, and the epoch in which it thinks it leads."""
+    """A node's position in the leaders' partition, and the epoch in which it leads (0 for none)."""
 
     seen_end: int = 0
     own_epoch: int = 0
 
 
 class State(NamedTuple):
-    """The partition's end, its last claim, the nodes, and the epochs a worker took orders from."""
+    """The partition's end, its last claim, the nodes, and the epochs of a worker's orders."""
 
     now: int = 0
     end: int = 0
@@ -59,14 +59,14 @@
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         steps = self._tick(state)
         for number, node in enumerate(state.nodes):
             steps += self._read(state, number, node)
@@ -84,7 +84,7 @@
     def _read(self, state: State, number: int, node: Node) -> list:
         if node.seen_end == state.end:
             return []
-        # Whoever reads of another leader leads no more.
+        # A leader that reads another node's claim is deposed.
         own_epoch = node.own_epoch if state.leader == number else 0
         nodes = replaced(state.nodes, number, Node(state.end, own_epoch))
         return [(f"node {number} reads", state._replace(nodes=nodes))]
@@ -99,7 +99,7 @@
             return []
         turnover = 0
         if state.claims:
-            # Ticks stand for seconds here.
+            # A tick is a second here.
             turnover = next_turnover(state.turnover, float(led), is_evident=False)
         nodes = replaced(state.nodes, number, Node(node.seen_end + 1, node.seen_end + 1))
         after = state._replace(
@@ -128,7 +128,7 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     return make_protocol(
         "election",
--- a/specs/life_model.py
+++ b/specs/life_model.py
@@ -1,9 +1,9 @@
-"""One task, and a worker that may begin another life under its id.
+"""Model of one task and a worker that may restart under the same id.
 
-The worker has told one end of another task before, which is acknowledged. Each life numbers its
-ends from 1. A start or an acknowledgement that is on its way may meet another life than it was sent
-to. A leader may be followed by another one, which knows what is on record. Another worker, which
-never goes, takes the task where the leader believes that it runs nowhere.
+The worker has reported the end of another task before, which is acknowledged. Each life numbers its
+ends from 1. A start or an acknowledgement in transit may reach another life than the one it was
+sent to. A new leader restores what is recorded. A second worker, which never restarts, runs the
+task once the leader considers it to be running nowhere.
 """
 
 import dataclasses
@@ -16,19 +16,19 @@
 __all__ = ["RULES", "Bounds", "State", "make_model"]
 
 RULES = ("by_life", "greeting", "record_first", "end_on_record")
-"""Rules that may be left out: what is known of a worker is kept by its life, a call reaches the
-life that it was sent to or nobody, a start goes out once its placement is on record, and an end is
-acknowledged once it is."""
+"""Rules that may be left out: a worker's state is kept by life, a call is accepted only by the life
+that it was sent to, a start is sent after its placement is recorded, and an end is acknowledged
+after it is recorded."""
 
 _EARLIER_ENDS = 1
 
 _ELSEWHERE = -1
-"""Stands on record for the worker that never goes."""
+"""The recorded life of the second worker, which never restarts."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     restarts: int = 2
     takeovers: int = 2
@@ -36,13 +36,14 @@
 
 
 class State(NamedTuple):
-    """The worker's current life, what is on its way to it, the leader, and what is on record.
+    """The worker's current life, the messages to it, the leader's state, and the recorded state.
 
-    ``end`` is the number and run of the end that the life lists, ``forgotten`` up to which number
-    it has forgotten ends. ``start`` and ``ack`` are the life meant and the run or number.
+    ``end`` is the number and run of the end that the life lists, ``forgotten`` the number up to
+    which it has dropped ends. ``start`` and ``ack`` are the addressed life and the run or number.
 
-    The leader believes in ``life``, has placed ``placed`` there (0 for nowhere), may have sent its
-    start, and knows ends up to ``known``.
+    ``life`` is the worker's life in the leader's state, ``placed`` the run that is placed there
+    (0 for none), ``is_sent`` whether its start was sent, and ``known`` the number of the last end
+    that the leader has read.
     """
 
     worker_life: int = 0
@@ -68,14 +69,14 @@
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         if state.is_twice:
             return []
         steps = [*self._at_worker(state), *self._at_leader(state)]
@@ -169,9 +170,9 @@
         return done._replace(recorded_run=state.run, recorded_life=state.life)
 
     def _hear(self, state: State) -> State:
-        """Take over a list of runs, which its worker tells over a connection of this life."""
+        """Apply the worker's report of its runs, received over a connection of its current life."""
         if state.worker_life != state.life and self._holds("by_life"):
-            # The life that was known is over, and with it all that ran there.
+            # The previous life has ended, and so have all of its runs.
             return state._replace(life=state.worker_life, placed=0, known=0)
         after = state._replace(life=state.worker_life)
         if state.end and state.end[0] > state.known:
@@ -180,7 +181,7 @@
             return after._replace(is_done=True, placed=0) if run == state.placed else after
         if state.running or state.end or state.start or not state.is_sent:
             return after
-        # It is not there any more, and its end is not listed.
+        # The run has gone, and its end is not listed.
         return after._replace(placed=0)
 
     def _take_over(self, state: State) -> State:
@@ -197,7 +198,7 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model, with a rule left out if named."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     return make_protocol(
         "life",
--- a/specs/placement_model.py
+++ b/specs/placement_model.py
@@ -1,13 +1,13 @@
-"""The protocol of one task: placed, run under a lease, declared lost, placed again.
+"""Model of the placement of one task: placed, run under a lease, declared lost, placed again.
 
-Two nodes read one log at their own speed; two workers run what arrives in time. Any step may
-be followed by any other, so pauses, late orders and slow readers are all covered, and a node
-may restart with empty memory. Worker 0 may vanish from the VM list and go on running all the
-same: that is the worst case of a list that is wrong.
+Two nodes read one log independently; two workers run the orders that arrive in time. Transitions
+interleave freely, which covers pauses, late orders and slow readers, and a node may restart with
+empty memory. Worker 0 may disappear from the VM list and continue to run, which is the worst
+case of a wrong list.
 
-A node's knowledge is the meaning of the prefix that it has read, so the log itself need not
-be part of the state. Each rule that safety rests on can be left out, by name, to see the
-checker find the failure.
+A node's state is derived from the prefix of the log that it has read, so the log itself isn't
+part of the state. Each rule that safety depends on can be left out by name; the checker then
+finds a counterexample.
 """
 
 import dataclasses
@@ -24,7 +24,7 @@
 VALID = 1
 MARGIN = 1
 SKEW = 1
-"""The workers' clocks are behind the nodes' by the whole margin."""
+"""The workers' clocks are behind the nodes' clocks by the whole margin."""
 
 RULES = (
     "fence",
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     ticks: int = 4
     attempts: int = 2
@@ -50,10 +50,10 @@
 
 
 class View(NamedTuple):
-    """What a prefix of the log means.
+    """The state derived from a prefix of the log.
 
-    ``confirmed`` tells of each node whether it has confirmed the end of worker 0, and
-    ``fenced`` when the last one did.
+    ``confirmed`` holds for each node whether it has confirmed the end of worker 0, and
+    ``fenced`` the tick at which the last one did (-1 for not yet).
     """
 
     queued: bool = False
@@ -66,14 +66,14 @@
 
 
 class Node(NamedTuple):
-    """What a node knows; one that starts again acts only after reading its own joining."""
+    """A node's view; after a restart, it acts only after it has read its own join record."""
 
     view: View = View()
     joined: bool = True
 
 
 class Worker(NamedTuple):
-    """What really runs: the attempt (0 for none), its lease, and ids never to be started."""
+    """The running attempt (0 for none), the end of its lease, and the attempts to be refused."""
 
     attempt: int = 0
     lease_until: int = 0
@@ -81,7 +81,7 @@
 
 
 class Order(NamedTuple):
-    """An order on its way: start or renew an attempt."""
+    """An order in transit that starts or renews an attempt."""
 
     worker: int
     attempt: int
@@ -89,7 +89,7 @@
 
 
 class State(NamedTuple):
-    """Everything: the time, the log's meaning, and what nodes, workers and the wire hold."""
+    """The time, the state of the whole log, the nodes, the workers, and the orders in transit."""
 
     now: int = 0
     truth: View = View()
@@ -100,7 +100,7 @@
 
 
 class Append(NamedTuple):
-    """A record that a node appends; the subject is a worker or an attempt."""
+    """A record that a node appends; ``subject`` is a worker or an attempt."""
 
     node: int
     kind: str
@@ -108,12 +108,12 @@
 
     @property
     def label(self) -> str:
-        """The step's name in a trace."""
+        """The transition's label in a trace."""
         return f"node {self.node} appends {self.kind} {self.subject}"
 
 
 def parse_append(label: str) -> Append | None:
-    """Read back an append from a step's name, or None for another step."""
+    """Parse the append from a transition's label; return None for other transitions."""
     words = label.split()
     if len(words) != 5 or words[2] != "appends":
         return None
@@ -121,20 +121,20 @@
 
 
 class PlacementRules(Rules):
-    """The rules by which records are judged."""
+    """The rules by which records are validated."""
 
     def __init__(self, left_out: str, attempts: int) -> None:
         super().__init__(left_out)
         self._attempts = attempts
 
     def earliest_loss(self, fenced: int) -> int:
-        """Give the last moment at which an attempt on a fenced worker may still run."""
+        """Return the last tick at which an attempt on a fenced worker may still run."""
         lease = LEASE if self.holds("lease_wait") else 0
         margin = MARGIN if self.holds("clock_margin") else 0
         return fenced + VALID + lease + margin
 
     def judge(self, view: View, append: Append, now: int) -> View | None:
-        """Apply a record at its offset; None where it is void."""
+        """Apply a record at its offset; return None if it is invalid."""
         if append.kind == "confirm":
             return view
         if append.kind == "gone":
@@ -144,7 +144,7 @@
         if view.done or view.queued or append.subject != view.attempt:
             return None
         if append.kind == "end":
-            # An attempt that failed is tried again, unless it was the last one.
+            # A failed attempt is retried unless it was the last one.
             is_last = view.attempt >= self._attempts
             return view._replace(done=True) if is_last else view._replace(queued=True)
         return view._replace(queued=True) if self._may_be_lost(view, now) else None
@@ -164,7 +164,7 @@
         return view.fenced >= 0 and now > self.earliest_loss(view.fenced)
 
     def confirm(self, view: View, node: int, now: int) -> View:
-        """Note that a node has read of the worker's end."""
+        """Record that a node has read the record of the worker's end."""
         view = view._replace(confirmed=replaced(view.confirmed, node, True))
         enough = all if self.holds("fence_by_all") else any
         if view.fenced < 0 and enough(view.confirmed):
@@ -173,14 +173,14 @@
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: PlacementRules) -> None:
         self._bounds = bounds
         self._rules = rules
 
     def transitions(self, state: State) -> list:
-        """List what can happen next; nothing that matters does once the task has ended."""
+        """Return all labels and next states; there are none once the task has ended."""
         if state.truth.done:
             return []
         steps = [*self._tick(state), *self._worker_steps(state), *self._restarts(state)]
@@ -189,7 +189,7 @@
         return steps
 
     def _tick(self, state: State) -> list:
-        # What time does before the worker is declared gone is covered by "ends".
+        # Leases that expire before the worker is declared gone are covered by "ends".
         if state.now >= self._bounds.ticks or not state.truth.gone:
             return []
         local = state.now + 1 - SKEW
@@ -275,7 +275,7 @@
             truth = state.truth
             if truth.gone:
                 truth = self._rules.confirm(truth, number, state.now)
-            # It reads the log from its start, where worker 0 is not gone yet.
+            # The node reads the log from its start, where worker 0 is not gone yet.
             nodes = replaced(state.nodes, number, Node(View(), joined=False))
             after = state._replace(truth=truth, nodes=nodes, restarts=state.restarts + 1)
             steps.append((f"node {number} restarts", after))
@@ -291,14 +291,14 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker.
+    """Build the checker's protocol.
 
     Parameters
     ----------
     bounds
-        How far the search goes.
+        Limits of the search.
     left_out
-        One of `RULES`, to see what it is for; nothing for the protocol as it is.
+        The one of `RULES` that is left out; an empty string for the complete protocol.
     """
     model = Model(bounds, PlacementRules(left_out, bounds.attempts))
     return make_protocol(
@@ -316,10 +316,10 @@
 
 
 def _queued_means_idle(state: dict) -> bool:
-    """While the log says that the task waits, nothing of it runs."""
+    """Check whether a task that is queued according to the log runs nowhere."""
     return not state["truth"].queued or not any(w.attempt for w in state["workers"])
 
 
 def _is_settled(bounds: Bounds, state: dict) -> bool:
-    """Tell whether the task has ended, or time is up."""
+    """Check whether the task has ended or the last tick is reached."""
     return state["truth"].done or state["now"] >= bounds.ticks
--- a/specs/quota_model.py
+++ b/specs/quota_model.py
@@ -1,11 +1,12 @@
-"""What a team has running, as its leader counts it and as it is: no start passes the quota.
+"""Model of a team's quota use, as counted by the leader and as it is: no start exceeds the quota.
 
-Tasks of one size. The leader counts what is or may be at a worker; an order may be carried out long
-after it was sent, its answer may be lost, a worker may be cut off and run on, another leader may
-take over, and the quota may be lowered between a placement and its start.
+All tasks have the same size. The leader counts tasks that run or may run at a worker. An order may
+be executed long after it was sent, its response may be lost, a worker may be disconnected and
+continue to run, the leader may change, and the quota may be lowered between a placement and its
+start.
 
-What is held until it is on record is counted as well, and is no rule here: the look where a start
-goes out would catch it.
+Placements that aren't recorded yet are counted, too. This isn't a rule that can be left out, since
+the check before a start is sent would prevent the violation.
 """
 
 import dataclasses
@@ -22,11 +23,11 @@
 LOWERED_QUOTA = 1
 
 RULES = ("unanswered", "stopping", "cut_off", "adopted", "looked_at_where_sent")
-"""Rules that may be left out: what is counted, and the second look."""
+"""Rules that may be left out: the phases that are counted, and the check before sending."""
 
 
 class Phase(enum.IntEnum):
-    """What the leader believes of a task."""
+    """A task's phase in the leader's state."""
 
     WAITING = 0
     HELD = 1
@@ -36,12 +37,12 @@
     STOPPING = 5
     CUT_OFF = 6
     ADOPTED = 7
-    """An earlier leader placed it; its worker has not told yet."""
+    """Placed by an earlier leader; its worker has not reported yet."""
     DONE = 8
 
 
 class There(enum.IntEnum):
-    """What is at the worker."""
+    """A task's state at its worker."""
 
     NOTHING = 0
     ON_ITS_WAY = 1
@@ -59,14 +60,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     tasks: int = 3
     takeovers: int = 1
 
 
 class State(NamedTuple):
-    """The leader's belief and the truth of each task; whether a start passed the quota of then."""
+    """The leader's phases, the tasks' states at workers, and whether a start exceeded the quota."""
 
     phases: tuple = ()
     there: tuple = ()
@@ -76,14 +77,14 @@
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         steps = []
         if state.quota == QUOTA:
             steps.append(("the quota is lowered", state._replace(quota=LOWERED_QUOTA)))
@@ -104,7 +105,7 @@
         return rule is None or self._holds(rule)
 
     def _take_over(self, state: State) -> State:
-        """Take everything on record as possibly at its worker."""
+        """Adopt every recorded placement as possibly running."""
         gone = (Phase.WAITING, Phase.DONE)
         phases = tuple(phase if phase in gone else Phase.ADOPTED for phase in state.phases)
         return state._replace(phases=phases, takeovers=state.takeovers + 1)
@@ -139,10 +140,10 @@
         return (f"{task} is sent", after._replace(passed=state.passed or real >= state.quota))
 
     def _settle(self, state: State, task: int) -> list:
-        """List how it becomes sure that a run is over, or what it is."""
+        """Return the transitions by which the leader learns a run's state or end."""
         phase, there = state.phases[task], state.there[task]
         if phase is Phase.STOPPING:
-            # The worker refuses what is not there yet for good, and lists what ended.
+            # The worker refuses a start that arrives later, and lists a run that ended.
             return [(f"{task} has stopped", _again(state, task))]
         if phase is Phase.CUT_OFF and there is There.ENDED:
             return [(f"lease of {task} is over", _again(state, task))]
@@ -150,7 +151,7 @@
             return []
         if there is There.RUNNING:
             return [(f"{task} goes on", _believe(state, task, Phase.RUNNING))]
-        # The new leader's token shuts out what is on its way.
+        # The new leader's fencing token rejects a start that is in transit.
         return [(f"{task} was not there", _again(state, task))]
 
     def _of_worker(self, state: State, task: int) -> list:
@@ -175,7 +176,7 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     initial = State((Phase.WAITING,) * bounds.tasks, (There.NOTHING,) * bounds.tasks)
     return make_protocol(
--- a/specs/request_model.py
+++ b/specs/request_model.py
@@ -1,7 +1,7 @@
-"""The protocol of one not-repeatable request: at most one run, and "not run" said truly.
+"""Model of one non-repeatable request: it runs at most once, and "not run" is always true.
 
-A caller asks two nodes with the same id, one after the other or at once. Appends may arrive
-late, twice, or never; nodes may give up waiting, and restart with empty memory.
+A caller sends it to two nodes with the same id, one after the other or concurrently. Appends may
+arrive late, twice, or never; nodes may time out, and restart with empty memory.
 """
 
 import dataclasses
@@ -28,14 +28,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     restarts: int = 2
     resends: int = 1
 
 
 class Node(NamedTuple):
-    """One node's try: its incarnation, where it stands, and what its caller was told."""
+    """A node's attempt: its incarnation, its phase, and the outcome returned to its caller."""
 
     incarnation: int = 0
     phase: str = IDLE
@@ -43,19 +43,23 @@
 
 
 class Append(NamedTuple):
-    """An intent on its way to the log."""
+    """An intent in transit to the log."""
 
     node: int
     incarnation: int
 
     @property
     def label(self) -> str:
-        """The step's name in a trace."""
+        """The transition's label in a trace."""
         return f"log takes the intent of node {self.node} incarnation {self.incarnation}"
 
 
 class State(NamedTuple):
-    """``holder`` is whose intent is valid; ``wire`` holds appends, ``sent`` requests."""
+    """The log, the nodes, and the messages in transit.
+
+    ``holder`` is the node and incarnation of the valid intent; ``wire`` holds the appends in
+    transit, ``sent`` the nodes of the requests in transit to the minion.
+    """
 
     holder: tuple = ()
     log: tuple = ()
@@ -69,7 +73,7 @@
 
 
 def parse_append(label: str) -> Append | None:
-    """Read back an append from a step's name, or None for another step."""
+    """Parse the append from a transition's label; return None for other transitions."""
     words = label.split()
     if words[:2] != ["log", "takes"]:
         return None
@@ -77,14 +81,14 @@
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         steps = [*self._log_steps(state), *self._minion_steps(state)]
         for number, node in enumerate(state.nodes):
             steps += self._node_steps(state, number, node)
@@ -129,14 +133,14 @@
         if state.resends < self._bounds.resends:
             step("appends again", node, wire=state.wire | {intent}, resends=state.resends + 1)
         is_own = self._is_own(state, number, node)
-        # The verdict on the record that was read back, or any own intent already there.
+        # Judged by the intent in the log, or, without the rule, by any own intent.
         judged = intent in state.log or (is_own and not self._holds("own_incarnation"))
         gave_up = state.ended and self._holds("giving_up_is_final")
         if judged and is_own and not gave_up:
             step("sends", node._replace(phase=SENT), sent=(*state.sent, number))
         elif judged:
             self._tell_known(state, node, step)
-        # Without a verdict the node cannot know of another node's try with the same id.
+        # Before its intent is judged, a node can't exclude another node's attempt with the id.
         knows = (judged and is_own) or not self._holds("not_run_needs_a_verdict")
         told = "not_run" if knows and not state.ended else "unknown"
         ended = state.ended or ("not_run" if is_own else "")
@@ -152,7 +156,7 @@
         if not self._holds("no_retry_after_sending") and len(state.sent) < 2:
             step("sends again", node, sent=(*state.sent, number))
         elif number not in state.sent and number not in state.runs:
-            # The connection was refused: no byte went out.
+            # The connection was refused, so nothing was sent.
             ended = state.ended or ("not_run" if is_own else "")
             step("was refused", node._replace(phase=OVER, told="not_run"), ended=ended)
 
@@ -164,14 +168,14 @@
             if not holder or not self._holds("one_intent"):
                 holder = tuple(intent)
             node = state.nodes[intent.node]
-            # A node that gave up sent the end right behind the intent.
+            # A node that gave up appended the end right after the intent.
             gave_up = node.told == "unknown" and holder == tuple(intent)
             ended = "not_run" if gave_up and not state.ended else state.ended
             taken = state._replace(wire=left, holder=holder, log=(*state.log, intent), ended=ended)
             if intent in state.log:
-                # The same batch again is void, by its sequence number.
+                # A repeated batch is invalid, by its sequence number.
                 taken = state._replace(wire=left)
-            # An incarnation that was replaced can append no more.
+            # An earlier incarnation can't append any more.
             if state.nodes[intent.node].incarnation != intent.incarnation:
                 taken = state._replace(wire=left)
             steps.append((intent.label, taken))
@@ -190,7 +194,7 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     return make_protocol(
         "request",
@@ -207,7 +211,7 @@
 
 
 def _not_run_is_true(state: dict) -> bool:
-    """Check that a try of which "not run" was told neither ran nor is on its way."""
+    """Check whether a request that was reported as "not run" neither ran nor is in transit."""
     return not any(
         node.told == "not_run" and (number in state["runs"] or number in state["sent"])
         for number, node in enumerate(state["nodes"])
--- a/specs/slot_model.py
+++ b/specs/slot_model.py
@@ -1,6 +1,6 @@
-"""The division of one minion's slots between two nodes.
+"""Model of the division of one minion's slots between two nodes.
 
-A node uses only its own share as its part of the log shows it. It may restart with empty
+A node uses only its own share, as of the log that it has read. It may restart with empty
 memory while requests that it forwarded still run; they end within a deadline.
 """
 
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     ticks: int = 3
     restarts: int = 1
 
 
 class Node(NamedTuple):
-    """The share that a node knows of, what of it is on its way back, and its incarnation."""
+    """A node's share as it has read it, the slots being returned, and the node's incarnation."""
 
     known: int = 0
     returning: int = 0
@@ -49,12 +49,16 @@
 
     @property
     def label(self) -> str:
-        """The step's name in a trace."""
+        """The transition's label in a trace."""
         return f"node {self.node} appends {self.kind}"
 
 
 class State(NamedTuple):
-    """``running`` holds a start time for each request at the minion, ``cooling`` end times."""
+    """The shares, the nodes, and the requests at the minion.
+
+    ``running`` and ``orphans`` hold the start times of requests of current and earlier
+    incarnations, ``cooling`` the ticks until which slots of a restarted node stay unused.
+    """
 
     now: int = 0
     shares: tuple = (0, 0)
@@ -66,20 +70,20 @@
 
 
 def parse_append(label: str) -> Append | None:
-    """Read back an append from a step's name, or None for another step."""
+    """Parse the append from a transition's label; return None for other transitions."""
     words = label.split()
     return Append(int(words[1]), words[3]) if words[2:3] == ["appends"] else None
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         steps = self._tick(state)
         for number, node in enumerate(state.nodes):
             steps += self._node_steps(state, number, node)
@@ -90,7 +94,7 @@
         if state.now >= self._bounds.ticks:
             return []
         now = state.now + 1
-        # Requests end within their deadline, also those whose node is gone.
+        # Requests end within their deadline, even if their node has restarted.
         running = tuple(
             tuple(since for since in own if since + DEADLINE >= now) for own in state.running
         )
@@ -162,7 +166,7 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     return make_protocol(
         "slots",
--- a/specs/starvation_model.py
+++ b/specs/starvation_model.py
@@ -1,8 +1,8 @@
-"""Two workers that may be set aside for failures: how long a job waits beside them.
+"""Model of two workers that may be quarantined for failures: the waiting time of a job is bounded.
 
-Runs of other jobs fail on either worker at any time, and a run that goes on may stand on one that
-is on trial. A job that only one of them may run waits meanwhile. Time goes in ticks of half a
-second; the job is placed at a tick as soon as the worker that may run it is open to it.
+Runs of other jobs may fail on either worker at any time, and a long run may occupy a worker that is
+on probation. Only the first worker may run the waiting job. A tick is half a second; the job is
+placed at the first tick at which that worker is available.
 """
 
 import dataclasses
@@ -15,32 +15,33 @@
 __all__ = ["RULES", "Bounds", "State", "Worker", "make_model"]
 
 RULES = ("half", "longest_aside", "trial_ends", "last_resort")
-"""Rules that may be left out: half of the workers at most are aside, the time aside has a bound, a
-trial ends, and a job that has waited for long takes any worker."""
+"""Rules that may be left out: at most half of the workers are quarantined, the quarantine time is
+bounded, probation ends, and a job that has waited for long accepts any worker."""
 
 ASIDE_TICKS = 4
 LONGEST_ASIDE_TICKS = 16
 TRIAL_TICKS = 4
 CHOOSY_TICKS = 4
 ALLOWED_TICKS = 6
-"""Users allow a job to run nothing for three seconds."""
+"""A job may wait for three seconds without running anything."""
 
 _MOST_TIMES_ASIDE = 3
 
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     takeovers: int = 1
     failures: int = 5
 
 
 class Worker(NamedTuple):
-    """A worker as the leader sees it, in ticks.
+    """A worker in the leader's state; times are in ticks.
 
-    ``aside`` and ``trial`` are what is left of its time aside and of its trial, ``times`` how often
-    it was set aside; a run that goes on ``is_held`` there; nothing began for ``closed`` ticks.
+    ``aside`` and ``trial`` are the remaining times of its quarantine and probation, ``times`` the
+    number of its quarantines, ``is_held`` whether a long run occupies it, and ``closed`` the time
+    for which it has not been available.
     """
 
     aside: int = 0
@@ -51,7 +52,7 @@
 
 
 class State(NamedTuple):
-    """The workers, of which the first may run the job, how long that has waited, and bounds."""
+    """The workers, the job's waiting time in ticks, and the counts that are bounded."""
 
     workers: tuple[Worker, Worker] = (Worker(), Worker())
     waited: int = 0
@@ -61,14 +62,14 @@
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         workers = tuple(Worker(*worker) for worker in state.workers)
         state = state._replace(workers=workers)
         if not _waits_within_bounds(state) or not _closed_within_bounds(state):
@@ -86,7 +87,7 @@
         return steps
 
     def _fail(self, state: State, number: int) -> State:
-        """Have enough runs fail on a worker to doubt it."""
+        """Return the state after enough failures on a worker to quarantine it."""
         state = state._replace(failures=state.failures + 1)
         if self._holds("half") and any(worker.aside for worker in state.workers):
             return state
@@ -135,7 +136,7 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     return make_protocol(
         "starvation",
--- a/specs/tools.py
+++ b/specs/tools.py
@@ -1,4 +1,4 @@
-"""What the models share."""
+"""Helpers for building the models."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 def replaced(values: tuple, index: int, value: object) -> tuple:
-    """Give a tuple with one value replaced."""
+    """Return a copy of a tuple with one item replaced."""
     return (*values[:index], value, *values[index + 1 :])
 
 
@@ -20,7 +20,7 @@
         self._left_out = left_out
 
     def holds(self, rule: str) -> bool:
-        """Tell whether a rule is in force."""
+        """Check whether a rule is in force."""
         return rule != self._left_out
 
 
@@ -32,27 +32,27 @@
     invariants: dict[str, Callable[[dict], bool]],
     goal: Callable[[dict], bool],
 ) -> Protocol:
-    """Make the checker's protocol of a model whose states are one kind of named tuple.
+    """Build the checker's protocol for a model whose states are named tuples of one type.
 
     Parameters
     ----------
     name
         The model's name.
     left_out
-        The rule that is left out, or nothing.
+        The rule that is left out, or an empty string.
     initial
-        The first state, a named tuple.
+        The initial state.
     transitions
-        Gives labels and next states of a state; all of them are of the first one's kind.
+        Returns the labels and next states of a state; all states have the initial state's type.
     invariants
-        What must hold in every state, by name.
+        Predicates that must hold in every state, by name.
     goal
-        What has to stay within reach.
+        Predicate of the states that must stay reachable.
     """
     kind = type(initial)
 
     def list_steps(values: tuple) -> list:
-        # The checker knows plain tuples only.
+        # The checker supports plain tuples only.
         return [(label, tuple(after)) for label, after in transitions(kind(*values))]
 
     return Protocol(
