--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,16 +1,15 @@
-"""A randomized soak: real daemons, faults from outside, promises checked from outside.
+"""A randomized soak test of real daemons under injected faults.
 
     python -m tests.soak --seeds 1-50 [--seconds 15] [--nodes 3] [--workers 4]
 
-Each seed runs some daemons as processes, three unless told otherwise. Their paths to the store and
-the workers' paths go through loopback proxies. Faults come in series and overlap: processes are
-killed, paused, stopped and started; paths are delayed, reset, cut one way or silenced; the store
-refuses, hangs or loses answers; workers crash; configurations and settings change. From seed 1000
-on, tasks end their workers, too, workers' rooms shrink and grow, and another writer's entries lie
-beside theirs; from seed 2000 on, some jobs fail wherever they run, and some workers fail all that
-they start; from seed 3000 on, workers restart under their ids.
-Callers keep their connections open until a process is gone. Only processes that the soak started
-are ended.
+Each seed runs the daemons as processes. The connections to the store and to the workers go through
+loopback proxies. Faults may overlap: processes are killed, paused, stopped and started; connections
+are delayed, reset or black-holed, also in one direction; the store refuses requests, hangs or loses
+responses; workers crash; configurations and settings change. From seed 1000 on, tasks crash their
+workers, workers' capacities change, and another writer appends malformed entries; from seed 2000
+on, some jobs fail on every worker, and some workers fail every run; from seed 3000 on, workers
+restart under their ids.
+Callers reuse their connections until a process ends.
 """
 
 import argparse
@@ -35,43 +34,54 @@
 CALL_SECONDS = 3.0
 CALLERS = 4
 READY_SECONDS = 5.0
-"""The longest that each node may take to be ready: many start at the same moment."""
+"""The longest until the nodes are ready, for each node, since all start at the same time."""
 SUBMIT_SECONDS = 0.3
 SETTLE_SECONDS = 60.0
-"""The longest until all accepted jobs have ended: a takeover waits up to ten seconds for
-workers that it never reached."""
+"""The longest until all accepted jobs have ended; a new leader waits up to ten seconds for
+workers that it can't reach."""
 
 WIDER_FROM = 1000
-"""Seeds from here on draw from more faults; those before play as they always did."""
+"""The first seed with the extended set of faults; earlier seeds stay reproducible."""
 
 FAILING_FROM = 2000
-"""Seeds from here on draw from failing jobs and spoiling workers, too."""
+"""The first seed with failing jobs and failing workers."""
 
 RETURNING_FROM = 3000
-"""Seeds from here on draw from workers that restart under their ids, too."""
+"""The first seed with workers that restart under their ids."""
 
 CRASHING_SHARE = 0.04
 FAILING_SHARE = 0.25
 FOREIGN_ENTRIES = (b"", b"\xff", b"[" * 5000, b"{}", b'{"service":"pool","address":"x:y"}')
 
 FAILED_SEEDS: dict[int, float] = {
-    # A new leader repeated the fence whose answer was lost, and took the conflict for a failure.
+    # A new leader repeated a fencing append whose response was lost, and treated the conflict as
+    # a failure.
     306: 15.0,
-    # A task beside others that end their workers was given up after three crashes, the third of
-    # them before its start was answered: that one may have come first, and counts as a loss now.
+    # A task that ran beside crashing tasks was given up after three crashes, although its third
+    # start was not confirmed before the crash. Such a start counts as a loss.
     1000: 12.0,
-    # Members of a gang whose start was not answered counted as told of, since the loss of another
-    # member had made their runs ones that are being stopped.
+    # Gang members whose start was not answered counted as confirmed, since the loss of another
+    # member had set their runs to be stopped.
     1007: 10.0,
-    # No worker was up at the moment in which one was to be resized: the soak itself failed.
+    # The soak test itself failed when no worker was up to be resized.
     2104: 10.0,
 }
-"""Seeds that ever failed, with the seconds that they ran, each with its cause beside it."""
+"""Durations in seconds of seeds that have failed before, each with its cause."""
 
 
 @dataclasses.dataclass(slots=True)
 class Submission:
-    """One job, and what its caller heard."""
+    """One submitted job and the responses to its caller.
+
+    Attributes
+    ----------
+    accepted
+        Whether a response confirmed the submission.
+    maybe
+        Whether a failed submission may have been accepted all the same.
+    ends
+        The state in which the job should end.
+    """
 
     path: str
     body: dict
@@ -81,7 +91,7 @@
 
 
 class Caller(threading.Thread):
-    """Submits jobs over connections that it keeps open, and repeats what had no answer."""
+    """Submits jobs over persistent connections and retries failed submissions."""
 
     def __init__(self, soak: "Soak", number: int) -> None:
         super().__init__(daemon=True)
@@ -109,7 +119,7 @@
                     break
 
     def _submit(self, submission: Submission) -> bool:
-        """Submit once; tell whether to ask again."""
+        """Submit a job once; return whether to retry."""
         node = self._source.choice(self._soak.cluster.nodes)
         pool = self._pools.setdefault(
             node.node,
@@ -134,7 +144,7 @@
 
 
 class Soak:
-    """One seed's run."""
+    """The run of one seed."""
 
     def __init__(self, seed: int, seconds: float, nodes: int = 3, workers: int = 4) -> None:
         self.seed = seed
@@ -142,7 +152,7 @@
         self._seconds = seconds
         self._source = random.Random(seed)
         self.cluster = EntryCluster(nodes, workers, work_s=0.3, proxies=Proxy)
-        # A gang may wait in vain while paths are cut; only calm days forbid it.
+        # The gang wait limit doesn't apply while connections are cut.
         self.cluster.workers.checks.is_calm = False
         self._version = CONFIGURATION["version"]
         self._faults: list[Callable[[], None]] = [
@@ -166,16 +176,16 @@
 
     @property
     def is_wider(self) -> bool:
-        """Whether this seed draws from all faults."""
+        """Whether this seed draws from the extended set of faults."""
         return self.seed >= WIDER_FROM
 
     @property
     def has_failures(self) -> bool:
-        """Whether this seed draws from failing jobs and spoiling workers."""
+        """Whether this seed has failing jobs and failing workers."""
         return self.seed >= FAILING_FROM
 
     def run(self, kept_logs: pathlib.Path | None = None) -> list[str]:
-        """Play; give what did not hold, and keep the daemons' logs where it did not."""
+        """Run the seed and return the violations; if there are any, copy the daemons' logs."""
         try:
             broken = self._play()
             if broken and kept_logs is not None:
@@ -273,7 +283,7 @@
         workers = self.cluster.workers
         up = [life for life, model in workers.models.items() if model.is_up]
         if not up:
-            # Tasks that end their workers may have ended all of them just now.
+            # Crashing tasks may have ended all workers.
             return
         life = self._source.choice(up)
         share = self._source.choice((0.0, 0.2, 0.5, 1.0))
@@ -301,7 +311,7 @@
     # -- checks ----------------------------------------------------------------------------
 
     def _may_be_given_up(self, path: str) -> bool:
-        """Whether two workers crashed under a task of a job, or its attempts are used up."""
+        """Check whether a job may fail, after two crashes under a task or too many failed runs."""
         job = path.rpartition("/")[2]
         checks = self.cluster.workers.checks
         return checks.may_be_given_up(job) or (self.has_failures and checks.is_over(job))
@@ -333,7 +343,7 @@
 
 
 def main() -> None:
-    """Run the seeds one after the other; end with 1 if anything did not hold."""
+    """Run the seeds one after the other; exit with status 1 if any has violations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1-5", help="FIRST-LAST")
     parser.add_argument("--seconds", type=float, default=15.0)
--- a/tests/standins/_http.py
+++ b/tests/standins/_http.py
@@ -1,8 +1,8 @@
-"""What the stand-ins share: a small HTTP server, switches for faults, and a ledger.
+"""Base of the stand-ins: a small HTTP server with injected faults and a ledger.
 
-``POST /faults`` sets faults. A fault names the agents it applies to (a node's name, or ``*``)
-and what happens to their requests: ``refuse`` answers 503 without effect, ``lose`` takes
-effect but answers 504, ``slow_ms`` delays the effect. ``GET /ledger`` tells all that happened.
+``POST /faults`` sets the faults by agent (a node's name, or ``*`` for all): ``refuse`` responds
+with 503 without executing the request, ``lose`` executes it but responds with 504, ``slow_ms``
+delays its execution. ``GET /ledger`` returns all recorded events.
 """
 
 import argparse
@@ -18,7 +18,7 @@
 
 
 class Fault(msgspec.Struct):
-    """Faults for one agent; ``path`` bounds them to one path."""
+    """Faults for one agent; ``path`` limits them to paths that contain it."""
 
     refuse: bool = False
     lose: bool = False
@@ -27,7 +27,7 @@
 
 
 class Answer(msgspec.Struct):
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes = b""
@@ -54,7 +54,7 @@
 
 
 class Standin:
-    """Serves a handler, with faults and a ledger in front of it."""
+    """Serves a handler over HTTP, with injected faults and a ledger."""
 
     def __init__(self, handler: Callable[[Request], Answer]) -> None:
         self._handler = handler
@@ -63,7 +63,7 @@
         self._lock = threading.Lock()
 
     def note(self, event: str, **fields) -> None:
-        """Write a line of the ledger."""
+        """Append an event to the ledger."""
         with self._lock:
             self._ledger.append({"at_ms": now_ms(), "event": event, **fields})
 
@@ -108,7 +108,7 @@
         return [answer.body]
 
     def serve(self, port: int) -> None:
-        """Serve on a loopback port; 0 takes a free one. Prints the address, then serves."""
+        """Print the address and serve on a loopback port; port 0 selects a free one."""
         server = waitress.create_server(
             self._application, host="127.0.0.1", port=port, threads=THREADS
         )
--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and nodes as processes on free loopback ports, and ends them by id."""
+"""Runs stand-ins and nodes as child processes on free loopback ports."""
 
 import contextlib
 import os
@@ -20,7 +20,7 @@
 
 
 class Timeout(AssertionError):
-    """A condition did not come true in a long time."""
+    """A condition did not become true in time."""
 
 
 def wait_for(
@@ -29,7 +29,13 @@
     seconds: float = WAIT_SECONDS,
     accept: Callable[[object], bool] = bool,
 ):
-    """Wait until a condition gives something that is accepted, and give that back."""
+    """Wait until ``accept`` is true of a condition's result, and return the result.
+
+    Raises
+    ------
+    Timeout
+        If that did not happen within ``seconds``.
+    """
     end = time.monotonic() + seconds
     last = None
     while time.monotonic() < end:
@@ -50,7 +56,7 @@
 
 
 class Process:
-    """One child process, ended by its id."""
+    """One child process that runs a module."""
 
     def __init__(self, arguments: list[str], log: pathlib.Path, pipe: bool = False) -> None:
         environment = {**os.environ, "PYTHONPATH": f"{ROOT / 'src'}:{ROOT}"}
@@ -71,7 +77,7 @@
     def first_line(self) -> str:
         line = self._process.stdout.readline().decode().strip()
         if not line:
-            raise Timeout(f"the process said nothing; see {self.log}")
+            raise Timeout(f"the process printed no line; see {self.log}")
         return line
 
     def signal(self, number: int) -> None:
@@ -82,7 +88,7 @@
 
     def end(self) -> None:
         if self._process.poll() is None:
-            # A stopped process takes no other signal.
+            # A stopped process handles no signal before it is continued.
             self._process.send_signal(signal.SIGCONT)
             self._process.kill()
             self._process.wait()
@@ -96,7 +102,9 @@
     Parameters
     ----------
     workers, minions
-        How many; ``rack`` workers share a rack.
+        The numbers of workers and minions.
+    rack
+        The number of workers in a rack.
     timing
         Overrides for the nodes' ``[timing]`` section.
     """
@@ -247,7 +255,7 @@
         if vm_gone:
             self.remove_vms([name])
 
-    # -- talking ---------------------------------------------------------------------------
+    # -- requests --------------------------------------------------------------------------
 
     def post(self, url: str, value) -> object:
         response = self._http.request("POST", url, body=msgspec.json.encode(value), timeout=10)
@@ -284,7 +292,7 @@
         return msgspec.json.decode(self.request(node, "GET", path).data)
 
     def call(self, node: str, body: bytes = b"", path: str = "/", **headers: str):
-        """Send a request to the cluster's endpoint; underscores in names become dashes."""
+        """Send a request to the endpoint; underscores in header names become dashes."""
         named = {key.replace("_", "-"): value for key, value in headers.items()}
         return self.request(
             node, "POST", f"/call/{self._group}{path}", body, {"Content-Type": "x/y", **named}
@@ -337,7 +345,7 @@
         )
 
     def print_logs(self) -> None:
-        """Show the nodes' logs, for a failed test."""
+        """Print the ends of the nodes' logs, for a failed test."""
         for log in sorted(self.folder.glob("node-*.log")):
             with contextlib.suppress(OSError):
                 print(f"--- {log.name}\n{log.read_text(encoding='utf-8')[-4000:]}")
--- a/tests/standins/entry_cluster.py
+++ b/tests/standins/entry_cluster.py
@@ -1,4 +1,4 @@
-"""Real entry daemons, as processes, on the platform's stand-ins."""
+"""Runs real entry daemons as processes against the platform's stand-ins."""
 
 import json
 import os
@@ -74,7 +74,7 @@
 
 
 def wait_until(condition, seconds: float = 15.0) -> bool:
-    """Wait for a condition; the bound only keeps a broken test from hanging."""
+    """Wait for a condition and return whether it became true within ``seconds``."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         if condition():
@@ -84,7 +84,7 @@
 
 
 class EntryProcess:
-    """One daemon."""
+    """One entry daemon as a child process."""
 
     def __init__(self, cluster: "EntryCluster", number: int) -> None:
         self.number = number
@@ -138,7 +138,7 @@
         return len(self.lines("leading")) > len(self.lines("deposed")) + len(self.lines("draining"))
 
     def call(self, method: str, path: str, body=None, headers=None):
-        """Make one call; gives status, decoded body and headers, or a status of 0."""
+        """Send a request; return status, decoded body and headers, or status 0 on an error."""
         sent = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
         given = {"Host": "jobs.example", "Content-Type": "application/json", **(headers or {})}
         pool = urllib3.HTTPConnectionPool(self.ip, self.front, retries=False, timeout=5)
@@ -168,7 +168,7 @@
 
 
 class EntryCluster:
-    """Daemons and the stand-ins that they talk to."""
+    """Entry daemons and the stand-ins that they connect to."""
 
     def __init__(
         self,
@@ -197,7 +197,7 @@
         self.folder.cleanup()
 
     def store_address(self, number: int) -> str:
-        """Where a node finds the store: behind its own proxy, if there are proxies."""
+        """Return the store's address for a node: that of its proxy, if there are proxies."""
         return self.store_proxies[number - 1].address if self.store_proxies else self.store.address
 
     def wait_ready(self, seconds: float = 15.0) -> bool:
@@ -211,7 +211,7 @@
         return found[-1] if found else None
 
     def job(self, steps: list[dict], prefix: str = "/jobs/") -> tuple[str, dict]:
-        """Draw a job's path and body, known to the workers' stand-ins and checks."""
+        """Make a job's path and body, and register it with the workers' stand-ins and checks."""
         from snowdock.platform.job_bodies import decode_job
 
         job = secrets.token_hex(8)
--- a/tests/standins/logs.py
+++ b/tests/standins/logs.py
@@ -10,7 +10,7 @@
 
 
 class Log:
-    """Appends, reads with long poll, and a bounded number of entries kept."""
+    """A log with long polling that keeps a bounded number of entries."""
 
     def __init__(self, retention: int) -> None:
         self._retention = retention
--- a/tests/standins/minions.py
+++ b/tests/standins/minions.py
@@ -1,7 +1,7 @@
-"""Stand-in for minions: a bounded number of slots, answers slowly or wrongly on demand.
+"""Stand-in for minions with a bounded number of slots and faults on request.
 
-One process may stand for several minions, each under its own path ``/NAME``. Header
-``X-Behave`` asks for a fault: ``truncate``, ``wrong_id``, ``refuse`` or ``hang``.
+One process may serve several minions, each under its own path ``/NAME``. Header ``X-Behave``
+requests a fault: ``truncate``, ``wrong_id``, ``refuse`` or ``hang``.
 """
 
 import threading
@@ -13,7 +13,7 @@
 
 
 class Minion:
-    """Counts what runs at once and notes each request that ran."""
+    """Limits concurrent requests and records each request that ran."""
 
     def __init__(self, name: str, slots: int, note) -> None:
         self.name = name
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the platform's store, workers and advice service, speaking their protocols.
+"""Stand-ins that implement the protocols of the platform's store, workers and advice service.
 
-They run in the test's own process, each on free ports, and each can be told to misbehave.
+They run in the test's own process on free ports, and can inject faults.
 """
 
 import base64
@@ -33,11 +33,11 @@
 THREADS = 48
 MOST_CONNECTIONS = 2000
 _PORT_SECONDS = 5.0
-"""How long a port may take to be free again."""
+"""The longest that a port may take to be released."""
 
 
 class Server:
-    """An HTTP server on a loopback port, a free one unless one is given."""
+    """An HTTP server on a loopback port; port 0 selects a free one."""
 
     def __init__(
         self, handle: Callable[[str, str, dict[str, str], bytes, dict], Reply], port: int = 0
@@ -49,7 +49,7 @@
             port=port,
             threads=THREADS,
             connection_limit=MOST_CONNECTIONS,
-            # Descriptors beyond 1,023 end a server that selects: dozens of nodes have more.
+            # select() fails for descriptors beyond 1,023, which dozens of nodes exceed.
             asyncore_use_poll=True,
         )
         self.port = self._server.effective_port
@@ -66,13 +66,13 @@
         return [answer]
 
     def close(self) -> None:
-        # On the server's own thread; answers that still hang find the server gone. Under the
-        # lock: woken by an answer meanwhile, it would close what is still to be written to.
+        # Close the server on its own thread. The lock is held, since a response that wakes the
+        # thread meanwhile would make it close connections that are still being written to.
         trigger = self._server.trigger
         with trigger.lock:
             trigger.thunks.append(self._server.close)
             trigger.pull_trigger()
-        # Its threads end as soon as they are idle; 48 a server would outlive it else.
+        # Without this, the server's threads would outlive it.
         self._server.task_dispatcher.shutdown(cancel_pending=True, timeout=0)
 
 
@@ -95,10 +95,10 @@
 
 
 class StoreStandin:
-    """The store: appends, reads with long poll, newest records, producers, conditions.
+    """The store: appends, reads with long polling, latest records, producers, conditions.
 
-    ``refuse``, ``silent`` and ``lose`` are what goes wrong: calls are turned away, hang, or
-    are done and not answered. With ``old_news``, reads tell of nothing that is newer than it.
+    Faults: with ``refuse``, calls are refused; with ``silent``, they hang; with ``lose``, appends
+    are executed but not answered in time; with ``old_news``, reads return no newer records.
     """
 
     def __init__(self) -> None:
@@ -120,16 +120,16 @@
         return self._parts.setdefault((topic, 0), Partition())
 
     def put(self, topic: str, key: str, value: object) -> None:
-        """Append as the operator or a worker does; no value drops the key."""
+        """Append a JSON value as the operator or a worker does; None deletes the key."""
         self.put_raw(topic, key, b"" if value is None else json.dumps(value).encode())
 
     def put_raw(self, topic: str, key: str, data: bytes) -> None:
-        """Append bytes as anybody might."""
+        """Append raw bytes."""
         with self._changed:
             self._append(self.part(topic), [(key.encode(), data)])
 
     def keys(self, topic: str) -> set[str]:
-        """Give the keys on record in all partitions of a topic."""
+        """Return the keys of all partitions of a topic."""
         with self._changed:
             parts = [part for (name, _), part in self._parts.items() if name == topic]
             return {key.decode() for part in parts for key in part.newest}
@@ -243,21 +243,22 @@
 
 
 _LOOK_SECONDS = 0.1
-"""How often it is looked for jobs that starve."""
+"""The interval of the checks for starving jobs."""
 
 _RETURN_SECONDS = 1.5
-"""After how long another worker stands in for one that a task has ended."""
+"""The delay after which another worker replaces one that a task has crashed."""
 
 _SHRUNK_COUNTS_SECONDS = 4.5
-"""Three seconds and one heartbeat, as long as a leader may go by what a worker said before."""
+"""Three seconds and one heartbeat: a leader may use a worker's previous capacity for that long."""
 
 
 class WorkersStandin:
-    """Workers in real time, each on a port of its own, recorded in a store.
+    """Workers in real time, each on its own port and recorded in a store.
 
-    ``work_s`` gives the seconds of work of a run; ``checks`` watches all starts and ends. The
-    first task of a job in ``crashing`` ends each worker that starts it; another one comes later.
-    All runs of a job in ``failing`` fail. ``starvation`` looks at the jobs in ``accepted``.
+    ``work_s`` is the duration of a run in seconds; ``checks`` records all starts and ends. The
+    first task of a job in ``crashing`` crashes each worker that starts it; the worker is replaced
+    after a delay. All runs of a job in ``failing`` fail. ``starvation`` checks the jobs in
+    ``accepted``.
     """
 
     def __init__(
@@ -338,7 +339,7 @@
         self.record(worker)
 
     def _serve_again(self, worker: str, port: int) -> Server:
-        """Serve at the port of a server that is closing."""
+        """Serve at the port of a server that is closing, once the port is released."""
         end = time.monotonic() + _PORT_SECONDS
         while True:
             try:
@@ -352,7 +353,7 @@
         return task.job in self.crashing and (task.step, task.index) == (0, 0)
 
     def mark_crashing(self, job: str) -> None:
-        """Have the first task of a job end each worker that starts it."""
+        """Make the first task of a job crash each worker that starts it."""
         self.crashing.add(job)
         self.checks.crashing.add(TaskId(job, 0, 0, 0))
 
@@ -363,11 +364,11 @@
             self._timeline.after(_RETURN_SECONDS, lambda: self.add(returned))
 
     def resize(self, life: str, capacity: Size) -> None:
-        """Have a worker's room shrink or grow."""
+        """Change a worker's capacity."""
         with self._lock:
             model = self.models[life]
             model.entry = dataclasses.replace(model.entry, capacity=capacity)
-            # Starts count against a shrunk room only a while after it was told.
+            # Starts are checked against a smaller capacity only after a grace period.
             model.counted_capacity = model.counted_capacity.at_least(capacity)
             self._timeline.after(_SHRUNK_COUNTS_SECONDS, lambda: self._count(model, capacity))
         self.record(life)
@@ -378,7 +379,7 @@
             model.counted_capacity = capacity
 
     def crash(self, life: str) -> None:
-        """End a worker's life; its entry goes with it."""
+        """End a worker's life and delete its entry."""
         with self._lock:
             self.models[life].crash()
         self._store.put("keyed.servers", life, None)
@@ -428,7 +429,7 @@
         with self._lock:
             self._timeline.run_until(time.monotonic() - self._began)
             if not self.models[life].is_up:
-                # It has ended just now.
+                # The life ended while the timeline was advanced.
                 return 421, b""
             return self._order(self.models[life], path, call)
 
@@ -476,7 +477,7 @@
 
 
 class AdviceStandin:
-    """The advice service: all workers but those in ``unfit`` may run anything."""
+    """The advice service: all workers except those in ``unfit`` are suitable for every step."""
 
     def __init__(self) -> None:
         self.unfit: set[str] = set()
--- a/tests/standins/proxy.py
+++ b/tests/standins/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy whose connections can be delayed, reset, cut one way or silenced."""
+"""A loopback TCP proxy that can delay, reset or black-hole connections, also in one direction."""
 
 import contextlib
 import enum
@@ -24,7 +24,7 @@
 class Proxy:
     """Forwards one port; ``mode`` may be changed while connections are open.
 
-    What a cut or silence holds up is dropped, as it is where a path is gone for good.
+    Data that arrives while a direction is cut or silenced is dropped.
     """
 
     def __init__(self, target: str) -> None:
@@ -52,7 +52,7 @@
                 self._reset(each)
 
     def swallow_open(self) -> None:
-        """Silence the connections that are open for good; those to come work."""
+        """Black-hole the open connections permanently; new connections work."""
         with self._lock:
             self._swallowed |= self._sockets
 
@@ -84,7 +84,7 @@
             except OSError:
                 self._reset(client)
                 continue
-            # The time limit was for connecting; a connection may well be quiet one way.
+            # The timeout applies to connecting only; one direction may be idle for long.
             server.settimeout(None)
             with self._lock:
                 self.accepted += 1
--- a/tests/standins/swallower.py
+++ b/tests/standins/swallower.py
@@ -1,4 +1,4 @@
-"""A server whose open connections can go silent for good, without a reset, while new ones work."""
+"""A server that can stop answering on its open connections, while new connections work."""
 
 import contextlib
 import re
@@ -10,9 +10,9 @@
 
 
 class Swallower:
-    """Answers each request; ``swallow`` silences all connections that are open by then.
+    """Answers each request; ``swallow`` black-holes all connections that are open.
 
-    ``held`` keeps answers back while it is cleared, so that calls at the same time need a
+    Responses are delayed while ``held`` is cleared, so that concurrent calls need one
     connection each.
     """
 
@@ -28,7 +28,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def swallow(self) -> None:
-        """Silence all connections that are open."""
+        """Stop answering on all open connections, without closing them."""
         self._silent |= self._open
 
     def close(self) -> None:
@@ -58,7 +58,7 @@
 
 
 def _read_request(connection: socket.socket) -> bool:
-    """Read a whole request, which may come in parts; tell whether there was one."""
+    """Read a whole request and return True, or False if the connection was closed."""
     data = b""
     while b"\r\n\r\n" not in data:
         part = connection.recv(65_536)
--- a/tests/standins/thread_killer.py
+++ b/tests/standins/thread_killer.py
@@ -1,4 +1,4 @@
-"""Runs the daemon, and once it leads kills one of its threads, named on the command line."""
+"""Runs the daemon and, once it is the leader, kills the thread named on the command line."""
 
 import ctypes
 import gc
@@ -14,11 +14,11 @@
 
 
 class Killed(BaseException):
-    """Raised in the thread that is killed."""
+    """Raised in the thread to be killed."""
 
 
 def wake_queues() -> None:
-    """Wake the threads that wait for a queue without a time limit."""
+    """Wake the threads that wait for a queue without a timeout."""
     for each in gc.get_objects():
         if isinstance(each, Leadership):
             each._epochs.put(0)
@@ -27,7 +27,7 @@
 
 
 def kill(name: str) -> None:
-    """Raise an exception in a thread; one that waits meets it when it wakes."""
+    """Raise an exception in a thread; a waiting thread gets it when it wakes."""
     for thread in threading.enumerate():
         if thread.name.startswith(name):
             number = ctypes.c_ulong(thread.ident)
--- a/tests/standins/vms.py
+++ b/tests/standins/vms.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's VM list; shows changes with a lag."""
+"""Stand-in for the platform's VM list, which shows changes after a delay."""
 
 import threading
 import time
@@ -9,7 +9,7 @@
 
 
 class VmBook:
-    """The VMs; ``POST /set`` adds or changes one, ``POST /remove`` ends one."""
+    """The versions of the VM list; ``POST /set`` sets VMs and ``POST /remove`` removes them."""
 
     def __init__(self, lag_seconds: float) -> None:
         self._lag = lag_seconds
--- a/tests/standins/witness.py
+++ b/tests/standins/witness.py
@@ -1,4 +1,4 @@
-"""Checks the promises against the stand-ins' ledgers, whatever the nodes believe."""
+"""Checks the system's guarantees against the ledgers of the stand-ins."""
 
 from collections import Counter
 
@@ -8,7 +8,7 @@
 
 
 def check_workers(ledger: list[dict], capacity: tuple[int, int, int]) -> list[str]:
-    """Find tasks in two places, attempts started twice, and VMs over their capacity."""
+    """Find tasks that run twice, attempts that were started twice, and overloaded workers."""
     problems = []
     places: dict[str, str] = {}
     running: dict[str, dict[str, tuple]] = {}
@@ -40,7 +40,7 @@
 
 
 def check_minions(ledger: list[dict], once: frozenset[str]) -> list[str]:
-    """Find not-repeatable requests that ran twice, and minions over their slots."""
+    """Find non-repeatable requests that ran twice, and minions that exceeded their slots."""
     ran = Counter(entry["request"] for entry in ledger if entry["event"] == "ran")
     problems = [f"request {name} ran {ran[name]} times" for name in once if ran[name] > 1]
     over = [entry for entry in ledger if entry["event"] == "over_slots"]
@@ -52,6 +52,6 @@
     capacity: tuple[int, int, int] = (16_000, 65_536, 0),
     once: frozenset[str] = frozenset(),
 ) -> list[str]:
-    """Check all ledgers of a cluster; an empty list means that every promise was kept."""
+    """Check all ledgers of a cluster and return the violations."""
     problems = check_workers(cluster.ledger(cluster.workers), capacity)
     return problems + check_minions(cluster.ledger(cluster.minions), once)
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -1,6 +1,6 @@
-"""Stand-in for workers: runs tasks under leases, by attempt id.
+"""Stand-in for workers that run attempts under leases.
 
-One process may stand for several workers, each under its own path ``/NAME``.
+One process may serve several workers, each under its own path ``/NAME``.
 """
 
 import secrets
@@ -25,7 +25,7 @@
 
 
 class Worker:
-    """One worker; ``fail_all`` makes each task fail as soon as it starts."""
+    """One worker; with ``fail_all``, each attempt fails as soon as it starts."""
 
     def __init__(self, name: str, size: tuple[int, int, int], note) -> None:
         self.name = name
