--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -1,10 +1,10 @@
-"""Compare ways to find tasks that end their workers: ``python -m bench.crashes WAY ...``.
+"""Compare settings for the detection of crashing tasks: ``python -m bench.crashes WAY ...``.
 
-A way is ``standing``, or settings of the decisions, as in `bench.ways`. All ways play the same
-seeds on the emulator: a settlement service on 24 workers, where one job in some hundred has a task
-that ends each worker that starts it. With ``--flaps``, a share of the workers goes down and comes
-back every few seconds with nobody to blame; with ``--changes``, leaders change every second or two
-and workers drain.
+A way is ``standing`` (the defaults) or settings, as in `bench.ways`. All ways run the same seeds
+on the emulator: a settlement service on 24 workers, where one job in a hundred has a task that
+crashes each worker that starts it. With ``--flaps``, a share of the workers goes down and comes
+back every few seconds, independently of tasks; with ``--changes``, the leader changes every second
+or two and workers drain.
 """
 
 import argparse
@@ -29,28 +29,28 @@
 LEADERLESS_SECONDS = (0.1, 2.0)
 DRAIN_SHARE = 0.35
 LEAST_WORKERS = 15
-"""How often the leader goes or a worker drains, how long nobody leads then, how often it is a
-worker that drains, and how many workers are left to take work."""
+"""The interval of leader changes and drains, the time without a leader, the share of drains among
+the changes, and the least number of workers that accept work."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """A day.
+    """The results of one run.
 
     Attributes
     ----------
     bad, bad_ended
-        Jobs with a task that ends workers, and those shown as failed.
+        Jobs with a crashing task, and those of them that were reported as failed.
     innocent
-        Other jobs that were shown as failed, with two crashes or more under a task.
+        Other jobs that were reported as failed, with two or more crashes under a task.
     crashes
-        Workers lost to bad tasks.
+        Workers that were crashed by tasks.
     heard_s
-        Median seconds until callers of a bad job heard of its end.
+        Median seconds until the callers of a job with a crashing task learned of its end.
     worth
-        What all other jobs were worth, as a share of what they could be.
+        The worth of all other jobs, as a share of their greatest possible worth.
     broken
-        Promises that did not hold.
+        The number of violations.
     """
 
     bad: int
@@ -63,7 +63,7 @@
 
 
 def play(way: str, seed: int, share: float, flaps: bool, changes: bool) -> Outcome:
-    """Play a day."""
+    """Run one seed with one way's settings."""
     put_in_force(way)
     mixes = [dataclasses.replace(mix, crashing_share=share) for mix in default_mixes()]
     workload = WorkloadOptions(SECONDS, LOAD, tuple(mixes))
@@ -80,7 +80,7 @@
 
 
 def _plan_flap(emulator: Emulator, source: random.Random) -> None:
-    """Take a share of the workers down, over and over."""
+    """Repeatedly crash a share of the workers, which return after a delay."""
 
     def flap() -> None:
         if emulator.timeline.now > SECONDS:
@@ -94,7 +94,7 @@
 
 
 def _plan_change(emulator: Emulator, source: random.Random) -> None:
-    """Change the leader, or have a worker drain, over and over."""
+    """Repeatedly change the leader or drain a worker."""
 
     def change() -> None:
         if emulator.timeline.now > SECONDS:
@@ -130,7 +130,7 @@
 
 
 def main() -> None:
-    """Play all ways and print a table."""
+    """Run all ways and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("ways", nargs="+", help="standing, or MODULE.CONSTANT=VALUE[,...]")
     parser.add_argument("--seeds", type=int, default=8)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,7 @@
-"""Time of placement decisions at several sizes: ``python -m bench.decisions``.
+"""Measure the time of placement decisions at several cluster sizes: ``python -m bench.decisions``.
 
-Each size is measured for the scheduler and, in the same run, for two baselines: the first
-worker that fits, and a random one that fits.
+For each size, the scheduler is compared with two baselines: the first worker that fits, and a
+random worker that fits.
 """
 
 import random
@@ -31,13 +31,13 @@
 
 
 def make_work(number: int, size: Size, kind: str = "batch", tasks: int = 1) -> Work:
-    """Make queued work that is not part of the state."""
+    """Make queued work that isn't part of the state."""
     spec = WorkSpec(kind, f"bench-{number % 20}", "team-1", tasks, size, run_ms=1000)
     return Work(number, f"bench-{number}", spec, [Task() for _ in range(tasks)], 0)
 
 
 def measure(state: State, kind: str, count: int, tasks: int) -> tuple[list[float], int]:
-    """Time single decisions; room is given back as the cluster fills, so that it stays even."""
+    """Time single decisions, releasing room so that the utilization stays constant."""
     index = make_index(state)
     policies = PolicySet(print)
     seconds, placed = [], 0
@@ -57,7 +57,7 @@
 
 
 def measure_baseline(state: State, pick) -> list[float]:
-    """Time a naive choice over all workers."""
+    """Time a baseline's choices over all workers."""
     free = {worker.name: worker.free for worker in state.workers.values()}
     seconds = []
     held: list[tuple[str, Size]] = []
@@ -75,17 +75,17 @@
 
 
 def first_fit(free: dict[str, Size], size: Size) -> str:
-    """Take the first worker that fits."""
+    """Return the first worker that fits."""
     return next(name for name, room in free.items() if room.holds(size))
 
 
 def random_fit(free: dict[str, Size], size: Size) -> str:
-    """Take a random worker among all that fit."""
+    """Return a random one of the workers that fit."""
     return random.choice([name for name, room in free.items() if room.holds(size)])
 
 
 def show(label: str, seconds: list[float], placed: str = "") -> float:
-    """Print a line of figures and give decisions a second."""
+    """Print a line of figures and return the decisions per second."""
     rate = len(seconds) / sum(seconds)
     p50, p99 = percentile(seconds, 0.5) * 1e3, percentile(seconds, 0.99) * 1e3
     print(f"  {label:18} {rate:8.0f} /s   p50 {p50:7.3f} ms   p99 {p99:7.3f} ms   {placed}")
--- a/bench/end_to_end.py
+++ b/bench/end_to_end.py
@@ -1,7 +1,8 @@
-"""The whole path over real processes at today's size: ``python -m bench.end_to_end``.
+"""Measure the whole path over real processes: ``python -m bench.end_to_end``.
 
-24 workers, 24 minions, three nodes, a log that answers in 5 ms. Prints waiting from submission
-to start, starts a second, what routing adds to a request, and what an idle node uses.
+24 workers, 24 minions, three nodes, and a log that responds in 5 ms. Prints the time from
+submission to start, the starts per second, the latency that routing adds to a request, and the
+resource use of an idle node.
 """
 
 import concurrent.futures
@@ -32,20 +33,20 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Give the processor time that a process has used."""
+    """Return the processor time in seconds that a process has used."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as stat:
         fields = stat.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident_mb(pid: int) -> float:
-    """Give a process's resident memory."""
+    """Return a process's resident memory in MB."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as statm:
         return int(statm.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 def measure_idle(cluster: Cluster) -> None:
-    """Print what each node uses while nothing is asked of it."""
+    """Print the processor and memory use of each idle node."""
     before = {name: cpu_seconds(node.pid) for name, node in cluster.nodes.items()}
     time.sleep(IDLE_SECONDS)
     for name, node in cluster.nodes.items():
@@ -54,7 +55,7 @@
 
 
 def measure_waiting(cluster: Cluster) -> None:
-    """Print the time from submission to start of single tasks, one after the other."""
+    """Print the time from submission to start of single tasks, submitted one after the other."""
     waits = []
     for number in range(SINGLE_JOBS):
         text = BATCH.format(name="one", tasks=1, seconds=0.05)
@@ -68,7 +69,7 @@
 
 
 def measure_starts(cluster: Cluster) -> None:
-    """Print what it takes to hold the target's peak of starts for a while."""
+    """Print waiting times and resource use at the target's peak rate of starts."""
     works = []
     started = time.time()
     before = {name: cpu_seconds(node.pid) for name, node in cluster.nodes.items()}
@@ -103,7 +104,7 @@
 
 
 def measure_requests(cluster: Cluster, at_once: int) -> None:
-    """Print the latency of requests through the nodes and straight to the minions."""
+    """Print the latency of requests through the nodes and directly to the minions."""
     pool = urllib3.PoolManager(maxsize=at_once, retries=False)
     names = list(cluster.nodes)
     headers = {"x-work-ms": str(WORK_MS), "X-Request-Id": "direct"}
@@ -132,7 +133,7 @@
 
 
 def measure_failover(cluster: Cluster) -> None:
-    """Print how long work of a killed node waits until another one starts it."""
+    """Print the time from a node's death until work submitted to another node has started."""
     cluster.kill_node("node-0")
     killed = time.time()
     texts = [BATCH.format(name="after", tasks=1, seconds=0.05) for _ in range(12)]
@@ -142,7 +143,7 @@
 
 
 def measure_change(cluster: Cluster) -> None:
-    """Print the time until a changed configuration is in force on all nodes."""
+    """Print the time until a configuration change is applied on all nodes."""
     files = {"cluster.ini": (EXAMPLE / "cluster.ini").read_text(encoding="utf-8")}
     seconds = []
     for _ in range(10):
@@ -159,7 +160,7 @@
 
 
 def measure_idle_cluster() -> None:
-    """Print what idle nodes use with the settings' defaults."""
+    """Print the resource use of idle nodes with the default timing."""
     timing = msgspec.to_builtins(TimingSettings())
     with Cluster(workers=24, minions=24, rack=6, halls=4, timing=timing) as cluster:
         cluster.start_nodes(3)
@@ -169,7 +170,7 @@
 
 
 def main() -> None:
-    """Measure everything."""
+    """Run all measurements."""
     measure_idle_cluster()
     timing = {"vms_interval_ms": 1000, "heartbeat_ms": 1000, "silence_ms": 3000}
     with Cluster(workers=24, minions=24, rack=6, halls=4, timing=timing) as cluster:
--- a/bench/failures.py
+++ b/bench/failures.py
@@ -1,9 +1,9 @@
-"""Compare ways to tell failing jobs from spoiling workers: ``python -m bench.failures WAY ...``.
+"""Compare settings for the handling of failed runs: ``python -m bench.failures WAY ...``.
 
-A way is ``standing``, or settings of the decisions, as in `bench.ways`. All ways play the same
-seeds on the emulator: a settlement service on 24 workers, where a share of the jobs always fails
-and a share of the workers spoils all that it starts from second 3 to 12. Without shares given, the
-mixes of `SHARES` are played.
+A way is ``standing`` (the defaults) or settings, as in `bench.ways`. All ways run the same seeds
+on the emulator: a settlement service on 24 workers, where a share of the jobs always fails and a
+share of the workers fails every run from second 3 to 12. Without ``--failing``, the pairs of
+shares in `SHARES` are used.
 """
 
 import argparse
@@ -26,25 +26,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """A day.
+    """The results of one run.
 
     Attributes
     ----------
     starved, longest_s
-        Jobs that ran nothing for 3 s beside free room, and the longest such time in seconds.
+        Jobs that ran nothing for 3 s despite free room, and the longest such time in seconds.
     innocent
-        Good jobs that were shown as failed.
+        Good jobs that were reported as failed.
     spoiled
-        Runs of good jobs that spoiling workers failed.
+        Runs of good jobs that failed on failing workers.
     aside_s, sound_aside_s
-        Seconds that spoiling workers were set aside while they spoiled, and sound ones ever, each
-        a worker.
+        Mean seconds in quarantine of failing workers while they failed, and of healthy workers.
     heard_s
-        Median seconds until callers of a bad job heard of its end.
+        Median seconds until the callers of a failing job learned of its end.
     worth
-        What the good jobs were worth, as a share of what they could be.
+        The worth of the good jobs, as a share of their greatest possible worth.
     broken
-        Promises that did not hold.
+        The number of violations.
     """
 
     starved: int
@@ -59,7 +58,7 @@
 
 
 class _Day:
-    """A day being played, and what its leader tells of it."""
+    """One emulator run, with the counts taken from its leader's decisions."""
 
     def __init__(self, seed: int, failing: float, spoiling: float) -> None:
         mixes = [dataclasses.replace(mix, hopeless_share=failing) for mix in default_mixes()]
@@ -81,7 +80,7 @@
             self.spoiled += is_theirs and decided.subject in self._good
 
     def play(self) -> None:
-        """Play it, and sample which workers are set aside."""
+        """Run the emulator and sample which workers are in quarantine."""
         emulator = self.emulator
         at = 0.0
         while at < SECONDS + DRAIN_SECONDS:
@@ -96,7 +95,7 @@
 
 
 def play(way: str, seed: int, failing: float, spoiling: float) -> Outcome:
-    """Play a day."""
+    """Run one seed with one way's settings."""
     put_in_force(way)
     day = _Day(seed, failing, spoiling)
     day.play()
@@ -130,7 +129,7 @@
 
 
 def main() -> None:
-    """Play all ways and print a table for each mix of shares."""
+    """Run all ways and print a table for each pair of shares."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("ways", nargs="+", help="standing, or MODULE.CONSTANT=VALUE[,...]")
     parser.add_argument("--seeds", type=int, default=8)
--- a/bench/log_bytes.py
+++ b/bench/log_bytes.py
@@ -1,7 +1,7 @@
-"""Bytes of the log's batches at the peak: ``python -m bench.log_bytes``.
+"""Measure the size of the log's batches at the peak: ``python -m bench.log_bytes``.
 
-Nine nodes append what they have every so often, while 280 tasks a second are placed, started
-and ended over the whole cluster. Compares the codec in use with rows of plain records.
+Nine nodes append their pending records at fixed intervals, while 280 tasks per second are placed,
+started and ended in the cluster. Compares the columnar codec with rows of plain records.
 """
 
 import random
@@ -29,7 +29,7 @@
 
 
 def make_batches(interval_ms: int) -> list[Batch]:
-    """Make the batches of some seconds at the peak."""
+    """Make the batches of `SECONDS` at the peak."""
     source = random.Random(7)
     batches = []
     per_batch = RATE * interval_ms / 1000 / NODES
@@ -61,7 +61,7 @@
 
 
 def encode_rows(batch: Batch) -> bytes:
-    """Encode as the first version did: a row for each record."""
+    """Encode a batch with one row per record, as a baseline."""
     return zlib.compress(msgspec.msgpack.encode(batch), 6)
 
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,7 +1,7 @@
-"""Requests under more load than the minions bear: ``python -m bench.overload``.
+"""Measure requests at loads above the minions' capacity: ``python -m bench.overload``.
 
-Three minions of eight slots, 200 ms of work a request: 120 answers a second at most. Callers
-offer half of that, all of it and three times as much, with a deadline of one second.
+Three minions with eight slots each and 200 ms of work per request can answer 120 requests per
+second. Callers send half, all and three times of that rate, with a deadline of one second.
 """
 
 import collections
@@ -23,7 +23,7 @@
 
 
 def offer(cluster: Cluster, load: float) -> None:
-    """Offer a load for some seconds and print what became of it."""
+    """Send requests at a multiple of the capacity and print their outcomes."""
     rate = CAPACITY * load
     started = time.perf_counter()
 
@@ -52,7 +52,7 @@
 
 
 def main() -> None:
-    """Offer each load to one cluster."""
+    """Run all loads on one cluster."""
     with Cluster(workers=1, minions=3) as cluster:
         cluster.start_nodes(3)
         assert cluster.apply("node-0", {"c.ini": DECLARATIONS}).status == 200
--- a/bench/packing.py
+++ b/bench/packing.py
@@ -1,7 +1,7 @@
-"""How full VMs get under each policy: ``python -m bench.packing``.
+"""Measure how densely each policy packs VMs: ``python -m bench.packing``.
 
-A mixed stream of tasks is placed on 24 empty workers until half of the processors are promised.
-Prints how many workers are used, against the bound (the sum of sizes) and first fit.
+Tasks of mixed sizes are placed on 24 empty workers until half of the processors are allocated.
+Prints the number of workers used, compared with a lower bound (the sum of sizes) and first fit.
 """
 
 import math
@@ -23,7 +23,7 @@
 
 
 def stream(seed: int) -> list[Size]:
-    """Give sizes that add up to half of all processors."""
+    """Draw task sizes that add up to half of all processors."""
     source = random.Random(seed)
     sizes, total = [], 0
     while total < HALF_OF_CPU:
@@ -33,7 +33,7 @@
 
 
 def used_by_policy(program: str, sizes: list[Size], seed: int) -> int:
-    """Place a stream under a policy and count the workers used."""
+    """Place tasks under a policy and return the number of workers used."""
     state = fill(WORKERS, 0).state
     policies = PolicySet(print)
     policies.replace(Declarations(policies={"batch": Policy(program)}))
@@ -50,7 +50,7 @@
 
 
 def used_by_first_fit(sizes: list[Size]) -> int:
-    """Count the workers that first fit uses."""
+    """Return the number of workers that first fit uses."""
     free = [Size(16_000, 65_536)] * WORKERS
     for size in sizes:
         number = next(n for n, room in enumerate(free) if room.holds(size))
@@ -59,13 +59,13 @@
 
 
 def bound(sizes: list[Size]) -> int:
-    """Give the fewest workers that could do, by the sums of sizes."""
+    """Return a lower bound for the number of workers, from the sums of sizes."""
     cpu, memory = sum(s.cpu for s in sizes), sum(s.memory for s in sizes)
     return max(math.ceil(cpu / 16_000), math.ceil(memory / 65_536))
 
 
 def main() -> None:
-    """Measure every shipped program, averaged over a few streams."""
+    """Measure all built-in policy programs, averaged over several seeds."""
     streams = [stream(seed) for seed in SEEDS]
     best = sum(map(bound, streams)) / len(streams)
     print(f"{WORKERS} workers, half of the processors promised, mean of {len(streams)} streams")
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Slopes behind ``docs/CAPACITY.md``: ``python -m bench.slopes``.
+"""Measure the costs behind ``docs/CAPACITY.md``: ``python -m bench.slopes``.
 
-Measures, at several sizes, what one more worker, task, start, change or peer costs a node in
-memory, processor time and bytes, and works out a node's share at the target from them.
+Measures, at several cluster sizes, the marginal cost of a worker, task, start, change or peer for a
+node in memory, processor time and bytes, and estimates a node's use at the target size from them.
 """
 
 import gc
@@ -49,7 +49,7 @@
 MEMORY_BUDGET_MB = 64
 DAY = 86_400
 HEADER_BYTES = 250
-"""Bytes of an HTTP exchange's heads, both ways, as the stand-ins send and get them."""
+"""Bytes of the headers of a request and its response, as exchanged with the stand-ins."""
 
 
 def line(what: str, value: float, unit: str) -> None:
@@ -58,9 +58,9 @@
 
 
 def measure_memory() -> float:
-    """Print the state's memory at each size; give the slope in MB a thousand tasks.
+    """Print the state's memory at each size; return the slope in MB per thousand tasks.
 
-    Each size is measured in a process of its own, since freed memory is seldom returned.
+    Each size is measured in its own process, since freed memory is rarely returned to the system.
     """
     print("memory of the state (a process for each size)")
     points = []
@@ -77,7 +77,7 @@
 
 
 def _grown_mb(expression: str) -> float:
-    """Give by how much memory grows where an expression's value is kept."""
+    """Return the growth of a process's memory in MB when it keeps an expression's value."""
     code = (
         "import gc; from bench.tools import fill, resident_mb; from bench import slopes;"
         f"before = resident_mb(); kept = {expression}; gc.collect();"
@@ -88,7 +88,7 @@
 
 
 def finish(feed: Feed, works: int) -> Feed:
-    """Run works of ten tasks to their end; give the feed for its state."""
+    """Run works of ten tasks each to their end, and return the feed."""
     workers = list(feed.state.workers)
     for number in range(works):
         spec = WorkSpec("batch", f"work-{number}", "team-1", 10, Size(100, 100), run_ms=5000)
@@ -103,8 +103,8 @@
 def task_batches(feed: Feed, works: int, tasks: int) -> list[Batch]:
     """Make the records of works that are submitted, placed, started and ended.
 
-    The batches are reduced as they are made, since later records name numbers that the
-    reducer gives.
+    The batches are reduced as they are made, since later records refer to numbers that are
+    assigned by the reducer.
     """
     batches = []
     workers = list(feed.state.workers)
@@ -126,14 +126,14 @@
 
 
 def measure_log(works: int = 100, tasks: int = 28) -> tuple[float, float]:
-    """Print time and bytes of a task's records; give seconds and bytes for one task."""
+    """Print the time and size of a task's records; return seconds and bytes per task."""
     print("the log: a task submitted, placed, started and ended")
     seconds = bytes_a_task = 0.0
     for workers, running in SIZES:
         feed = fill(workers, running)
         snapshot = encode_state(feed.state)
         batches = task_batches(feed, works, tasks)
-        # As the log carries them: 28 tasks in a batch each 100 ms are 280 starts a second.
+        # 28 tasks per batch, with a batch every 100 ms, are 280 starts per second.
         data = [encode_batch(batch) for batch in batches]
         state = msgspec.msgpack.decode(snapshot, type=State)
         offset = state.offset
@@ -148,7 +148,7 @@
 
 
 def measure_orders() -> tuple[float, float]:
-    """Print time and bytes of one call to a worker with ten tasks; give both."""
+    """Print the time and size of one call to a worker with ten tasks; return seconds and bytes."""
     print("orders: one call to a worker with ten running tasks")
     state = fill(TARGET_WORKERS, TARGET_TASKS).state
     names = list(state.workers)
@@ -164,7 +164,7 @@
 
 
 def measure_call() -> float:
-    """Print the processor time of one call to a worker's stand-in; give it in seconds."""
+    """Print the processor time of one call to a worker's stand-in; return it in seconds."""
     with Cluster(workers=1, minions=1) as cluster:
         client = WorkerClient(Client("bench", timeout=5))
         address = f"{cluster.workers}/{cluster.worker_names[0]}"
@@ -180,7 +180,7 @@
 
 
 def measure_snapshot() -> None:
-    """Print size and time of snapshots and digests."""
+    """Print the size of snapshots, and the time of encoding them and their digests."""
     print("snapshots")
     for workers, tasks in SIZES:
         state = fill(workers, tasks).state
@@ -192,7 +192,7 @@
 
 
 def measure_configuration() -> float:
-    """Print the bytes of a change of a large configuration; give them."""
+    """Print the size of a change of a large configuration; return it in bytes."""
     print("configuration: 51 teams, 40 services, 7 endpoints, 4 programs in one change")
     declarations = Declarations(
         teams={f"team-{n}": Team(cpu=100 + n, memory_gb=400 + n) for n in range(TEAMS)},
@@ -210,7 +210,7 @@
 
 
 def measure_heartbeat() -> float:
-    """Print the bytes of a heartbeat; give them."""
+    """Print the size of a heartbeat; return it in bytes."""
     beat = Heartbeat(
         "entry-4", "0123456789ab", 10**7, 10**7, "0123456789abcdef", True, {"settlement": 21}
     )
@@ -223,7 +223,7 @@
 def work_out(
     memory: float, log: tuple[float, float], orders: tuple[float, float], change: float, beat: float
 ) -> None:
-    """Print a node's share at the target, against its budgets."""
+    """Print a node's estimated use at the target size, compared with its budgets."""
     print(f"worked out at the target, a node of {TARGET_NODES}")
     task_seconds, task_bytes = log
     order_seconds, order_bytes = orders
@@ -250,7 +250,7 @@
 
 
 def main() -> None:
-    """Measure all, then work out the target."""
+    """Run all measurements and print the estimate for the target size."""
     gc.collect()
     line("this process before anything", resident_mb(), "MB")
     memory = measure_memory()
--- a/bench/tools.py
+++ b/bench/tools.py
@@ -1,4 +1,4 @@
-"""What the measurements share: made-up clusters, percentiles, and a baseline."""
+"""Helpers for the measurements: synthetic clusters, percentiles, memory and time."""
 
 import resource
 import time
@@ -29,26 +29,26 @@
 
 
 def percentile(values: list[float], fraction: float) -> float:
-    """Give the value below which a fraction of the values lies."""
+    """Return the value below which a fraction of the values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def resident_mb() -> float:
-    """Give this process's resident memory in MB."""
+    """Return this process's resident memory in MB."""
     with open("/proc/self/statm", encoding="ascii") as statm:
         return int(statm.read().split()[1]) * resource.getpagesize() / 1e6
 
 
 def timed(function: Callable[[], object]) -> float:
-    """Give the seconds that a call takes."""
+    """Return the duration of a call in seconds."""
     started = time.perf_counter()
     function()
     return time.perf_counter() - started
 
 
 class Feed:
-    """Feeds records to a state as one node's batches, and counts their encoded bytes."""
+    """Applies records to a state as the batches of one node."""
 
     def __init__(self) -> None:
         self.state = State()
@@ -61,7 +61,7 @@
         return Batch("bench", "b", self._sequence, self.state.offset, NOW_MS, list(records))
 
     def append(self, *records: Record) -> list:
-        """Reduce a batch of records."""
+        """Reduce a batch of records and return the effects."""
         return reduce(self.state, Entry(self.state.offset + 1, self.batch(records)))
 
 
@@ -71,11 +71,11 @@
     Parameters
     ----------
     workers
-        How many workers.
+        The number of workers.
     tasks
-        How many running tasks: a fifth in services, the rest in batches of ten.
+        The number of running tasks: a fifth in services, the rest in batches of ten.
     accelerators
-        How many accelerators in all, eight to a worker.
+        The total number of accelerators, eight per worker that has any.
     """
     feed = Feed()
     teams = {f"team-{n}": Team(cpu=1e6, memory_gb=1e6, accelerators=10**6) for n in range(TEAMS)}
--- a/bench/waiting.py
+++ b/bench/waiting.py
@@ -1,7 +1,7 @@
-"""How work waits at the worst load: ``python -m bench.waiting [SEED ...]``.
+"""Measure waiting times at the highest load: ``python -m bench.waiting [SEED ...]``.
 
-The real decisions on 270 modelled workers, with a burst of lookups and one of payouts on top of a
-load of four fifths of their processors. A leader's own processor time is not modelled.
+Runs the real decisions on 270 emulated workers, with a burst of lookups and one of payouts on top
+of a load of four fifths of their processors. The leader's processor time isn't modelled.
 """
 
 import sys
@@ -18,7 +18,7 @@
 
 
 def play(seed: int) -> float:
-    """Play a day, print what it was worth and how full the workers were; give its worth."""
+    """Run one seed, print its report and the processor use, and return its worth."""
     workload = WorkloadOptions(SECONDS, 1.0, crowded_mixes(), BURSTS)
     options = EmulatorOptions(workload, workers=270, racks=23, askers=97)
     jobs = draw_workload(seed, workload)
@@ -37,7 +37,7 @@
 
 
 def main() -> None:
-    """Play the seeds given, or three."""
+    """Run the given seeds, or three by default."""
     seeds = [int(word) for word in sys.argv[1:]] or [1, 2, 3]
     worths = [play(seed) for seed in seeds]
     print(f"mean worth {sum(worths) / len(worths):.3f}")
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,9 +1,10 @@
-"""Compare ways to decide, paired: ``python -m bench.ways WAY ... [--seeds N]``.
+"""Compare scheduler settings on the same seeds: ``python -m bench.ways WAY ... [--seeds N]``.
 
-A way is ``standing``, or settings of the decisions such as ``reserving._KEPT_SECONDS=0.3``, joined
-by commas: the constants of modules of ``snowdock.jobs``. All ways play the same seeds on the
-emulator: a settlement service on 176 workers with 20 teams, one of which sends many times its
-usual, a burst of lookups and one of payouts. A leader's own processor time is not modelled.
+A way is ``standing`` (the defaults), or comma-separated settings such as
+``reserving._KEPT_SECONDS=0.3``, which set constants of modules of ``snowdock.jobs``. All ways run
+the same seeds on the emulator: a settlement service on 176 workers with 20 teams, one of which
+sends ten times its usual load, a burst of lookups and one of payouts. The leader's processor time
+isn't modelled.
 """
 
 import argparse
@@ -31,7 +32,13 @@
 
 
 def put_in_force(way: str) -> None:
-    """Set the constants that a way names."""
+    """Set the constants that are named in a way.
+
+    Raises
+    ------
+    SystemExit
+        If there is no such constant.
+    """
     for setting in way.split(",") if way != STANDING else ():
         name, _, value = setting.partition("=")
         module, _, constant = name.rpartition(".")
@@ -44,20 +51,21 @@
 def play_paired(
     play: Callable, ways: list[str], seeds: int, processes: int, *given: object
 ) -> dict[str, list]:
-    """Play all ways on the same seeds, from 1; give what came of each, by way.
+    """Run all ways on the same seeds, counted from 1; return the results by way.
 
     Parameters
     ----------
     play
-        (way, seed, *given) -> what came of a day; it puts the way in force.
+        Called with a way, a seed and ``given``; it applies the way's settings, runs the seed and
+        returns the result.
     ways, seeds
-        The ways, and how many seeds each plays.
+        The ways, and the number of seeds for each.
     processes
-        How many days are played at the same time.
+        The number of concurrent runs.
     given
-        What else each play gets.
+        Further arguments of ``play``.
     """
-    # A process for each play: settings of one way may not stay in force for the next.
+    # Each run has its own process, so that settings don't carry over to the next run.
     with concurrent.futures.ProcessPoolExecutor(processes, max_tasks_per_child=1) as pool:
         runs = {
             way: [pool.submit(play, way, seed, *given) for seed in range(1, seeds + 1)]
@@ -67,14 +75,14 @@
 
 
 def format_worth(outcomes: list, first: list) -> str:
-    """Write the mean worth of a way's days, and how it differs from the first way's."""
+    """Format the mean worth of a way's runs, and its difference from the first way's."""
     gains = [day.worth - before.worth for day, before in zip(outcomes, first, strict=True)]
     mean = statistics.mean(day.worth for day in outcomes)
     return f"{mean:.3f} ({statistics.mean(gains):+.3f}, {statistics.pstdev(gains):.3f})"
 
 
 def play(way: str, seed: int, load: float) -> tuple[str, int, Report, float, float]:
-    """Play a day; give its report, the mean use of processors under load, and the time taken."""
+    """Run one seed; return way, seed, report, mean processor use under load, and seconds taken."""
     put_in_force(way)
     whole = CAPACITY.times(WORKERS)
     teams = uneven_teams(TEAMS, whole.scaled(QUOTA_FACTOR))
@@ -89,13 +97,13 @@
         if 5 <= second < SECONDS:
             busy = sum(worker.used_cpu for worker in emulator.workers.values())
             used.append(busy / whole.cpu)
-    # What a team sends far beyond its weight is not owed.
+    # The overloading team's jobs aren't counted, since they exceed its share.
     report = make_report(emulator, [job for job in jobs if job.team != HOT_TEAM[0]])
     return way, seed, report, statistics.mean(used), time.perf_counter() - began
 
 
 def main() -> None:
-    """Play all ways and print a table."""
+    """Run all ways and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("ways", nargs="+", help="standing, or MODULE.CONSTANT=VALUE[,...]")
     parser.add_argument("--seeds", type=int, default=3)
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,6 +1,6 @@
-"""Show the main job end to end: stand-ins and three nodes as processes, one of them killed.
+"""Demonstrate the system end to end, with stand-ins and three nodes, one of which is killed.
 
-Ends by itself with a summary; the exit status tells whether all went well.
+Prints a summary; the exit status is 1 if any check has failed.
 """
 
 import concurrent.futures
@@ -15,14 +15,14 @@
 
 
 class Summary:
-    """What was seen, a line each, and whether all of it was as it should be."""
+    """The results of the checks, one line each, and whether all of them have passed."""
 
     def __init__(self) -> None:
         self._lines: list[str] = []
         self.is_good = True
 
     def note(self, what: str, good: bool) -> None:
-        """Print a line and count it in."""
+        """Print and record the result of a check."""
         self._lines.append(f"  {'ok  ' if good else 'FAIL'}  {what}")
         print(self._lines[-1], flush=True)
         self.is_good = self.is_good and good
@@ -36,7 +36,7 @@
 
 
 def submit_work(cluster: Cluster, summary: Summary) -> dict[str, int]:
-    """Submit two batches and a gang; give their numbers by name."""
+    """Submit two batches and a gang, and return their numbers by name."""
     done = cluster.command("submit", str(EXAMPLE / "work" / "payouts.ini"), "--key", "demo")
     works = {name: int(number) for number, name in map(str.split, done.stdout.splitlines())}
     summary.note(f"submitted: {', '.join(works)}", len(works) == 3)
@@ -44,7 +44,7 @@
 
 
 def send_requests(cluster: Cluster, summary: Summary) -> None:
-    """Send requests to all nodes and count the whole answers."""
+    """Send requests to all nodes and count the complete responses."""
     names = list(cluster.nodes)
 
     def send(number: int) -> bool:
@@ -58,7 +58,7 @@
 
 
 def kill_a_node(cluster: Cluster, summary: Summary, work: int) -> None:
-    """Kill one node once some work runs."""
+    """Kill one node while tasks of a work are running."""
     wait_for(
         lambda: cluster.get("node-1", f"/v1/work/{work}")["counts"].get("running"),
         "work runs before a node is killed",
@@ -68,7 +68,7 @@
 
 
 def wait_for_works(cluster: Cluster, summary: Summary, works: dict[str, int]) -> None:
-    """Wait for the end of each work."""
+    """Wait until all works have ended."""
     for name, number in works.items():
         report = cluster.wait_work("node-1", number)
         seconds = (report["finished_ms"] - report["submitted_ms"]) / 1000
@@ -78,7 +78,7 @@
 
 
 def check_service(cluster: Cluster, summary: Summary) -> None:
-    """Wait until the declared service runs."""
+    """Wait until the declared service runs all its tasks."""
 
     def running() -> bool:
         works = cluster.get("node-2", "/v1/work")
@@ -90,7 +90,7 @@
 
 
 def main() -> int:
-    """Run the demonstration."""
+    """Run the demonstration and return the exit status."""
     started = time.monotonic()
     summary = Summary()
     print("snowdock demo: 24 workers, 24 minions, 3 nodes", flush=True)
--- a/deploy/play_days.py
+++ b/deploy/play_days.py
@@ -1,11 +1,11 @@
-"""Play a day for each kind of trouble and print a table of the rules broken.
+"""Run the bench on all day files and print a table of results and broken rules.
 
     python deploy/play_days.py --bench PATH --site FILE [--jobs N] [--only TEXT] [--why TEXT]
         [--vary SEED] [--class NAME]
 
-The bench is a program of the platform's users; it is run as its page says, once a day file. With
-`--vary`, moments and shares are drawn around those of the files; with `--class`, troubles that name
-a class of requests are for that one.
+The bench is an external program; it is run once for each day file. With `--vary`, the times and
+shares of faults are drawn around those of the files; with `--class`, faults that name a class of
+requests get that class.
 """
 
 import argparse
@@ -20,15 +20,15 @@
 
 _DAYS = pathlib.Path(__file__).parent / "days"
 _DAY_SECONDS = 600.0
-"""The longest that playing one day may take; a usual one takes some 20 s."""
+"""The timeout for one day, which usually takes about 20 s."""
 
 _EARLIER_SECONDS = 2.0
 _LATER_SECONDS = 4.0
 _SHARE_FACTORS = (0.5, 1.6)
-"""How far a varied day's moments and shares may be from those of its file."""
+"""The ranges in which a day's times are shifted and its shares are scaled by `--vary`."""
 
 _DRAWN = pathlib.Path(__file__).parent.parent / "target" / "days"
-"""Where days are put that were drawn, for the bench to read."""
+"""The folder for drawn day files."""
 
 _ROW = re.compile(r"^(\S+)\s+\d+/\d+\s+[\d.]+\s+(-?[\d.]+)\s+([\d.]+)", re.MULTILINE)
 _BROKEN = re.compile(r"^rules broken: (.+)$", re.MULTILINE)
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Played:
-    """How one day went; ``worth`` and ``served`` are None where it could not be played."""
+    """The result of one day; ``worth`` and ``served`` are None if it couldn't be played."""
 
     name: str
     worth: float | None
@@ -47,7 +47,7 @@
 
 
 def play(bench: str, site: str, day: pathlib.Path, why: str) -> Played:
-    """Play one day."""
+    """Run the bench on one day file."""
     command = [bench, "run", site, str(day), "--why", f"{why}: {day.stem}"]
     try:
         done = subprocess.run(
@@ -71,7 +71,7 @@
 
 
 def draw_day(day: pathlib.Path, seed: int | None, class_name: str) -> pathlib.Path:
-    """Write a day like a file's, with other moments, shares and class; give where it stands."""
+    """Write a variation of a day file with other times, shares and class; return its path."""
     source = random.Random(f"{seed} {day.stem}")
     fields = tomllib.loads(day.read_text())
     for trouble in [*fields.get("faults", []), *fields.get("plan", [])]:
@@ -94,7 +94,7 @@
 
 
 def _format(value: object) -> str:
-    """Write a value as TOML does."""
+    """Format a value as TOML."""
     if isinstance(value, dict):
         return "{ " + ", ".join(f"{key} = {_format(each)}" for key, each in value.items()) + " }"
     if isinstance(value, list):
@@ -103,7 +103,7 @@
 
 
 def main() -> None:
-    """Play all days and print the table."""
+    """Run all days and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--bench", required=True)
     parser.add_argument("--site", required=True)
