--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -46,7 +46,7 @@
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
             last = error
         time.sleep(POLL_SECONDS)
-    raise Timeout(f"not within {seconds} s: {what} (last: {last!r})")
+    raise Timeout(f"timed out after {seconds} s: {what} (last: {last!r})")
 
 
 def free_port() -> int:
