--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,7 +1,7 @@
 """Compare scheduler settings on the same seeds: ``python -m bench.ways WAY ... [--seeds N]``.
 
 A way is ``standing`` (the defaults), or comma-separated settings such as
-``reserving._KEPT_SECONDS=0.3``, which set constants of modules of ``snowdock.jobs``. All ways run
+``quotas._RESERVES_QUOTA=False``, which set constants of modules of ``snowdock.jobs``. All ways run
 the same seeds on the emulator: a settlement service on 176 workers with 20 teams, one of which
 sends ten times its usual load, a burst of lookups and one of payouts. The leader's processor time
 isn't modelled.
--- a/src/snowdock/entry/renewals.py
+++ b/src/snowdock/entry/renewals.py
@@ -1,4 +1,4 @@
-"""How a leader's renewals of its record go."""
+"""Results of a leader's renewals of its record in the store."""
 
 from ..clocks import steady_seconds
 from .adaptive_timeout import AdaptiveTimeout
@@ -7,19 +7,18 @@
 
 _MIN_CALL_SECONDS = 0.3
 MAX_CALL_SECONDS = 1.0
-"""Bounds of one call: a renewal takes some 10 ms; it is conditional, so sending it again does
-no harm."""
+"""Bounds of the timeout of one call. A renewal takes about 10 ms, and can safely be retried since
+it is conditional."""
 
 _REJECTED_RENEWALS = 2
-"""Renewals that failed at once, one after the other, after which a leader tells that the store
-turns it away; a single one may be chance."""
+"""Rejected renewals without a success in between, after which a leader reports the rejection."""
 
 _REJECTION_SECONDS = 0.1
-"""A renewal that fails sooner was turned away; one that fails later may be on its way."""
+"""A renewal that fails faster counts as rejected; after a slower failure it may still arrive."""
 
 
 class Renewals:
-    """The renewals of one node; written by the election's thread, read by others."""
+    """The renewals of one node; written by the election thread, read by others."""
 
     def __init__(self) -> None:
         self._timeout = AdaptiveTimeout(_MIN_CALL_SECONDS, MAX_CALL_SECONDS)
@@ -28,32 +27,32 @@
 
     @property
     def limit_s(self) -> float:
-        """How long the next one may take, in seconds."""
+        """The timeout of the next renewal, in seconds."""
         return self._timeout.limit_s
 
     @property
     def age_s(self) -> float:
-        """Seconds since the leadership was last on record."""
+        """Seconds since the start of the last renewal that was recorded."""
         return steady_seconds() - self._renewed_at
 
     @property
     def are_rejected(self) -> bool:
-        """Whether the store has turned the last ones away."""
+        """Whether the store has rejected the last renewals."""
         return self._rejected_count >= _REJECTED_RENEWALS
 
     def start_term(self) -> None:
-        """Begin a leadership whose claim is on record now."""
+        """Start a term whose claim has just been recorded."""
         self._renewed_at = steady_seconds()
         self._rejected_count = 0
 
-    def record_success(self, began: float) -> None:
-        """Take over that one that began at a steady time is on record."""
-        self._renewed_at = began
+    def record_success(self, started_at: float) -> None:
+        """Record a successful renewal that began at a time of the steady clock."""
+        self._renewed_at = started_at
         self._rejected_count = 0
-        self._timeout.record_answer(steady_seconds() - began)
+        self._timeout.record_answer(steady_seconds() - started_at)
 
-    def record_failure(self, began: float) -> None:
-        """Take over that one that began at a steady time had no good answer."""
+    def record_failure(self, started_at: float) -> None:
+        """Record a failed renewal that began at a time of the steady clock."""
         self._timeout.record_timeout()
-        if steady_seconds() - began < _REJECTION_SECONDS:
+        if steady_seconds() - started_at < _REJECTION_SECONDS:
             self._rejected_count += 1
--- a/src/snowdock/jobs/failed_runs.py
+++ b/src/snowdock/jobs/failed_runs.py
@@ -1,14 +1,16 @@
-"""Whom a failed run speaks against: its worker, or the job that brought it.
-
-The load this answers: jobs all of whose runs fail, wherever they run, beside workers that spoil
-all they start. Seen from one worker both look alike, runs that fail in a row, so these are weighed
-by how surprising they would be on a sound worker: a matter of course where the step is bad, and a
-run's own fault else. Whether a step is bad is judged by how many are lately, and by how it fares on
-other workers. The weight is the negative logarithm of that chance; a worker collects one for each
-step that failed there since its last good end. Beyond `_LIMIT` it is set aside, and takes one run
-at a time when it is back. What is learned of a step later changes its weight everywhere.
-
-All of this is a leader's own: a successor begins without doubts.
+"""Attribution of failed runs to either the worker or the step.
+
+Some jobs fail on every worker, and some workers fail every run. From one worker's point of view
+both look the same: a series of failed runs. Each step that failed on a worker is therefore weighted
+by the probability of its failures on a sound worker: close to 1 if the step fails everywhere, and
+the usual failure rate of a run otherwise. The probability that a step fails everywhere is estimated
+from the recent share of such steps and from its results on other workers. The weight is the
+negative logarithm of the failures' probability. A worker's failure score is the sum of the weights
+of all steps that failed on it since the last success. Above `_QUARANTINE_SCORE` the worker is
+quarantined, and afterwards it is on probation and accepts one run at a time. Later results of a
+step change its weight on all workers.
+
+This state is not recorded: a new leader starts with empty scores.
 """
 
 import math
@@ -28,51 +30,52 @@
 ]
 
 _RUN_FAILURE_PROBABILITY = 0.05
-"""The chance that a run of a good step fails on a sound worker: a few in a hundred do."""
+"""Probability that a run of a sound step fails on a sound worker."""
 
 _OTHER_WORKER_FAILURE_PROBABILITY = 0.15
-"""The chance that a good step fails on another worker, which may be one that spoils its runs."""
+"""Probability that a sound step fails on another worker, which may itself be faulty."""
 
 _SUCCESS_FACTOR = 0.1
-"""What is left of the chance that a step is bad with each worker on which it ended well; not
-nothing, since single tasks of it may be bad."""
+"""Factor applied to the probability that a step fails everywhere, for each worker on which it
+succeeded. Above 0, since only some tasks of the step may fail everywhere."""
 
 _QUARANTINE_SCORE = 3.2
-"""Doubt beyond which a worker is set aside. On a calm day two runs of one step that fail, or one
-each of two, suffice; where four in ten steps are bad it takes four of these."""
+"""Failure score from which a worker is quarantined. With few failing steps, two failed runs are
+enough, of one step or of two; if 40 % of the steps fail everywhere, it takes four steps."""
 
 _MIN_FAILING_SHARE = 0.03
-"""The share of bad steps before any is known, and the least that is reckoned with."""
+"""Initial value and lower bound of the share of steps that fail everywhere."""
 
 _FAILING_SHARE_GAIN = 0.05
-"""How fast the share of bad steps follows: the last twenty steps decide."""
+"""Gain of the moving average of failing steps; it covers about the last 20 steps."""
 
 _FAILING_STEP_MIN_WORKERS = 2
-"""Workers on which a step has failed, and none on which it ended well, to count it as bad."""
+"""Workers on which a step must fail, without a success anywhere, to count as failing everywhere."""
 
 _MAX_FAILED_STEPS = 32
-"""The most steps that a worker is charged with: the oldest is dropped where nothing ends well."""
+"""Maximum number of failed steps kept per worker; beyond it the oldest is dropped."""
 
 _MAX_QUARANTINED_SHARE = 0.5
-"""The largest share of a service's workers that is set aside for failures at a time."""
+"""Maximum share of a service's workers that may be in quarantine for failures at a time."""
 
 _MIN_QUARANTINE_SECONDS = 2.0
 _MAX_QUARANTINE_SECONDS = 8.0
-"""Bounds of the time aside; it doubles each time until a run ends well there."""
+"""Bounds of the quarantine time; it doubles each time until a run succeeds on the worker."""
 
 _PROBATION_SECONDS = 2.0
-"""How long a worker that is back takes one run at a time; then it is open to all, in doubt still.
-Longer runs prove nothing sooner, and one that lasts would prove nothing ever."""
+"""How long a worker accepts one run at a time after its quarantine; its failure score stays. The
+time is limited since a long run would otherwise keep the worker on probation."""
 
 _SIGNIFICANT_WEIGHT = math.log(2)
-"""A failure on trial that would be a matter of course on a sound worker ends no trial."""
+"""Minimum weight at which a further failure renews the quarantine: failures that are likely on a
+sound worker do not."""
 
 _DOUBTFUL_SCORE = 1.0
-"""Doubt from which a worker is no place for what may not fail again."""
+"""Failure score from which a worker is avoided for last attempts."""
 
 
 def record_failed_run(cell: Cell, worker: Worker, step: Step, now: float) -> None:
-    """Weigh a run of a step that failed on a worker."""
+    """Record a failed run of a step on a worker, and quarantine the worker if needed."""
     failures = _add_failure(worker, step, now)
     if worker.life not in step.failed_on:
         step.failed_on.add(worker.life)
@@ -81,13 +84,13 @@
     _update_failure_score(cell, worker)
     if worker.quarantine_count and _failure_weight(cell, worker, failures) < _SIGNIFICANT_WEIGHT:
         return
-    _quarantine_if_suspect(cell, worker, now)
+    _quarantine_if_over_score(cell, worker, now)
 
 
 def record_success(cell: Cell, worker: Worker, step: Step, began_at: float, now: float) -> None:
-    """Clear a worker of what failed before a run began there that has ended well.
+    """Record a successful run, and clear the worker of the failures before the run began.
 
-    That run speaks for the worker as it is now; one that began earlier does not.
+    Failures after `began_at` are kept: the run does not show that the worker recovered from them.
     """
     for key, failures in list(worker.failures_by_step.items()):
         if failures.last_failed_at <= began_at:
@@ -98,7 +101,7 @@
     if worker.life in step.done_on:
         return
     if not step.done_on:
-        _update_failing_share(cell, worker, is_bad=False)
+        _update_failing_share(cell, worker, fails_everywhere=False)
     step.done_on.add(worker.life)
     _reevaluate_others(cell, worker, step, now)
 
@@ -114,7 +117,7 @@
 
 
 def _mark_failing_step(cell: Cell, worker: Worker, step: Step) -> None:
-    """Count a step as bad, once, when it has failed on enough workers."""
+    """Mark a step as failing everywhere, once, when it has failed on enough workers."""
     if (
         step.fails_everywhere
         or step.done_on
@@ -122,10 +125,10 @@
     ):
         return
     step.fails_everywhere = True
-    _update_failing_share(cell, worker, is_bad=True)
+    _update_failing_share(cell, worker, fails_everywhere=True)
 
 
-def _quarantine_if_suspect(cell: Cell, worker: Worker, now: float) -> None:
+def _quarantine_if_over_score(cell: Cell, worker: Worker, now: float) -> None:
     if worker.failure_score < _QUARANTINE_SCORE or _is_quarantine_full(cell, worker, now):
         return
     seconds = min(_MIN_QUARANTINE_SECONDS * 2**worker.quarantine_count, _MAX_QUARANTINE_SECONDS)
@@ -145,7 +148,7 @@
 
 
 def _reset_quarantine(cell: Cell, worker: Worker, now: float) -> None:
-    """End what follows from a worker's failures: its time aside, its trial, and their growth."""
+    """End a worker's quarantine and probation, and reset the duration of the next quarantine."""
     worker.quarantine_count = 0
     worker.probation_until = 0.0
     worker.probation_run = None
@@ -153,8 +156,9 @@
 
 
 def _reevaluate_others(cell: Cell, worker: Worker, step: Step, now: float) -> None:
-    """Judge other workers where a step has failed by what it did on one."""
-    # In one order: a set has another one in each process, and a seed would play other days.
+    """Update the other workers on which a step has failed, after its result on one worker."""
+    # Sorted, because the order of a set differs between processes and would make runs of one seed
+    # differ.
     for life in sorted(step.failed_on):
         other = cell.workers.get(life)
         if other is None or other is worker:
@@ -163,11 +167,11 @@
         if is_cleared and other.is_quarantined_for_failures:
             _reset_quarantine(cell, other, now)
         elif not other.quarantine_count:
-            _quarantine_if_suspect(cell, other, now)
+            _quarantine_if_over_score(cell, other, now)
 
 
 def _other_failed_workers(cell: Cell, step: Step, worker: Worker | None = None) -> set[str]:
-    """Give the other workers where a step has failed, but for those thought to spoil runs."""
+    """Return the other workers on which a step has failed, except those found to be faulty."""
     own = "" if worker is None else worker.life
     return {life for life in step.failed_on if life != own and not _is_faulty(cell, life)}
 
@@ -178,36 +182,36 @@
 
 
 def _update_failure_score(cell: Cell, worker: Worker) -> float:
-    """Reckon a worker's doubt anew and give it; passes look at it some thousand times a second."""
+    """Recompute and return a worker's failure score, which is cached for placement passes."""
     worker.failure_score = sum(
-        _failure_weight(cell, worker, charge) for charge in worker.failures_by_step.values()
+        _failure_weight(cell, worker, failures) for failures in worker.failures_by_step.values()
     )
     return worker.failure_score
 
 
 def is_doubtful(worker: Worker) -> bool:
-    """Whether a worker is no place for what may not fail again, while another run proves it."""
+    """Check whether a worker is to be avoided for last attempts while it has other runs."""
     return worker.failure_score >= _DOUBTFUL_SCORE and bool(worker.runs)
 
 
 def is_on_probation(worker: Worker, now: float) -> bool:
-    """Whether a worker that was set aside takes one run at a time."""
+    """Check whether a worker is on probation after its quarantine: it takes one run at a time."""
     return worker.probation_until > now
 
 
 def has_probation_run(worker: Worker, now: float) -> bool:
-    """Whether a worker on trial has the one run that shows whether it still fails."""
+    """Check whether a worker on probation already has its one run."""
     return is_on_probation(worker, now) and worker.probation_run in worker.runs
 
 
 def begin_probation_run(worker: Worker, run: tuple, now: float) -> None:
-    """Note what a worker is proved by, if it has to be."""
+    """Record the run that a worker executes on probation, if it is on probation."""
     if is_on_probation(worker, now):
         worker.probation_run = run
 
 
 def _failure_weight(cell: Cell, worker: Worker, failures: StepFailures) -> float:
-    """Give how much a step's failures on a worker speak against that worker."""
+    """Return the weight of a step's failures in the failure score of a worker."""
     step = failures.step
     failing_probability = _failing_step_share(cell, worker)
     sound_probability = (1 - failing_probability) * _OTHER_WORKER_FAILURE_PROBABILITY ** len(
@@ -221,10 +225,10 @@
     )
 
 
-def _update_failing_share(cell: Cell, worker: Worker, is_bad: bool) -> None:
-    """Learn from a step how usual bad ones are."""
+def _update_failing_share(cell: Cell, worker: Worker, fails_everywhere: bool) -> None:
+    """Update the moving average of the share of steps that fail everywhere."""
     share = _failing_step_share(cell, worker)
-    share += _FAILING_SHARE_GAIN * (is_bad - share)
+    share += _FAILING_SHARE_GAIN * (fails_everywhere - share)
     cell.failing_step_share[worker.entry.service] = max(_MIN_FAILING_SHARE, share)
 
 
@@ -233,7 +237,7 @@
 
 
 def _is_quarantine_full(cell: Cell, worker: Worker, now: float) -> bool:
-    """Whether as much of a service is set aside for failures as may be."""
+    """Check whether a further quarantine would exceed the maximum share of the service."""
     quarantined, workers = count_quarantined(
         cell, worker.entry.service, QuarantineCause.FAILURES, now
     )
--- a/src/snowdock/jobs/placement.py
+++ b/src/snowdock/jobs/placement.py
@@ -1,4 +1,4 @@
-"""Placement of waiting steps on workers: the most urgent first, within a bounded effort."""
+"""Placement of waiting steps on workers, by rank, in passes of bounded duration."""
 
 import dataclasses
 
@@ -27,35 +27,37 @@
 __all__ = ["place_waiting_steps"]
 
 _MIN_PASS_INTERVAL_SECONDS = 0.005
-"""Pause between two passes: news that come together are looked at together."""
+"""Minimum time between two passes, so that one pass covers several changes."""
 
 _SECONDS_PER_EXAMINED_WORKER = 10e-6
-"""What looking at one worker for one step takes, roughly."""
+"""Approximate time to examine one worker for one step."""
 
 _MAX_EXAMINED_PER_PASS = 1_500
-"""The most looks of one pass, some 15 ms: renewals and answers may not wait for longer. Half go
-to the steps with the highest rank, half to those that have had no look for longest."""
+"""Maximum number of workers examined in one pass, which takes about 15 ms, so that renewals and
+answers are not delayed for longer. Half of them are examined for the steps with the highest rank,
+half for the steps whose last search is the oldest."""
 
 _MAX_PASS_TIME_SHARE = 0.3
-"""The most of the time that passes may take: a leader whose passes took all of it answered to
-nothing else, its tickets expired on their way, and each refused start wanted another pass."""
+"""Maximum fraction of the time spent in passes. The rest is left for other events: if these are
+delayed, tickets expire before their starts are sent, and each refused start needs another pass."""
 
 _MAX_BLOCKED_SECONDS = 1.5
-"""A step that runs nothing, and that only reservations keep out for so long, has one task let in:
-callers of small work may wait for room, but not for seconds beside room that is free. Tickets take
-up to half a second more, and three seconds are the most that the users allow."""
+"""Time after which a step that runs nothing, and that only reservations block, may place one task
+on reserved room. Together with up to 0.5 s for tickets this stays below the 3 s that users
+accept for a small job beside free room."""
 
 _CROWDED_STEP_COUNT = 50
 _SEARCH_RETRY_SECONDS = 0.05
-"""While more steps than this wait, one that found no room leaves others their turn so long."""
+"""While more steps than this are waiting, a step that could not be placed is not searched again
+for this time, so that other steps are."""
 
 
 @dataclasses.dataclass(slots=True)
 class _WorkerPool:
-    """The workers of one service that may take something, and the largest room among them.
+    """Open workers of one service, and the maximum free room among them.
 
-    Bulky steps are looked for room where no worker has any: they may have runs stopped that
-    yield, or room reserved.
+    Bulky steps are searched even if no worker has enough free room, because runs may be
+    preempted or resources reserved for them.
     """
 
     workers: dict[str, Worker] = dataclasses.field(default_factory=dict)
@@ -66,10 +68,10 @@
     capacity: Size = ZERO
 
     def add(self, worker: Worker) -> None:
-        """Count a worker in."""
+        """Add a worker to the pool."""
         free = worker.free
         self.workers[worker.entry.life] = worker
-        # Plain comparisons: each pass counts each worker in.
+        # Plain comparisons instead of Size methods: every pass calls this for every worker.
         if free.cpu > self.max_free_cpu:
             self.max_free_cpu = free.cpu
         if free.memory > self.max_free_memory:
@@ -81,13 +83,13 @@
 
     @property
     def by_free_cpu(self) -> list[Worker]:
-        """The workers, those with most processors free first; as when it was first asked for."""
+        """Workers by descending free processors, as of the first access."""
         if self._by_free_cpu is None:
             self._by_free_cpu = sorted(self.workers.values(), key=lambda each: -each.free.cpu)
         return self._by_free_cpu
 
     def may_hold(self, step: Step) -> bool:
-        """Whether some worker might hold a task of a step."""
+        """Check whether a worker might have enough free room for a task of a step."""
         max_free = Size(self.max_free_cpu, self.max_free_memory, self.max_free_accelerators)
         return step.is_bulky or max_free.holds(step.spec.room)
 
@@ -96,7 +98,7 @@
 
 
 class _WorkerPools:
-    """The workers that may take something in a pass, by service."""
+    """Open workers of one pass, by service."""
 
     def __init__(self, cell: Cell, now: float) -> None:
         self._cell = cell
@@ -105,7 +107,7 @@
         self._last_resort: dict[str, _WorkerPool] | None = None
 
     def pool_for(self, step: Step) -> _WorkerPool:
-        """Give the workers that may take something of a step."""
+        """Return the open workers for a step; quarantined ones only as a last resort."""
         service = self._cell.queue_of(step.job).service
         if caution_for(self._cell, step) is not Caution.NONE:
             return self._regular.get(service, _EMPTY_POOL)
@@ -122,7 +124,7 @@
 
 
 def place_waiting_steps(cell: Cell, now: float) -> None:
-    """Place what finds room, the highest rank first."""
+    """Run a placement pass over the waiting steps, in descending order of rank."""
     if not cell.waiting_steps or now < cell.next_placement_at:
         return
     cell.needs_placement = False
@@ -146,7 +148,10 @@
 def _search_steps(
     cell: Cell, steps: list[Step], pools: _WorkerPools, now: float, max_examined: int
 ) -> int:
-    """Look for room for steps in order, with so many looks at most; give how many it took."""
+    """Search workers for steps, in order, and return the number of workers examined.
+
+    No further step is searched once ``max_examined`` workers have been examined.
+    """
     examined = 0
     for step in steps:
         if examined >= max_examined:
@@ -159,7 +164,7 @@
 
 
 def _place_step(cell: Cell, step: Step, pools: _WorkerPools, now: float) -> int:
-    """Place what finds room of one step; give how many workers were looked at."""
+    """Place as many tasks of a step as possible, and return the number of workers examined."""
     tasks, isolation = next_tasks(step, now)
     if not tasks:
         del cell.waiting_steps[step.key]
@@ -184,7 +189,7 @@
 
 
 def _limit_to_quota(cell: Cell, step: Step, wanted: int) -> int:
-    """Tell how many tasks of a step its team's quota lets begin, and note where it is none."""
+    """Return the number of tasks that the team's quota admits, and log when it becomes zero."""
     count = tasks_within_quota(cell, step, wanted)
     if step.is_at_quota is not (count == 0):
         step.is_at_quota = count == 0
@@ -205,7 +210,7 @@
     pool: _WorkerPool,
     now: float,
 ) -> int:
-    """Place on workers with tickets, or ask for more; give how many workers were looked at."""
+    """Place tasks on workers with tickets, or request advice; return the workers examined."""
     workers = _filter_by_isolation(isolation, _find_workers_with_ticket(step, pool, now))
     fit = _filter_by_isolation(isolation, _find_fit_workers(step, pool))
     candidates = _find_step_candidates(cell, step, workers, fit, isolation, now)
@@ -224,7 +229,7 @@
 
 
 def _filter_by_isolation(isolation: IsolationLevel, workers: list[Worker]) -> list[Worker]:
-    """Give the workers where tasks may run that keep such company."""
+    """Return the workers that satisfy an isolation level."""
     if isolation is IsolationLevel.NONE:
         return workers
     return [worker for worker in workers if may_share_worker(worker, isolation)]
@@ -238,9 +243,9 @@
     isolation: IsolationLevel,
     now: float,
 ) -> list[Candidate]:
-    """Give the seats of a step, one of them in reserved room where it has been kept for long.
+    """Return the candidates for a step, or one with reserved room if it is blocked for long.
 
-    ``workers`` are those where it could start now, ``fit`` those where it may ever run.
+    ``workers`` are those on which the step could start now, ``fit`` those that may run it at all.
     """
     candidates = list(find_candidates(cell, step, workers))
     if isolation is not IsolationLevel.NONE:
@@ -258,14 +263,14 @@
         return []
     reserved = list(find_candidates(cell, step, workers, ignore_reservations=True))
     if not reserved:
-        # Its tickets are being renewed for this.
+        # The tickets for these workers are being renewed.
         return []
-    best = max(reserved, key=lambda seat: seat.score)
+    best = max(reserved, key=lambda candidate: candidate.score)
     return [dataclasses.replace(best, count=1)]
 
 
 def _is_blocked_by_reservations(cell: Cell, step: Step, fit: list[Worker]) -> bool:
-    """Whether there is room for a step that others have only reserved."""
+    """Check whether only reservations for other steps prevent a placement."""
     return any(True for _ in find_candidates(cell, step, fit, ignore_reservations=True))
 
 
@@ -277,7 +282,7 @@
     candidates: list[Candidate],
     now: float,
 ) -> list[Task]:
-    """Place tasks as far as the seats go, a gang whole or not at all; give those left over."""
+    """Place tasks on candidates, a gang as a whole or not at all; return the remaining tasks."""
     chosen = choose_workers(step, tasks, candidates)
     if not chosen or (step.spec.gang and len(chosen) < len(tasks)):
         return tasks
@@ -288,16 +293,17 @@
 def _claim_or_reserve_room(
     cell: Cell,
     step: Step,
-    ready: list[Worker],
+    workers: list[Worker],
     fit: list[Worker],
     wanted: int,
     now: float,
 ) -> bool:
-    """Have room made for a bulky step, or reserve what will come free; tell whether it is made.
+    """Preempt runs for a bulky step, or else reserve resources; return whether it has a claim.
 
-    ``ready`` are the workers where it could start now, ``fit`` those where it may ever run.
+    ``workers`` are those on which the step could start now, ``fit`` those that may run it at
+    all.
     """
-    if has_claim(cell, step, now) or preempt_runs(cell, step, ready, wanted, now):
+    if has_claim(cell, step, now) or preempt_runs(cell, step, workers, wanted, now):
         return True
     reserve_room(cell, step, fit, wanted, now)
     return False
@@ -309,7 +315,7 @@
 
 
 def _find_workers_with_ticket(step: Step, pool: _WorkerPool, now: float) -> list[Worker]:
-    """Give the workers that a start of the step would have a good ticket for."""
+    """Return the workers for which the step has a valid ticket."""
     workers = []
     for life, (_, expires) in step.advice.tickets.items():
         worker = pool.workers.get(life)
@@ -319,7 +325,7 @@
 
 
 def _find_fit_workers(step: Step, pool: _WorkerPool) -> list[Worker]:
-    """Give the workers that may run the step as far as is known, whether or not with a ticket."""
+    """Return the workers known to be fit for the step, even if their tickets have expired."""
     return [pool.workers[life] for life in step.advice.tickets if life in pool.workers]
 
 
@@ -331,7 +337,7 @@
     chosen: list[Worker],
     now: float,
 ) -> None:
-    """Place tasks; their starts go out once the placement is on record."""
+    """Assign tasks to workers; the starts are sent once the placement is recorded."""
     gang_run = max(task.run for task in step.tasks) + 1
     checkpoint = _gang_checkpoint(step) if step.spec.gang else ""
     for task, worker in zip(tasks, chosen, strict=False):
@@ -363,11 +369,11 @@
         del cell.waiting_steps[step.key]
         release_expired_claims(cell, now)
     elif any(task.lost_runs for task in remaining):
-        # They keep other company, and were not looked at yet.
+        # These tasks have another isolation level and were not considered in this search.
         cell.needs_placement = True
 
 
 def _gang_checkpoint(step: Step) -> str:
-    """Any member's checkpoint serves the whole gang, but all must bring the same."""
+    """Return the newest checkpoint of any member; all members must resume from the same one."""
     latest = max(step.tasks, key=lambda task: (bool(task.checkpoint), task.run, task.checkpoint))
     return latest.checkpoint
--- a/src/snowdock/jobs/placement_advice.py
+++ b/src/snowdock/jobs/placement_advice.py
@@ -1,4 +1,4 @@
-"""Advice from outside: which workers may run a step, and when it is worth asking."""
+"""Requests to the external advice service, which decides which workers may run a step."""
 
 import math
 from collections.abc import Iterable
@@ -22,49 +22,53 @@
 ]
 
 _MAX_WORKERS_PER_REQUEST = 100
-"""The most workers of one question; the service takes no more."""
+"""Maximum number of workers in one request, a limit of the service."""
 
 _UNKNOWN_SLOTS_PER_TASK = 5
-"""Seats that are asked about for each one wanted, of workers not known yet: as few as three in
-ten are fit, and some rooms are taken meanwhile."""
+"""Slots on workers not asked about yet that are requested for each task. As few as 30 % of the
+workers are fit, and some of the slots are taken before the answer."""
 
 _KNOWN_SLOTS_PER_TASK = 2
-"""Seats that are asked about for each one wanted, of workers known to be fit."""
+"""Slots on workers known to be fit that are requested for each task."""
 
 _CHEAP_TIME_SHARE = 0.5
-"""As many workers are asked about at least as add so much to the time of a question."""
+"""Workers are added to a request as long as they extend it by at most this fraction of its fixed
+duration."""
 
 _MAX_ANSWER_TIME_FACTOR = 1.5
-"""An answer may take so many times as long as told: some wait for one before them."""
+"""Assumed maximum ratio of an answer's actual to its expected duration: a request may be queued
+behind another one."""
 
 _TICKET_MARGIN_SECONDS = 0.15
-"""Tickets are taken to expire this much early: a start is recorded, sent and may wait for the
-calls before it to the same worker."""
+"""Tickets are considered expired this much early, to cover the time to record and send a start,
+including earlier calls to the same worker."""
 
 _ANSWER_SLACK_SECONDS = 0.1
-"""How much longer than an answer takes room is kept for it: the way there and back, and a pass."""
+"""Time for which resources are held beyond an answer's duration: the network round trip and a
+placement pass."""
 
 _SHORT_REQUESTS_PER_NODE = 2
-"""Short questions on their way for each node that can ask: one that is being answered and one
-that waits. More would be answered in the order asked, whatever became more urgent meanwhile."""
+"""Maximum number of pending short requests for each node that can call the service: one in
+progress and one queued. Further ones would be answered in the order of sending, even if others
+became more urgent meanwhile."""
 
 _LONG_REQUESTS_PER_NODE = 0.75
-"""Long questions on their way for each node that can ask: a few more than may be answered at the
-same time, counted apart so that they never keep short ones from being asked."""
+"""Maximum number of pending long requests for each node that can call the service, slightly more
+than can be in progress. They are counted separately so that they never delay short requests."""
 
 _BULKY_PARALLEL_REQUESTS = 4
-"""Questions about a bulky step that go out together, to as many nodes: asked one after the other,
-the first tickets expire before the last workers are known."""
+"""Maximum number of parallel requests for a bulky step. If they were sent one after the other, the
+first tickets would expire before the last answer."""
 
 _RETRY_SECONDS = 0.2
-"""Pause after a question without an answer."""
+"""Delay before the next request after a failed one."""
 
 _NO_CANDIDATE_RETRY_SECONDS = 0.1
-"""Pause after a look at all workers that found none worth a question."""
+"""Delay before the next search after one that found no worker to ask about."""
 
 
 def needs_advice(cell: Cell, step: Step) -> bool:
-    """Whether a step's queue has its placements advised from outside."""
+    """Check whether a step's queue requires external advice for its placements."""
     terms = cell.queue_of(step.job).advice
     if terms is None:
         step.advice = None
@@ -75,18 +79,18 @@
 
 
 def may_request_advice(cell: Cell, step: Step, fit: Iterable[Worker], now: float) -> bool:
-    """Whether a question about a step could go out now.
+    """Check whether a request about a step may be sent now.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
         The step.
     fit
-        Workers that may run it, as far as is known.
+        Workers that are known to be fit for the step.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
     """
     advice = step.advice
     if now < advice.retry_at:
@@ -107,27 +111,27 @@
     wanted: int,
     now: float,
 ) -> int:
-    """Ask about workers, where the answer could lead to a placement now.
+    """Request advice about workers if the answer could lead to a placement.
 
     Parameters
     ----------
     cell
-        The leader's state.
+        State of the leader.
     step
-        The step that found no room with the tickets at hand.
-    roomiest
-        The workers of its service that may take something, those with most room first.
+        The step, which could not be placed with its valid tickets.
+    by_free_cpu
+        Open workers of the step's service, by descending free processors.
     fit
-        Those of them that may run it, as far as is known.
+        Those of them that are known to be fit for the step.
     wanted
-        Tasks that are to be placed.
+        Number of tasks to place.
     now
-        The steady clock, in seconds.
+        Current time on the steady clock, in seconds.
 
     Returns
     -------
     int
-        How many workers were looked at.
+        Number of workers examined.
     """
     advice = step.advice
     chosen, examined = _choose_workers_to_ask(cell, step, by_free_cpu, fit, wanted, now)
@@ -138,8 +142,8 @@
     advice.pending_requests += len(parts)
     expected_s = _estimate_answer_seconds(advice, len(parts[0]))
     if not step.is_bulky:
-        # Else whoever has a ticket goes first, not who ranks first: large steps have theirs renewed
-        # in time, and a small one that ranked higher was passed by four of them in 20 s.
+        # Hold the resources until the answer. Otherwise lower-ranked steps that already have
+        # tickets are placed first, such as bulky steps, whose tickets are renewed in advance.
         known = [worker for worker in chosen if worker.life in advice.tickets]
         hold_s = _MAX_ANSWER_TIME_FACTOR * expected_s + _ANSWER_SLACK_SECONDS
         hold_room(cell, step, known, wanted, now, hold_s)
@@ -151,7 +155,7 @@
 
 
 def _split_into_requests(step: Step, chosen: list[Worker]) -> list[list[Worker]]:
-    """Give the workers of each of the questions that go out at the same time."""
+    """Split workers into the requests that are sent in parallel."""
     max_workers = min(_MAX_WORKERS_PER_REQUEST, max(1, _count_cheap_workers(step)))
     count = min(_max_parallel_requests(step), math.ceil(len(chosen) / max_workers))
     size = min(_MAX_WORKERS_PER_REQUEST, math.ceil(len(chosen) / count))
@@ -170,10 +174,11 @@
     wanted: int,
     now: float,
 ) -> tuple[list[Worker], int]:
-    """Choose the workers to ask about; none where no answer could help yet.
+    """Return the workers to ask about, or none if no answer could help yet.
 
-    Gives also how many workers were looked at: a question takes the first that have room, since
-    looking at all 270 for each of 150 steps took longer than tickets hold.
+    Also return the number of workers examined. The search ends with the first workers that have
+    enough free room: examining all workers for every step can take longer than tickets are
+    valid.
     """
     advice = step.advice
     room = step.spec.room
@@ -196,7 +201,7 @@
     if not chosen:
         chosen = _find_reserved_workers_due(cell, step, now)
         examined += len(chosen)
-    # Which workers are fit never changes: those without room now are cheap to learn of as well.
+    # Fitness never changes, so also ask about workers without free room while that is cheap.
     asked = {worker.life for worker in chosen}
     spare = _count_cheap_workers(step) * _max_parallel_requests(step) - len(chosen)
     for worker in by_free_cpu:
@@ -212,9 +217,10 @@
 def _find_unknown_workers(
     step: Step, by_free_cpu: list[Worker], slots: int
 ) -> tuple[list[Worker], int]:
-    """Give workers with room of which it is not known whether they may run a step.
+    """Return workers with free room whose fitness for a step is unknown.
 
-    As many as have so many seats, or as are cheap to ask; gives also how many were looked at.
+    They offer at least ``slots`` slots, if possible, and are at least as many as are cheap to ask
+    about. Also return the number of workers examined.
     """
     room = step.spec.room
     cheap = _count_cheap_workers(step)
@@ -224,7 +230,7 @@
         if slots <= 0 and len(found) >= cheap:
             break
         if not step.is_bulky and worker.free.cpu < room.cpu:
-            # The others have even less.
+            # The remaining workers have even fewer free processors.
             break
         examined += 1
         if step.advice.is_known(worker.life) or not _obtainable_room(step, worker).holds(room):
@@ -235,17 +241,19 @@
 
 
 def _find_reserved_workers_due(cell: Cell, step: Step, now: float) -> list[Worker]:
-    """Give the workers reserved for a step whose tickets are to be renewed in time for it."""
+    """Return the workers reserved for a step whose tickets expire before it can use them."""
     claim = find_reservation(cell, step, now)
     if claim is None:
         return []
     advice = step.advice
     workers = (cell.workers.get(life) for life in claim.lives)
-    held = [worker for worker in workers if worker is not None and step.key in worker.room_holds]
-    answer_at = now + _MAX_ANSWER_TIME_FACTOR * _estimate_answer_seconds(advice, len(held))
+    reserved = [
+        worker for worker in workers if worker is not None and step.key in worker.room_holds
+    ]
+    answer_at = now + _MAX_ANSWER_TIME_FACTOR * _estimate_answer_seconds(advice, len(reserved))
     return [
         worker
-        for worker in held
+        for worker in reserved
         if worker.room_holds[step.key].needed_at <= answer_at
         and advice.valid_ticket(worker.life, answer_at) is None
     ]
@@ -256,7 +264,7 @@
 
 
 def _may_be_long(advice: Advice) -> bool:
-    """Whether a question about as many workers as one may name would be a long one."""
+    """Check whether a request about the maximum number of workers would be a long one."""
     return (
         advice.terms.decide_ms + advice.terms.each_ms * _MAX_WORKERS_PER_REQUEST
         > LONG_ADVICE_REQUEST_MS
@@ -264,15 +272,15 @@
 
 
 def _count_slots(step: Step, worker: Worker, wanted: int) -> int:
-    """Count the tasks of a step that a worker's free room holds, up to so many."""
+    """Return the number of tasks of a step that fit on a worker, at most ``wanted``."""
     return min(wanted, count_fitting(_obtainable_room(step, worker), step.spec.room))
 
 
 def _obtainable_room(step: Step, worker: Worker) -> Size:
-    """Give the room that a step may find there.
+    """Return the resources of a worker that a step may be able to use.
 
-    What only reservations keep out may be let in to reserved room, and needs tickets then. For a
-    bulky one, runs that yield are stopped, too.
+    They include those that are only reserved for other steps if the step is small or blocked, and
+    those of preemptible runs if the step is bulky.
     """
     if not step.is_bulky:
         return worker.unreserved_room(step.key)
@@ -291,9 +299,10 @@
 
 
 def _choose_roomiest(step: Step, workers: list[Worker], slots: int) -> list[Worker]:
-    """Give the workers with most room, as many as have so many seats, or as are cheap to ask.
+    """Return the workers that can take most tasks, until they offer ``slots`` slots.
 
-    Each one asked about takes the service time, and its tickets hold for a short time only.
+    At least as many as are cheap to ask about are returned. The number is limited because each
+    worker prolongs the request and tickets are valid for a short time only.
     """
     cheap = _count_cheap_workers(step)
     chosen: list[Worker] = []
@@ -306,7 +315,7 @@
 
 
 def _count_cheap_workers(step: Step) -> int:
-    """Give how many workers add little to the time of a question that is asked anyway."""
+    """Return the number of workers that extend a request's duration only a little."""
     terms = step.advice.terms
     if not terms.each_ms:
         return _MAX_WORKERS_PER_REQUEST
@@ -314,7 +323,7 @@
 
 
 def apply_advice(cell: Cell, event: AdviceAnswered, now: float) -> None:
-    """Take over the service's answer."""
+    """Apply an answer of the advice service to its step."""
     request = event.result.request
     cell.advice_requests.pop(request, None)
     step = _find_step(cell, request)
@@ -343,7 +352,7 @@
 
 
 def handle_advice_failure(cell: Cell, event: AdviceFailed, now: float) -> None:
-    """Ask again a little later."""
+    """Handle a failed advice request; it is repeated after a delay."""
     cell.advice_requests.pop(event.request, None)
     cell.needs_placement = True
     step = _find_step(cell, event.request)
@@ -355,7 +364,7 @@
 
 
 def _decrement_pending(advice: Advice) -> None:
-    """Count a question as answered; one asked before the queue's terms changed counts no more."""
+    """Decrement the pending requests; those sent before the queue's terms changed don't count."""
     advice.pending_requests = max(0, advice.pending_requests - 1)
 
 
--- a/tests/test_jobs_leader_changes.py
+++ b/tests/test_jobs_leader_changes.py
@@ -1,4 +1,4 @@
-"""Tests of tasks that crash their workers while leaders change."""
+"""Tests of tasks that crash their workers while the leader changes."""
 
 import dataclasses
 import random
@@ -14,8 +14,8 @@
 from snowdock.jobs.orders import EndKind
 from tests.jobs_tools import SMALL, LeaderSequence, find_unended_jobs
 
-MOST_STARTS = 5
-"""After three crashes under a task, fewer than three more starts."""
+MAX_STARTS = 5
+"""Limit of a crashing task's starts: at most two more after its third crash."""
 
 GANG = msgspec.structs.replace(SMALL, count=2, gang=True, most_per_worker=1)
 LONG_RUNNING = msgspec.structs.replace(SMALL, long_running=True)
@@ -24,30 +24,30 @@
 SECONDS = 20
 SETTLE_SECONDS = 140
 DRAINING_SEEDS = (167, 266, 271)
-"""Days on which runs were lost with draining workers under a new leader."""
+"""Seeds with runs lost on draining workers under a new leader."""
 
 GANG_SEEDS = (1, 50, 82, 88)
-"""Days on which a gang broke off just as one of its members ended its own worker."""
+"""Seeds with a gang that breaks just as one of its members crashes its worker."""
 
-FEW_CRASHING = 0.04
-MANY_CRASHING = 0.15
-"""Shares of jobs with a task that ends its workers."""
+LOW_CRASHING_SHARE = 0.04
+HIGH_CRASHING_SHARE = 0.15
+"""Shares of jobs with a task that crashes its workers."""
 
 
 class TestDrainingWorkers(unittest.TestCase):
     def test_crash_of_a_draining_worker_under_a_new_leader(self) -> None:
-        """It is charged, though the new leader does not know when the run began."""
+        """A lost run is charged although the new leader does not know when it began."""
         leaders = LeaderSequence(SMALL)
-        self.assertLessEqual(self.count_starts(leaders), MOST_STARTS)
+        self.assertLessEqual(self.count_starts(leaders), MAX_STARTS)
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     def test_long_running_task(self) -> None:
-        """One that lasts is charged as well where its worker went before it told of the run."""
-        self.assertLessEqual(self.count_starts(LeaderSequence(LONG_RUNNING)), MOST_STARTS)
+        """A long-running task is charged too if its worker ended before reporting the run."""
+        self.assertLessEqual(self.count_starts(LeaderSequence(LONG_RUNNING)), MAX_STARTS)
 
     @staticmethod
     def count_starts(leaders: LeaderSequence) -> int:
-        """Have each worker drain, and crash as the leader changes; give how often one is tried."""
+        """Count the starts while each worker drains, and crashes as the leader changes."""
         starts = 0
         while starts < ROUNDS and (found := leaders.next_starts()):
             (start,) = found
@@ -58,7 +58,7 @@
         return starts
 
     def test_stalled_leader(self) -> None:
-        """A leader that stood still knows not when the worker went: what it heard last counts."""
+        """After a stall of the leader, a run's age is based on the worker's last report."""
         leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
         leaders.bench.confirm(start)
@@ -68,16 +68,16 @@
         task = leaders.bench.cell.find_task(start.order.task)
         self.assertEqual(task.lost_runs, {1})
 
-    def test_days_with_draining_workers(self) -> None:
-        """On emulated days no task is started three times after it crashed three workers."""
-        check_days(self, DRAINING_SEEDS)
+    def test_seeds_with_draining_workers(self) -> None:
+        """In the emulator, no task exceeds its limit of starts."""
+        check_seeds(self, DRAINING_SEEDS)
 
 
 class TestRecoveredRuns(unittest.TestCase):
-    """What a new leader goes by that finds a run on record."""
+    """Runs that a new leader restores from durable records."""
 
     def test_long_running_task_is_cleared_by_its_work(self) -> None:
-        """A takeover does not count as 30 seconds of work."""
+        """Losses are not cleared by a takeover, only by 30 seconds of running afterwards."""
         leaders = LeaderSequence(LONG_RUNNING)
         for _ in range(2):
             (start,) = leaders.next_starts()
@@ -96,7 +96,7 @@
         self.assertEqual(task.lost_runs, frozenset())
 
     def test_run_lost_after_a_report(self) -> None:
-        """On a draining worker it is charged, however old the new leader's machine is."""
+        """A reported run lost on a draining worker is charged, however long the node is up."""
         leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
         leaders.replace_leader()
@@ -107,7 +107,7 @@
         self.assertEqual(task.lost_runs, {1})
 
     def test_crash_counts_survive_leader_changes(self) -> None:
-        """Three crashes that were seen as such are the most, though a new leader saw the third."""
+        """The task is given up at its third crash, even if a new leader detected that one."""
         leaders = LeaderSequence(SMALL)
         starts = 0
         while starts < ROUNDS and (found := leaders.next_starts()):
@@ -124,7 +124,7 @@
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     def test_member_that_is_done(self) -> None:
-        """Its worker may never become known to a new leader, which charges nobody."""
+        """A member that is done is not charged if its worker stays unknown to a new leader."""
         leaders = LeaderSequence(GANG, msgspec.structs.replace(SMALL, after=(0,)))
         one, other = leaders.next_starts()
         losses = frozenset({-1, -2, -3, -4})
@@ -138,7 +138,7 @@
         self.assertEqual(leaders.status, JobStatus.RUNNING)
 
     def test_expected_end_of_a_recovered_run(self) -> None:
-        """Room that a run takes is expected back after its estimate, not after days."""
+        """A restored run's room is expected to be free after the run's estimated time."""
         leaders = LeaderSequence(SMALL)
         (start,) = leaders.next_starts()
         leaders.replace_leader()
@@ -149,10 +149,10 @@
 
 
 class TestGangs(unittest.TestCase):
-    """A start that ends in another way than with its worker."""
+    """Starts of gang members that end without the loss of their worker."""
 
-    def test_member_that_is_broken_off(self) -> None:
-        """After three losses under a member, a start of it counts though the gang broke first."""
+    def test_member_of_a_broken_gang(self) -> None:
+        """After three losses, each start of a member is charged even if the gang broke first."""
         leaders = LeaderSequence(GANG)
         for _ in range(3):
             starts = self.start_all(leaders)
@@ -166,12 +166,12 @@
             more += 1
             leaders.bench.report(starts[1].life, ended=[self.gang_broken_end(starts[1])])
             leaders.bench.report(starts[0].life, ended=[self.gang_broken_end(starts[0])])
-        self.assertLessEqual(more, MOST_STARTS - 3)
+        self.assertLessEqual(more, MAX_STARTS - 3)
         self.assertEqual(leaders.status, JobStatus.FAILED)
 
     @staticmethod
     def start_all(leaders: LeaderSequence) -> list[SendStart]:
-        """Start both members, the guilty one last; give none once the job is given up."""
+        """Confirm the starts of both members; return none once the job is given up."""
         starts = sorted(leaders.next_starts(), key=lambda start: start.order.task.index)
         for start in starts:
             leaders.bench.confirm(start)
@@ -181,25 +181,25 @@
     def gang_broken_end(start: SendStart) -> tuple:
         return (start.order.task, start.order.run, EndKind.GANG_BROKEN)
 
-    def test_days_with_gangs(self) -> None:
-        """On emulated days no member is started three times after it crashed three workers."""
-        check_days(self, GANG_SEEDS, MANY_CRASHING)
+    def test_seeds_with_gangs(self) -> None:
+        """In the emulator, no member of a gang exceeds its limit of starts."""
+        check_seeds(self, GANG_SEEDS, HIGH_CRASHING_SHARE)
 
 
-def check_days(
-    test: unittest.TestCase, seeds: tuple[int, ...], crashing_share: float = FEW_CRASHING
+def check_seeds(
+    test: unittest.TestCase, seeds: tuple[int, ...], crashing_share: float = LOW_CRASHING_SHARE
 ) -> None:
     for seed in seeds:
         with test.subTest(seed=seed):
-            emulator, hanging = run_with_leader_changes(seed, crashing_share)
+            emulator, unfinished = run_with_leader_changes(seed, crashing_share)
             test.assertEqual(emulator.checks.violations, [])
-            test.assertEqual(hanging, [])
+            test.assertEqual(unfinished, [])
 
 
 def run_with_leader_changes(
-    seed: int, crashing_share: float = FEW_CRASHING
+    seed: int, crashing_share: float = LOW_CRASHING_SHARE
 ) -> tuple[Emulator, list[str]]:
-    """Play a day on which leaders change every second or so; give the jobs that did not end too."""
+    """Run the emulator with frequent leader changes; also return the jobs that did not end."""
     rng = random.Random(seed)
     mixes = [
         dataclasses.replace(mix, crashing_share=crashing_share)
@@ -218,17 +218,17 @@
     return emulator, find_unended_jobs(emulator, jobs)
 
 
-def inject_change(emulator: Emulator, source: random.Random) -> None:
-    """Change the leader, or have a worker drain."""
-    kind = source.random()
+def inject_change(emulator: Emulator, rng: random.Random) -> None:
+    """Change the leader, or drain and replace a worker."""
+    kind = rng.random()
     lives = [life for life, model in emulator.workers.items() if model.takes_work]
     if kind < 0.5:
-        emulator.kill_leader(source.uniform(0.1, 2))
+        emulator.kill_leader(rng.uniform(0.1, 2))
     elif kind < 0.65:
         emulator.depose_leader()
     elif len(lives) > 15:
-        emulator.fleet.drain(source.choice(lives))
-        emulator.fleet.add(source.randrange(4))
+        emulator.fleet.drain(rng.choice(lives))
+        emulator.fleet.add(rng.randrange(4))
 
 
 if __name__ == "__main__":
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of fair shares: who goes first where teams want the same room."""
+"""Tests of fair shares: which team goes first when resources are scarce."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 class ShareBench(Bench):
-    """A cell with the shipped programs and two teams, one of thrice the other's weight."""
+    """A harness with the shipped programs and two teams with weights 3 and 1."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -59,19 +59,19 @@
         return self.bench.starts(self.bench.all_effects)[-1].order.task.job
 
     def test_share_is_weighted(self) -> None:
-        """Half of the room is twice the share of who weighs a quarter of all."""
+        """Half of all resources is twice the share of a team with a quarter of the weight."""
         self.start_jobs("small", 2)
         self.assertAlmostEqual(share_used(self.bench.cell, "small"), 2.0)
         self.assertEqual(share_used(self.bench.cell, "large"), 0.0)
         self.assertEqual(share_used(self.bench.cell, ""), 0.0)
 
     def test_idle_room_may_exceed_the_share(self) -> None:
-        """What is free anybody may use, far over its share."""
+        """A team may use idle resources beyond its share."""
         self.start_jobs("small", 4)
         self.assertEqual(len(self.bench.starts(self.bench.all_effects)), 4)
 
     def test_free_room_goes_to_the_team_below_its_share(self) -> None:
-        """On a full worker the next room goes to who is below its share, though it came last."""
+        """On a full worker, a team below its share goes first, although it submitted last."""
         self.start_jobs("small", 4)
         for _ in range(36):
             self.bench.submit_as("small")
@@ -81,12 +81,12 @@
         self.assertEqual(self.newest_job, late)
 
     def test_team_usage_is_logged(self) -> None:
-        """Each second, of each team that waits."""
+        """The usage of each team with waiting steps is logged every second."""
         self.start_jobs("small", 4)
         self.bench.submit_as("small")
-        told = [
+        logged = [
             e for e in filter_by_type(self.bench.tick(1.2), LogDecision) if e.decision == "team_use"
         ]
-        fields = dict(told[-1].fields)
-        self.assertEqual((told[-1].subject, fields["waiting"]), ("small", 1))
+        fields = dict(logged[-1].fields)
+        self.assertEqual((logged[-1].subject, fields["waiting"]), ("small", 1))
         self.assertAlmostEqual(fields["of_share"], 4.0)
