--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -39,30 +39,30 @@
 
     Attributes
     ----------
-    bad, bad_ended
+    crashing_jobs, detected_jobs
         Jobs with a crashing task, and those of them that were reported as failed.
-    innocent
+    wrongly_failed
         Other jobs that were reported as failed, with two or more crashes under a task.
     crashes
         Workers that were crashed by tasks.
-    heard_s
+    report_delay_s
         Median seconds until the callers of a job with a crashing task learned of its end.
     worth
         The worth of all other jobs, as a share of their greatest possible worth.
-    broken
+    violations
         The number of violations.
     """
 
-    bad: int
-    bad_ended: int
-    innocent: int
+    crashing_jobs: int
+    detected_jobs: int
+    wrongly_failed: int
     crashes: int
-    heard_s: float
+    report_delay_s: float
     worth: float
-    broken: int
+    violations: int
 
 
-def play(way: str, seed: int, share: float, flaps: bool, changes: bool) -> Outcome:
+def run_seed(way: str, seed: int, share: float, flaps: bool, changes: bool) -> Outcome:
     """Run one seed with one way's settings."""
     apply_settings(way)
     mixes = [dataclasses.replace(mix, crashing_share=share) for mix in default_mixes()]
@@ -112,20 +112,21 @@
 
 
 def _evaluate(emulator: Emulator, jobs: list[DrawnJob]) -> Outcome:
-    bad = [job for job in jobs if job.crashing]
+    crashing_jobs = [job for job in jobs if job.crashing]
     failed = {job for job, status in emulator.statuses.items() if status is JobStatus.FAILED}
-    good = [job for job in jobs if not job.crashing]
-    waits = [emulator.finished_at[job.job] - job.at for job in bad if job.job in failed]
+    other_jobs = [job for job in jobs if not job.crashing]
+    waits = [emulator.finished_at[job.job] - job.at for job in crashing_jobs if job.job in failed]
     return Outcome(
-        bad=len(bad),
-        bad_ended=sum(job.job in failed for job in bad),
-        innocent=sum(
-            job.job in failed and emulator.checks.may_fail_after_crashes(job.job) for job in good
+        crashing_jobs=len(crashing_jobs),
+        detected_jobs=sum(job.job in failed for job in crashing_jobs),
+        wrongly_failed=sum(
+            job.job in failed and emulator.checks.may_fail_after_crashes(job.job)
+            for job in other_jobs
         ),
-        crashes=sum(emulator.checks.count_crashes(job.crashing) for job in bad),
-        heard_s=statistics.median(waits) if waits else 0.0,
-        worth=make_report(emulator, good).worth,
-        broken=len(emulator.checks.violations),
+        crashes=sum(emulator.checks.count_crashes(job.crashing) for job in crashing_jobs),
+        report_delay_s=statistics.median(waits) if waits else 0.0,
+        worth=make_report(emulator, other_jobs).worth,
+        violations=len(emulator.checks.violations),
     )
 
 
@@ -139,19 +140,21 @@
     parser.add_argument("--changes", action="store_true")
     parser.add_argument("--processes", type=int, default=4)
     options = parser.parse_args()
-    given = (options.share, options.flaps, options.changes)
-    days = run_paired(play, options.ways, options.seeds, options.processes, *given)
+    arguments = (options.share, options.flaps, options.changes)
+    outcomes_by_way = run_paired(
+        run_seed, options.ways, options.seeds, options.processes, *arguments
+    )
     print(f"{'way':<60} bad ended innocent crashes/bad heard_s worth (difference, spread) broken")
-    first = days[options.ways[0]]
-    for way, outcomes in days.items():
-        bad = sum(day.bad for day in outcomes)
+    first = outcomes_by_way[options.ways[0]]
+    for way, outcomes in outcomes_by_way.items():
+        crashing_jobs = sum(outcome.crashing_jobs for outcome in outcomes)
         print(
-            f"{way:<60} {bad:3d} {sum(day.bad_ended for day in outcomes):5d}"
-            f" {sum(day.innocent for day in outcomes):8d}"
-            f" {sum(day.crashes for day in outcomes) / max(1, bad):11.2f}"
-            f" {statistics.mean(day.heard_s for day in outcomes):7.1f}"
+            f"{way:<60} {crashing_jobs:3d} {sum(outcome.detected_jobs for outcome in outcomes):5d}"
+            f" {sum(outcome.wrongly_failed for outcome in outcomes):8d}"
+            f" {sum(outcome.crashes for outcome in outcomes) / max(1, crashing_jobs):11.2f}"
+            f" {statistics.mean(outcome.report_delay_s for outcome in outcomes):7.1f}"
             f" {format_worth(outcomes, first)}"
-            f" {sum(day.broken for day in outcomes):4d}"
+            f" {sum(outcome.violations for outcome in outcomes):4d}"
         )
 
 
--- a/bench/failures.py
+++ b/bench/failures.py
@@ -32,29 +32,29 @@
     ----------
     starved, longest_s
         Jobs that ran nothing for 3 s despite free room, and the longest such time in seconds.
-    innocent
+    wrongly_failed
         Good jobs that were reported as failed.
-    spoiled
+    spoiled_runs
         Runs of good jobs that failed on failing workers.
-    aside_s, sound_aside_s
+    quarantined_s, healthy_quarantined_s
         Mean seconds in quarantine of failing workers while they failed, and of healthy workers.
-    heard_s
+    report_delay_s
         Median seconds until the callers of a failing job learned of its end.
     worth
         The worth of the good jobs, as a share of their greatest possible worth.
-    broken
+    violations
         The number of violations.
     """
 
     starved: int
     longest_s: float
-    innocent: int
-    spoiled: int
+    wrongly_failed: int
+    spoiled_runs: int
     quarantined_s: float
     healthy_quarantined_s: float
     report_delay_s: float
     worth: float
-    broken: int
+    violations: int
 
 
 class _Simulation:
@@ -70,16 +70,16 @@
         self.spoiling = set(lives[: round(spoiling * len(lives))])
         self.quarantined_s: dict[str, float] = dict.fromkeys(lives, 0.0)
         self._good = {job.job for job in self.jobs if not job.is_hopeless}
-        self.spoiled = 0
+        self.spoiled_runs = 0
 
     def _count_spoiled_run(self, decided: LogDecision) -> None:
         fields = dict(decided.fields)
         if decided.decision == "run_ended" and fields["how"] == "failed":
             spoils = SPOILS_FROM <= self.emulator.timeline.now <= SPOILS_UNTIL + 1
-            is_theirs = spoils and fields["worker"] in self.spoiling
-            self.spoiled += is_theirs and decided.subject in self._good
+            is_on_failing_worker = spoils and fields["worker"] in self.spoiling
+            self.spoiled_runs += is_on_failing_worker and decided.subject in self._good
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Run the emulator and sample which workers are in quarantine."""
         emulator = self.emulator
         at = 0.0
@@ -94,38 +94,42 @@
                     self.quarantined_s[life] += 0.1
 
 
-def play(way: str, seed: int, failing: float, spoiling: float) -> Outcome:
+def run_seed(way: str, seed: int, failing: float, spoiling: float) -> Outcome:
     """Run one seed with one way's settings."""
     apply_settings(way)
-    day = _Simulation(seed, failing, spoiling)
-    day.play()
-    return _evaluate(day)
+    simulation = _Simulation(seed, failing, spoiling)
+    simulation.run()
+    return _evaluate(simulation)
 
 
-def _evaluate(day: _Simulation) -> Outcome:
-    emulator = day.emulator
-    bad = [job for job in day.jobs if job.is_hopeless]
-    good = [job for job in day.jobs if not job.is_hopeless]
+def _evaluate(simulation: _Simulation) -> Outcome:
+    emulator = simulation.emulator
+    failing_jobs = [job for job in simulation.jobs if job.is_hopeless]
+    other_jobs = [job for job in simulation.jobs if not job.is_hopeless]
     failed = {job for job, status in emulator.statuses.items() if status is JobStatus.FAILED}
     starved = emulator.starvation.starved_jobs.values()
-    sound = [seconds for life, seconds in day.quarantined_s.items() if life not in day.spoiling]
-    spoiling = [day.quarantined_s[life] for life in day.spoiling]
+    healthy = [
+        seconds
+        for life, seconds in simulation.quarantined_s.items()
+        if life not in simulation.spoiling
+    ]
+    spoiling = [simulation.quarantined_s[life] for life in simulation.spoiling]
     return Outcome(
         starved=len(starved),
         longest_s=max((each.seconds for each in starved), default=0.0),
-        innocent=sum(job.job in failed for job in good),
-        spoiled=day.spoiled,
+        wrongly_failed=sum(job.job in failed for job in other_jobs),
+        spoiled_runs=simulation.spoiled_runs,
         quarantined_s=statistics.mean(spoiling) if spoiling else 0.0,
-        healthy_quarantined_s=statistics.mean(sound),
-        report_delay_s=statistics.median(_report_delays(emulator, bad) or [0.0]),
-        worth=make_report(emulator, good).worth,
-        broken=len(emulator.checks.violations),
+        healthy_quarantined_s=statistics.mean(healthy),
+        report_delay_s=statistics.median(_report_delays(emulator, failing_jobs) or [0.0]),
+        worth=make_report(emulator, other_jobs).worth,
+        violations=len(emulator.checks.violations),
     )
 
 
-def _report_delays(emulator: Emulator, bad: list[DrawnJob]) -> list[float]:
+def _report_delays(emulator: Emulator, failing_jobs: list[DrawnJob]) -> list[float]:
     shown = emulator.finished_at
-    return [shown[job.job] - job.at for job in bad if job.job in shown]
+    return [shown[job.job] - job.at for job in failing_jobs if job.job in shown]
 
 
 def main() -> None:
@@ -142,22 +146,22 @@
     for failing, spoiling in chosen:
         print(f"{failing:.2f} of the jobs fail, {spoiling:.2f} of the workers spoil")
         given = (failing, spoiling)
-        _print_table(run_paired(play, options.ways, options.seeds, options.processes, *given))
+        _print_table(run_paired(run_seed, options.ways, options.seeds, options.processes, *given))
 
 
-def _print_table(days: dict[str, list[Outcome]]) -> None:
-    first = next(iter(days.values()))
-    for way, outcomes in days.items():
+def _print_table(outcomes_by_way: dict[str, list[Outcome]]) -> None:
+    first = next(iter(outcomes_by_way.values()))
+    for way, outcomes in outcomes_by_way.items():
         print(
-            f"{sum(day.starved for day in outcomes):7d}"
-            f" {max(day.longest_s for day in outcomes):7.1f}"
-            f" {sum(day.innocent for day in outcomes):8d}"
-            f" {sum(day.spoiled for day in outcomes):7d}"
-            f" {statistics.mean(day.quarantined_s for day in outcomes):7.2f}"
-            f" {statistics.mean(day.healthy_quarantined_s for day in outcomes):7.2f}"
-            f" {statistics.mean(day.report_delay_s for day in outcomes):7.2f}"
+            f"{sum(outcome.starved for outcome in outcomes):7d}"
+            f" {max(outcome.longest_s for outcome in outcomes):7.1f}"
+            f" {sum(outcome.wrongly_failed for outcome in outcomes):8d}"
+            f" {sum(outcome.spoiled_runs for outcome in outcomes):7d}"
+            f" {statistics.mean(outcome.quarantined_s for outcome in outcomes):7.2f}"
+            f" {statistics.mean(outcome.healthy_quarantined_s for outcome in outcomes):7.2f}"
+            f" {statistics.mean(outcome.report_delay_s for outcome in outcomes):7.2f}"
             f" {format_worth(outcomes, first)}"
-            f" {sum(day.broken for day in outcomes):4d}  {way}",
+            f" {sum(outcome.violations for outcome in outcomes):4d}  {way}",
             flush=True,
         )
 
--- a/bench/waiting.py
+++ b/bench/waiting.py
@@ -17,7 +17,7 @@
 BURSTS = (Burst("lookups", 6.6, 4.0, 2.3), Burst("payouts", 20.0, 4.0, 1.8))
 
 
-def play(seed: int) -> float:
+def run_seed(seed: int) -> float:
     """Run one seed, print its report and the processor use, and return its worth."""
     workload = WorkloadOptions(SECONDS, 1.0, crowded_mixes(), BURSTS)
     options = EmulatorOptions(workload, workers=270, racks=23, advice_node_count=97)
@@ -39,7 +39,7 @@
 def main() -> None:
     """Run the given seeds, or three by default."""
     seeds = [int(word) for word in sys.argv[1:]] or [1, 2, 3]
-    worths = [play(seed) for seed in seeds]
+    worths = [run_seed(seed) for seed in seeds]
     print(f"mean worth {sum(worths) / len(worths):.3f}")
 
 
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -49,26 +49,26 @@
 
 
 def run_paired(
-    play: Callable, ways: list[str], seeds: int, processes: int, *given: object
+    run_seed: Callable, ways: list[str], seeds: int, processes: int, *arguments: object
 ) -> dict[str, list]:
     """Run all ways on the same seeds, counted from 1; return the results by way.
 
     Parameters
     ----------
-    play
-        Called with a way, a seed and ``given``; it applies the way's settings, runs the seed and
-        returns the result.
+    run_seed
+        Called with a way, a seed and ``arguments``; it applies the way's settings, runs the seed
+        and returns the result.
     ways, seeds
         The ways, and the number of seeds for each.
     processes
         The number of concurrent runs.
-    given
-        Further arguments of ``play``.
+    arguments
+        Further arguments of ``run_seed``.
     """
     # Each run has its own process, so that settings don't carry over to the next run.
     with concurrent.futures.ProcessPoolExecutor(processes, max_tasks_per_child=1) as pool:
         runs = {
-            way: [pool.submit(play, way, seed, *given) for seed in range(1, seeds + 1)]
+            way: [pool.submit(run_seed, way, seed, *arguments) for seed in range(1, seeds + 1)]
             for way in ways
         }
         return {way: [run.result() for run in of_way] for way, of_way in runs.items()}
@@ -76,16 +76,16 @@
 
 def format_worth(outcomes: list, first: list) -> str:
     """Format the mean worth of a way's runs, and its difference from the first way's."""
-    gains = [day.worth - before.worth for day, before in zip(outcomes, first, strict=True)]
-    mean = statistics.mean(day.worth for day in outcomes)
+    gains = [result.worth - before.worth for result, before in zip(outcomes, first, strict=True)]
+    mean = statistics.mean(result.worth for result in outcomes)
     return f"{mean:.3f} ({statistics.mean(gains):+.3f}, {statistics.pstdev(gains):.3f})"
 
 
-def play(way: str, seed: int, load: float) -> tuple[str, int, Report, float, float]:
+def run_seed(way: str, seed: int, load: float) -> tuple[str, int, Report, float, float]:
     """Run one seed; return way, seed, report, mean processor use under load, and seconds taken."""
     apply_settings(way)
-    whole = CAPACITY.times(WORKERS)
-    teams = uneven_teams(TEAMS, whole.scaled(QUOTA_FACTOR))
+    total_capacity = CAPACITY.times(WORKERS)
+    teams = uneven_teams(TEAMS, total_capacity.scaled(QUOTA_FACTOR))
     workload = WorkloadOptions(SECONDS, load, wide_mixes(), BURSTS, teams, HOT_TEAM)
     options = EmulatorOptions(workload, WORKERS, CAPACITY, racks=15, advice_node_count=45)
     jobs = draw_workload(seed, workload)
@@ -96,7 +96,7 @@
         emulator.run_until(second + 1.0)
         if 5 <= second < SECONDS:
             busy = sum(worker.used_cpu for worker in emulator.workers.values())
-            used.append(busy / whole.cpu)
+            used.append(busy / total_capacity.cpu)
     # The overloading team's jobs aren't counted, since they exceed its share.
     report = make_report(emulator, [job for job in jobs if job.team != HOT_TEAM[0]])
     return way, seed, report, statistics.mean(used), time.perf_counter() - began
@@ -111,12 +111,14 @@
     parser.add_argument("--processes", type=int, default=4)
     options = parser.parse_args()
     seeds = range(1, options.seeds + 1)
-    days = run_paired(play, options.ways, options.seeds, options.processes, options.load)
-    played = [day for of_way in days.values() for day in of_way]
+    results_by_way = run_paired(
+        run_seed, options.ways, options.seeds, options.processes, options.load
+    )
+    results = [result for of_way in results_by_way.values() for result in of_way]
     first: dict[int, float] = {}
     print(f"{'way':<48} worth  (difference, spread)  queues' worth; worst teams; in use; broken")
     for way in options.ways:
-        of_way = [each for each in played if each[0] == way]
+        of_way = [each for each in results if each[0] == way]
         worths = {seed: report.worth for _, seed, report, _, _ in of_way}
         first = first or worths
         gains = [worths[seed] - first[seed] for seed in seeds]
@@ -133,7 +135,7 @@
             f" {statistics.mean(use for _, _, _, use, _ in of_way):.2f};"
             f" {sum(r.violations for r in reports)}"
         )
-    longest = max(seconds for *_, seconds in played)
+    longest = max(seconds for *_, seconds in results)
     print(f"the longest play took {longest:.0f} s")
 
 
--- a/specs/configuration_model.py
+++ b/specs/configuration_model.py
@@ -58,7 +58,7 @@
     log: tuple = ()
     nodes: tuple = (Node(), Node())
     shown: tuple = (0, 0)
-    fell: bool = False
+    decreased: bool = False
     restarts: int = 0
 
 
@@ -101,9 +101,9 @@
             step(f"node {number} reads", node._replace(read=node.read + 1))
         serves = node.read >= node.end or not self._holds("caught_up_before_serving")
         if serves and state.shown[number] != version:
-            fell = state.fell or version < state.shown[number]
+            decreased = state.decreased or version < state.shown[number]
             shown = replace_item(state.shown, number, version)
-            step(f"node {number} shows {version}", node, shown=shown, fell=fell)
+            step(f"node {number} shows {version}", node, shown=shown, decreased=decreased)
         if serves and not node.pending and state.shown[number] == version:
             change = Append(number, version)
             step(f"operator asks node {number}", node._replace(pending=change))
@@ -134,7 +134,7 @@
         State(),
         model.transitions,
         {
-            "never_falls_back": lambda state: not state["fell"],
+            "never_falls_back": lambda state: not state["decreased"],
             "no_change_is_overwritten_unseen": _not_overwritten,
             "one_change_one_version": _one_version,
         },
--- a/specs/crash_model.py
+++ b/specs/crash_model.py
@@ -86,8 +86,8 @@
 class State(NamedTuple):
     """The leader's state, the record in the store, and the actual state.
 
-    The actual state is the run's state at the worker (``there``), the number of crashed workers
-    (``crashed``, at most three), and the number of starts that arrived after that (``more``).
+    The actual state is the run's state at the worker (``remote``), the number of crashed workers
+    (``crashed``, at most three), and the number of starts after that (``extra_starts``).
     """
 
     phase: Phase = Phase.WAITING
@@ -95,9 +95,9 @@
     crashes: int = 0
     losses: int = 0
     record: Record = Record()
-    there: RemoteState = RemoteState.NOTHING
+    remote: RemoteState = RemoteState.NOTHING
     crashed: int = 0
-    more: int = 0
+    extra_starts: int = 0
     takeovers: int = 0
 
 
@@ -111,7 +111,7 @@
     def transitions(self, state: State) -> list:
         """Return all labels and next states."""
         state = state._replace(record=Record(*state.record))
-        if state.more > MAX_EXTRA_STARTS:
+        if state.extra_starts > MAX_EXTRA_STARTS:
             return []
         steps = [*self._leader_steps(state), *self._worker_steps(state)]
         if state.record != _make_record(state):
@@ -124,8 +124,8 @@
     def _append_record(state: State) -> State:
         # A new leader looks for the previous run until the new one is recorded.
         is_new = state.record.run != state.run
-        there = RemoteState.NOTHING if is_new else state.there
-        return state._replace(record=_make_record(state), there=there)
+        remote = RemoteState.NOTHING if is_new else state.remote
+        return state._replace(record=_make_record(state), remote=remote)
 
     def _change_leader(self, state: State) -> State:
         record = state.record
@@ -140,29 +140,29 @@
         return _give_up_at_limit(after)
 
     def _leader_steps(self, state: State) -> list:
-        phase, there = state.phase, state.there
+        phase, remote = state.phase, state.remote
         if phase is Phase.WAITING:
             return [("is placed", state._replace(phase=Phase.PLACED, run=1 - state.run))]
         if phase is Phase.PLACED and state.record == _make_record(state):
-            sent = state._replace(phase=Phase.ORDERED, there=RemoteState.IN_TRANSIT)
+            sent = state._replace(phase=Phase.ORDERED, remote=RemoteState.IN_TRANSIT)
             return [("is sent", sent)]
         if phase is Phase.ORDERED:
             steps = [("is not answered", state._replace(phase=Phase.UNANSWERED))]
-            if there in (RemoteState.CRASHED, RemoteState.INTERRUPTED):
+            if remote in (RemoteState.CRASHED, RemoteState.INTERRUPTED):
                 steps.append(("is answered", state._replace(phase=Phase.RUNNING)))
             return steps
         return self._run_end_steps(state)
 
     def _run_end_steps(self, state: State) -> list:
         """Return the transitions by which the leader learns that a run has ended."""
-        phase, there = state.phase, state.there
+        phase, remote = state.phase, state.remote
         if phase not in _RULE_OF_PHASE:
             return []
-        if there is RemoteState.INTERRUPTED:
+        if remote is RemoteState.INTERRUPTED:
             counts = state.losses >= COUNT_INTERRUPTIONS_FROM_LOSSES
             after = self._charge(state, "told_ends", 0) if counts else self._requeue(state)
             return [("is told as broken off", after)]
-        if there is not RemoteState.CRASHED:
+        if remote is not RemoteState.CRASHED:
             # A start that is still in transit is rejected: by the worker, or by its fencing token.
             return [("was not there", self._requeue(state))] if phase is not Phase.RUNNING else []
         # If the worker has not confirmed the run, it may have gone before the start arrived.
@@ -177,7 +177,7 @@
 
     @staticmethod
     def _requeue(state: State) -> State:
-        return state._replace(phase=Phase.WAITING, there=RemoteState.NOTHING)
+        return state._replace(phase=Phase.WAITING, remote=RemoteState.NOTHING)
 
     def _charge(self, state: State, rule: str, crashes: int) -> State:
         after = state._replace(phase=Phase.WAITING)
@@ -187,14 +187,16 @@
         return _give_up_at_limit(after)
 
     def _worker_steps(self, state: State) -> list:
-        if state.there is not RemoteState.IN_TRANSIT:
+        if state.remote is not RemoteState.IN_TRANSIT:
             return []
-        more = state.more + (state.crashed >= MAX_CRASHES)
+        extra_starts = state.extra_starts + (state.crashed >= MAX_CRASHES)
         crashed = min(state.crashed + 1, MAX_CRASHES)
-        arrived = state._replace(there=RemoteState.CRASHED, crashed=crashed, more=more)
-        broken = state._replace(there=RemoteState.INTERRUPTED, more=more)
-        lost = state._replace(there=RemoteState.NOTHING)
-        return [("arrives", arrived), ("breaks off", broken), ("is lost on its way", lost)]
+        arrived = state._replace(
+            remote=RemoteState.CRASHED, crashed=crashed, extra_starts=extra_starts
+        )
+        interrupted = state._replace(remote=RemoteState.INTERRUPTED, extra_starts=extra_starts)
+        lost = state._replace(remote=RemoteState.NOTHING)
+        return [("arrives", arrived), ("breaks off", interrupted), ("is lost on its way", lost)]
 
 
 def _make_record(state: State) -> Record:
@@ -215,6 +217,6 @@
         left_out,
         State(),
         model.transitions,
-        {"starts_are_bounded": lambda state: state["more"] <= MAX_EXTRA_STARTS},
+        {"starts_are_bounded": lambda state: state["extra_starts"] <= MAX_EXTRA_STARTS},
         lambda state: state["phase"] is Phase.GIVEN_UP,
     )
--- a/specs/life_model.py
+++ b/specs/life_model.py
@@ -38,8 +38,8 @@
 class State(NamedTuple):
     """The worker's current life, the messages to it, the leader's state, and the recorded state.
 
-    ``end`` is the number and run of the end that the life lists, ``forgotten`` the number up to
-    which it has dropped ends. ``start`` and ``ack`` are the addressed life and the run or number.
+    ``end`` is the number and run of the end that the life lists; ends up to ``dropped_up_to`` are
+    dropped. ``start`` and ``ack`` are the addressed life and the run or number.
 
     ``life`` is the worker's life in the leader's state, ``placed`` the run that is placed there
     (0 for none), ``is_sent`` whether its start was sent, and ``known`` the number of the last end
@@ -50,7 +50,7 @@
     running: int = 0
     ends: int = _ACKNOWLEDGED_ENDS
     end: tuple = ()
-    forgotten: int = _ACKNOWLEDGED_ENDS
+    dropped_up_to: int = _ACKNOWLEDGED_ENDS
     start: tuple = ()
     ack: tuple = ()
     life: int = 0
@@ -63,8 +63,8 @@
     recorded_life: int = 0
     is_recorded_done: bool = False
     elsewhere: int = 0
-    is_noted: bool = False
-    is_twice: bool = False
+    is_end_acknowledged: bool = False
+    runs_twice: bool = False
     takeovers: int = 0
 
 
@@ -77,7 +77,7 @@
 
     def transitions(self, state: State) -> list:
         """Return all labels and next states."""
-        if state.is_twice:
+        if state.runs_twice:
             return []
         steps = [*self._worker_steps(state), *self._leader_steps(state)]
         return [(label, after) for label, after in steps if after != state]
@@ -88,7 +88,7 @@
         steps = []
         if state.worker_life < self._bounds.restarts:
             begun = state._replace(
-                worker_life=state.worker_life + 1, running=0, ends=0, end=(), forgotten=0
+                worker_life=state.worker_life + 1, running=0, ends=0, end=(), dropped_up_to=0
             )
             steps.append(("the worker begins another life", begun))
         if state.running and not state.end:
@@ -112,17 +112,17 @@
         after = state._replace(start=())
         if not self._accepts_call(state, life) or state.running or state.end:
             return after
-        is_twice = state.is_noted or bool(state.elsewhere)
-        return after._replace(running=run, is_twice=is_twice)
+        runs_twice = state.is_end_acknowledged or bool(state.elsewhere)
+        return after._replace(running=run, runs_twice=runs_twice)
 
     def _receive_ack(self, state: State) -> State:
         life, number = state.ack
         after = state._replace(ack=())
         if not self._accepts_call(state, life):
             return after
-        after = after._replace(forgotten=max(state.forgotten, number))
+        after = after._replace(dropped_up_to=max(state.dropped_up_to, number))
         if state.end and state.end[0] <= number:
-            return after._replace(end=(), is_noted=True)
+            return after._replace(end=(), is_end_acknowledged=True)
         return after
 
     # -- the leader ------------------------------------------------------------------------
@@ -159,9 +159,9 @@
 
     def _start_elsewhere(self, state: State) -> State:
         run = state.run + 1
-        is_twice = state.is_noted or bool(state.running)
+        runs_twice = state.is_end_acknowledged or bool(state.running)
         recorded = state._replace(recorded_run=run, recorded_life=_OTHER_WORKER)
-        return recorded._replace(run=run, elsewhere=run, is_twice=is_twice)
+        return recorded._replace(run=run, elsewhere=run, runs_twice=runs_twice)
 
     def _record(self, state: State) -> State:
         done = state._replace(is_recorded_done=state.is_done)
@@ -205,6 +205,6 @@
         left_out,
         State(),
         model.transitions,
-        {"a task runs once": lambda state: not state["is_twice"]},
+        {"a task runs once": lambda state: not state["runs_twice"]},
         lambda state: state["is_done"],
     )
--- a/specs/quota_model.py
+++ b/specs/quota_model.py
@@ -70,10 +70,10 @@
     """The leader's phases, the tasks' states at workers, and whether a start exceeded the quota."""
 
     phases: tuple = ()
-    there: tuple = ()
+    remote: tuple = ()
     quota: int = QUOTA
     takeovers: int = 0
-    passed: bool = False
+    exceeded: bool = False
 
 
 class Model:
@@ -113,13 +113,13 @@
         return state._replace(phases=phases, takeovers=state.takeovers + 1)
 
     def _leader_steps(self, state: State, task: int) -> list:
-        phase, there = state.phases[task], state.there[task]
+        phase, remote = state.phases[task], state.remote[task]
         if phase is Phase.WAITING and self._count_quota_use(state) < state.quota:
             return [(f"{task} is placed", _set_phase(state, task, Phase.HELD))]
         if phase is Phase.HELD:
             return [self._send_step(state, task)]
         steps = []
-        if phase is Phase.ORDERED and there is RemoteState.RUNNING:
+        if phase is Phase.ORDERED and remote is RemoteState.RUNNING:
             steps.append((f"{task} is answered", _set_phase(state, task, Phase.RUNNING)))
         if phase is Phase.ORDERED:
             steps.append((f"no answer of {task}", _set_phase(state, task, Phase.UNANSWERED)))
@@ -127,7 +127,7 @@
             steps.append((f"{task} is to stop", _set_phase(state, task, Phase.STOPPING)))
         if phase is Phase.RUNNING:
             steps.append((f"{task} is cut off", _set_phase(state, task, Phase.CUT_OFF)))
-        if there is RemoteState.ENDED and phase in (Phase.RUNNING, Phase.UNANSWERED):
+        if remote is RemoteState.ENDED and phase in (Phase.RUNNING, Phase.UNANSWERED):
             steps.append((f"end of {task} is listed", _set_phase(state, task, Phase.DONE)))
         steps += self._run_end_steps(state, task)
         return steps
@@ -137,32 +137,35 @@
         if others >= state.quota and self._holds("looked_at_where_sent"):
             return (f"{task} is not sent", _set_phase(state, task, Phase.WAITING))
         running = sum(
-            there in (RemoteState.IN_TRANSIT, RemoteState.RUNNING) for there in state.there
+            remote in (RemoteState.IN_TRANSIT, RemoteState.RUNNING) for remote in state.remote
         )
         after = _set_phase(state, task, Phase.ORDERED)
         after = _set_remote_state(after, task, RemoteState.IN_TRANSIT)
-        return (f"{task} is sent", after._replace(passed=state.passed or running >= state.quota))
+        return (
+            f"{task} is sent",
+            after._replace(exceeded=state.exceeded or running >= state.quota),
+        )
 
     def _run_end_steps(self, state: State, task: int) -> list:
         """Return the transitions by which the leader learns a run's state or end."""
-        phase, there = state.phases[task], state.there[task]
+        phase, remote = state.phases[task], state.remote[task]
         if phase is Phase.STOPPING:
             # The worker refuses a start that arrives later, and lists a run that ended.
             return [(f"{task} has stopped", _requeue(state, task))]
-        if phase is Phase.CUT_OFF and there is RemoteState.ENDED:
+        if phase is Phase.CUT_OFF and remote is RemoteState.ENDED:
             return [(f"lease of {task} is over", _requeue(state, task))]
         if phase is not Phase.ADOPTED:
             return []
-        if there is RemoteState.RUNNING:
+        if remote is RemoteState.RUNNING:
             return [(f"{task} goes on", _set_phase(state, task, Phase.RUNNING))]
         # The new leader's fencing token rejects a start that is in transit.
         return [(f"{task} was not there", _requeue(state, task))]
 
     def _worker_steps(self, state: State, task: int) -> list:
-        there = state.there[task]
-        if there is RemoteState.IN_TRANSIT:
+        remote = state.remote[task]
+        if remote is RemoteState.IN_TRANSIT:
             return [(f"{task} begins", _set_remote_state(state, task, RemoteState.RUNNING))]
-        if there is RemoteState.RUNNING:
+        if remote is RemoteState.RUNNING:
             return [(f"{task} ends", _set_remote_state(state, task, RemoteState.ENDED))]
         return []
 
@@ -171,8 +174,8 @@
     return state._replace(phases=replace_item(state.phases, task, phase))
 
 
-def _set_remote_state(state: State, task: int, there: RemoteState) -> State:
-    return state._replace(there=replace_item(state.there, task, there))
+def _set_remote_state(state: State, task: int, remote: RemoteState) -> State:
+    return state._replace(remote=replace_item(state.remote, task, remote))
 
 
 def _requeue(state: State, task: int) -> State:
@@ -188,6 +191,6 @@
         left_out,
         initial,
         model.transitions,
-        {"no_start_passes_the_quota": lambda state: not state["passed"]},
+        {"no_start_passes_the_quota": lambda state: not state["exceeded"]},
         lambda state: all(phase is Phase.DONE for phase in state["phases"]),
     )
--- a/specs/request_model.py
+++ b/specs/request_model.py
@@ -39,7 +39,7 @@
 
     incarnation: int = 0
     phase: str = IDLE
-    told: str = ""
+    outcome: str = ""
 
 
 class Append(NamedTuple):
@@ -118,8 +118,8 @@
         return steps
 
     def _answer_known_outcome(self, state: State, node: Node, step) -> None:
-        told = {"not_run": "not_run", "ran": "ran"}.get(state.ended, "unknown")
-        step(f"tells {told}", node._replace(phase=FINISHED, told=told))
+        outcome = {"not_run": "not_run", "ran": "ran"}.get(state.ended, "unknown")
+        step(f"tells {outcome}", node._replace(phase=FINISHED, outcome=outcome))
 
     def _is_own(self, state: State, number: int, node: Node) -> bool:
         if not state.holder:
@@ -142,23 +142,23 @@
             self._answer_known_outcome(state, node, step)
         # Before its intent is judged, a node can't exclude another node's attempt with the id.
         knows = (judged and is_own) or not self._holds("not_run_needs_a_verdict")
-        told = "not_run" if knows and not state.ended else "unknown"
+        outcome = "not_run" if knows and not state.ended else "unknown"
         ended = state.ended or ("not_run" if is_own else "")
         after = FINISHED if self._holds("giving_up_is_final") else WAITING
-        step("gives up", node._replace(phase=after, told=told), ended=ended)
+        step("gives up", node._replace(phase=after, outcome=outcome), ended=ended)
 
     def _sent_steps(self, state: State, number: int, node: Node, step) -> None:
         is_own = self._is_own(state, number, node)
         if number in state.runs:
             ended = state.ended or ("ran" if is_own else "")
-            step("gets the answer", node._replace(phase=FINISHED, told="ran"), ended=ended)
-        step("loses the answer", node._replace(phase=FINISHED, told="unknown"))
+            step("gets the answer", node._replace(phase=FINISHED, outcome="ran"), ended=ended)
+        step("loses the answer", node._replace(phase=FINISHED, outcome="unknown"))
         if not self._holds("no_retry_after_sending") and len(state.sent) < 2:
             step("sends again", node, sent=(*state.sent, number))
         elif number not in state.sent and number not in state.runs:
             # The connection was refused, so nothing was sent.
             ended = state.ended or ("not_run" if is_own else "")
-            step("was refused", node._replace(phase=FINISHED, told="not_run"), ended=ended)
+            step("was refused", node._replace(phase=FINISHED, outcome="not_run"), ended=ended)
 
     def _log_steps(self, state: State) -> list:
         steps = []
@@ -169,7 +169,7 @@
                 holder = tuple(intent)
             node = state.nodes[intent.node]
             # A node that gave up appended the end right after the intent.
-            gave_up = node.told == "unknown" and holder == tuple(intent)
+            gave_up = node.outcome == "unknown" and holder == tuple(intent)
             ended = "not_run" if gave_up and not state.ended else state.ended
             taken = state._replace(wire=left, holder=holder, log=(*state.log, intent), ended=ended)
             if intent in state.log:
@@ -213,6 +213,6 @@
 def _not_run_is_true(state: dict) -> bool:
     """Check whether a request that was reported as "not run" neither ran nor is in transit."""
     return not any(
-        node.told == "not_run" and (number in state["runs"] or number in state["sent"])
+        node.outcome == "not_run" and (number in state["runs"] or number in state["sent"])
         for number, node in enumerate(state["nodes"])
     ) and not (state["ended"] == "not_run" and (state["runs"] or state["sent"]))
--- a/specs/starvation_model.py
+++ b/specs/starvation_model.py
@@ -39,16 +39,16 @@
 class Worker(NamedTuple):
     """A worker in the leader's state; times are in ticks.
 
-    ``aside`` and ``trial`` are the remaining times of its quarantine and probation, ``times`` the
-    number of its quarantines, ``is_held`` whether a long run occupies it, and ``closed`` the time
-    for which it has not been available.
+    ``quarantine`` and ``probation`` are the remaining times of both, ``quarantines`` the number of
+    quarantines, ``is_occupied`` whether a long run occupies the worker, and ``unavailable`` the
+    time for which it has not been available.
     """
 
-    aside: int = 0
-    trial: int = 0
-    times: int = 0
-    is_held: bool = False
-    closed: int = 0
+    quarantine: int = 0
+    probation: int = 0
+    quarantines: int = 0
+    is_occupied: bool = False
+    unavailable: int = 0
 
 
 class State(NamedTuple):
@@ -72,15 +72,17 @@
         """Return all labels and next states."""
         workers = tuple(Worker(*worker) for worker in state.workers)
         state = state._replace(workers=workers)
-        if not _waits_within_bounds(state) or not _closed_within_bounds(state):
+        if not _waits_within_bounds(state) or not _unavailable_within_bounds(state):
             return []
         steps = [("half a second goes by", self._tick(state))]
         for number, worker in enumerate(workers):
-            if state.failures < self._bounds.failures and not worker.aside:
+            if state.failures < self._bounds.failures and not worker.quarantine:
                 steps.append((f"runs fail on {number}", self._fail(state, number)))
-            if worker.trial and not worker.aside and not worker.is_held:
-                held = replace_item(workers, number, worker._replace(is_held=True, closed=0))
-                steps.append((f"a run goes on at {number}", state._replace(workers=held)))
+            if worker.probation and not worker.quarantine and not worker.is_occupied:
+                occupied = replace_item(
+                    workers, number, worker._replace(is_occupied=True, unavailable=0)
+                )
+                steps.append((f"a run goes on at {number}", state._replace(workers=occupied)))
         if state.takeovers < self._bounds.takeovers:
             after = state._replace(workers=(Worker(), Worker()), takeovers=state.takeovers + 1)
             steps.append(("another leader takes over", after))
@@ -89,13 +91,13 @@
     def _fail(self, state: State, number: int) -> State:
         """Return the state after enough failures on a worker to quarantine it."""
         state = state._replace(failures=state.failures + 1)
-        if self._holds("half") and any(worker.aside for worker in state.workers):
+        if self._holds("half") and any(worker.quarantine for worker in state.workers):
             return state
         worker = state.workers[number]
-        ticks = QUARANTINE_TICKS * 2**worker.times
+        ticks = QUARANTINE_TICKS * 2**worker.quarantines
         if self._holds("longest_aside"):
             ticks = min(ticks, MAX_QUARANTINE_TICKS)
-        quarantined = Worker(ticks, PROBATION_TICKS, min(worker.times + 1, _MAX_QUARANTINES))
+        quarantined = Worker(ticks, PROBATION_TICKS, min(worker.quarantines + 1, _MAX_QUARANTINES))
         return state._replace(workers=replace_item(state.workers, number, quarantined))
 
     def _tick(self, state: State) -> State:
@@ -106,29 +108,33 @@
         return state._replace(workers=workers, waited=state.waited + 1)
 
     def _advance_worker(self, worker: Worker) -> Worker:
-        closed = 0 if _is_open(worker) else worker.closed + 1
-        if worker.aside:
-            return worker._replace(aside=worker.aside - 1, closed=closed)
-        if worker.trial and (self._holds("trial_ends") or not worker.is_held):
-            trial = worker.trial - 1
-            return worker._replace(trial=trial, is_held=worker.is_held and trial > 0, closed=closed)
-        return worker._replace(closed=closed)
+        unavailable = 0 if _is_open(worker) else worker.unavailable + 1
+        if worker.quarantine:
+            return worker._replace(quarantine=worker.quarantine - 1, unavailable=unavailable)
+        if worker.probation and (self._holds("trial_ends") or not worker.is_occupied):
+            probation = worker.probation - 1
+            return worker._replace(
+                probation=probation,
+                is_occupied=worker.is_occupied and probation > 0,
+                unavailable=unavailable,
+            )
+        return worker._replace(unavailable=unavailable)
 
 
 def _is_open(worker: Worker) -> bool:
-    return not worker.aside and not worker.is_held
+    return not worker.quarantine and not worker.is_occupied
 
 
 def _waits_within_bounds(state: State) -> bool:
     return state.waited <= MAX_WAIT_TICKS
 
 
-def _closed_within_bounds(state: State) -> bool:
-    return all(worker.closed <= MAX_QUARANTINE_TICKS for worker in state.workers)
+def _unavailable_within_bounds(state: State) -> bool:
+    return all(worker.unavailable <= MAX_QUARANTINE_TICKS for worker in state.workers)
 
 
 def _half_is_open(state: State) -> bool:
-    return sum(worker.aside > 0 for worker in state.workers) <= 1
+    return sum(worker.quarantine > 0 for worker in state.workers) <= 1
 
 
 def _to_state(fields: dict) -> State:
@@ -145,7 +151,7 @@
         model.transitions,
         {
             "waits_are_bounded": lambda fields: _waits_within_bounds(_to_state(fields)),
-            "closed_is_bounded": lambda fields: _closed_within_bounds(_to_state(fields)),
+            "closed_is_bounded": lambda fields: _unavailable_within_bounds(_to_state(fields)),
             "half_is_open": lambda fields: _half_is_open(_to_state(fields)),
         },
         lambda fields: fields["is_done"],
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -77,9 +77,9 @@
     ----------
     accepted
         Whether a response confirmed the submission.
-    maybe
+    may_have_run
         Whether a failed submission may have been accepted all the same.
-    ends
+    expected_state
         The state in which the job should end.
     """
 
--- a/tests/standins/blackhole_server.py
+++ b/tests/standins/blackhole_server.py
@@ -10,9 +10,9 @@
 
 
 class BlackholeServer:
-    """Answers each request; ``swallow`` black-holes all connections that are open.
+    """Answers each request; ``blackhole_open`` black-holes all connections that are open.
 
-    Responses are delayed while ``held`` is cleared, so that concurrent calls need one
+    Responses are delayed while ``may_answer`` is cleared, so that concurrent calls need one
     connection each.
     """
 
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -98,7 +98,7 @@
     """The store: appends, reads with long polling, latest records, producers, conditions.
 
     Faults: with ``refuse``, calls are refused; with ``silent``, they hang; with ``lose``, appends
-    are executed but not answered in time; with ``old_news``, reads return no newer records.
+    are executed but not answered in time; with ``hides_new_records``, reads return no records.
     """
 
     def __init__(self) -> None:
@@ -257,9 +257,9 @@
     """Workers in real time, each on its own port and recorded in a store.
 
     ``work_s`` is the duration of a run in seconds; ``checks`` records all starts and ends. The
-    first task of a job in ``crashing`` crashes each worker that starts it; the worker is replaced
-    after a delay. All runs of a job in ``failing`` fail. ``starvation`` checks the jobs in
-    ``accepted``.
+    first task of a job in ``crashing_jobs`` crashes each worker that starts it; the worker is
+    replaced after a delay. All runs of a job in ``failing_jobs`` fail. ``starvation`` checks the
+    jobs in ``accepted_jobs``.
     """
 
     def __init__(
