--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -41,7 +41,7 @@
     index = make_index(state)
     policies = PolicySet(print)
     seconds, placed = [], 0
-    held: list[tuple[str, Size]] = []
+    allocations: list[tuple[str, Size]] = []
     for number in range(count):
         size = SHAPES[number % len(SHAPES)]
         work = make_work(number, size, kind, tasks)
@@ -50,9 +50,9 @@
         seconds.append(time.perf_counter() - started)
         if isinstance(result, TasksPlaced):
             placed += 1
-            held += [(p.worker, size) for p in result.placements]
-        while len(held) > 2 * len(index):
-            index.release(*held.pop(0))
+            allocations += [(p.worker, size) for p in result.placements]
+        while len(allocations) > 2 * len(index):
+            index.release(*allocations.pop(0))
     return seconds, placed
 
 
@@ -60,16 +60,16 @@
     """Time a baseline's choices over all workers."""
     free = {worker.name: worker.free for worker in state.workers.values()}
     seconds = []
-    held: list[tuple[str, Size]] = []
+    allocations: list[tuple[str, Size]] = []
     for number in range(DECISIONS // 5):
         size = SHAPES[number % len(SHAPES)]
         started = time.perf_counter()
         name = pick(free, size)
         free[name] = free[name].minus(size)
         seconds.append(time.perf_counter() - started)
-        held.append((name, size))
-        while len(held) > 2 * len(free):
-            released_worker, released_size = held.pop(0)
+        allocations.append((name, size))
+        while len(allocations) > 2 * len(free):
+            released_worker, released_size = allocations.pop(0)
             free[released_worker] = free[released_worker].plus(released_size)
     return seconds
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -46,8 +46,8 @@
         f"p50 {percentile(in_time, 0.5) * 1e3:.0f} ms, p99 {percentile(in_time, 0.99) * 1e3:.0f} ms"
     )
     if refused:
-        middle = percentile(refused, 0.5) * 1e3
-        print(f"             {len(refused)} refused as not run, p50 after {middle:.0f} ms")
+        median_ms = percentile(refused, 0.5) * 1e3
+        print(f"             {len(refused)} refused as not run, p50 after {median_ms:.0f} ms")
     print(f"             outcomes {dict(counts)}")
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -239,7 +239,11 @@
 
 
 def print_estimate(
-    memory: float, log: tuple[float, float], orders: tuple[float, float], change: float, beat: float
+    memory: float,
+    log: tuple[float, float],
+    orders: tuple[float, float],
+    change_bytes: float,
+    heartbeat_bytes: float,
 ) -> None:
     """Print a node's estimated use at the target size, compared with its budgets."""
     print(f"worked out at the target, a node of {TARGET_NODES}")
@@ -255,8 +259,8 @@
         ),
         ("log at the peak", TARGET_STARTS * task_bytes, TARGET_STARTS * task_seconds),
         (f"workers, a call each {SYNC_SECONDS} s", calls * order_bytes, calls * order_seconds),
-        ("configuration", change * TARGET_CHANGES_A_DAY / DAY, 0.0),
-        ("heartbeats out and in, each second", 2 * (TARGET_NODES - 1) * beat, 0.0),
+        ("configuration", change_bytes * TARGET_CHANGES_A_DAY / DAY, 0.0),
+        ("heartbeats out and in, each second", 2 * (TARGET_NODES - 1) * heartbeat_bytes, 0.0),
     )
     for what, rate, share in lines:
         print_figure(f"{what}: bytes a second", rate, "B/s")
@@ -275,8 +279,8 @@
     log = measure_log()
     orders = measure_orders()
     measure_snapshot()
-    change = measure_configuration()
-    print_estimate(memory, log, orders, change, measure_heartbeat())
+    change_bytes = measure_configuration()
+    print_estimate(memory, log, orders, change_bytes, measure_heartbeat())
 
 
 if __name__ == "__main__":
