--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -1,10 +1,10 @@
-"""Compare ways to find tasks that end their workers: ``python -m bench.crashes WAY ...``.
+"""Compare settings for the detection of crashing tasks: ``python -m bench.crashes WAY ...``.
 
-A way is ``standing``, or settings of the decisions, as in `bench.ways`. All ways play the same
-seeds on the emulator: a settlement service on 24 workers, where one job in some hundred has a task
-that ends each worker that starts it. With ``--flaps``, a share of the workers goes down and comes
-back every few seconds with nobody to blame; with ``--changes``, leaders change every second or two
-and workers drain.
+A way is ``standing`` (the defaults) or settings, as in `bench.ways`. All ways run the same seeds
+on the emulator: a settlement service on 24 workers, where one job in a hundred has a task that
+crashes each worker that starts it. With ``--flaps``, a share of the workers goes down and comes
+back every few seconds, independently of tasks; with ``--changes``, the leader changes every second
+or two and workers drain.
 """
 
 import argparse
@@ -29,41 +29,41 @@
 LEADERLESS_SECONDS = (0.1, 2.0)
 DRAIN_SHARE = 0.35
 MIN_WORKERS = 15
-"""How often the leader goes or a worker drains, how long nobody leads then, how often it is a
-worker that drains, and how many workers are left to take work."""
+"""The interval of leader changes and drains, the time without a leader, the share of drains among
+the changes, and the least number of workers that accept work."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """A day.
+    """The results of one run.
 
     Attributes
     ----------
-    bad, bad_ended
-        Jobs with a task that ends workers, and those shown as failed.
-    innocent
-        Other jobs that were shown as failed, with two crashes or more under a task.
+    crashing_jobs, detected_jobs
+        Jobs with a crashing task, and those of them that were reported as failed.
+    wrongly_failed
+        Other jobs that were reported as failed, with two or more crashes under a task.
     crashes
-        Workers lost to bad tasks.
-    heard_s
-        Median seconds until callers of a bad job heard of its end.
+        Workers that were crashed by tasks.
+    report_delay_s
+        Median seconds until the callers of a job with a crashing task learned of its end.
     worth
-        What all other jobs were worth, as a share of what they could be.
-    broken
-        Promises that did not hold.
+        The worth of all other jobs, as a share of their greatest possible worth.
+    violations
+        The number of violations.
     """
 
-    bad: int
-    bad_ended: int
-    innocent: int
+    crashing_jobs: int
+    detected_jobs: int
+    wrongly_failed: int
     crashes: int
-    heard_s: float
+    report_delay_s: float
     worth: float
-    broken: int
+    violations: int
 
 
-def play(way: str, seed: int, share: float, flaps: bool, changes: bool) -> Outcome:
-    """Play a day."""
+def run_seed(way: str, seed: int, share: float, flaps: bool, changes: bool) -> Outcome:
+    """Run one seed with one way's settings."""
     apply_settings(way)
     mixes = [dataclasses.replace(mix, crashing_share=share) for mix in default_mixes()]
     workload = WorkloadOptions(SECONDS, LOAD, tuple(mixes))
@@ -80,7 +80,7 @@
 
 
 def _schedule_flap(emulator: Emulator, source: random.Random) -> None:
-    """Take a share of the workers down, over and over."""
+    """Repeatedly crash a share of the workers, which return after a delay."""
 
     def flap() -> None:
         if emulator.timeline.now > SECONDS:
@@ -94,7 +94,7 @@
 
 
 def _schedule_leader_change(emulator: Emulator, source: random.Random) -> None:
-    """Change the leader, or have a worker drain, over and over."""
+    """Repeatedly change the leader or drain a worker."""
 
     def change() -> None:
         if emulator.timeline.now > SECONDS:
@@ -112,25 +112,26 @@
 
 
 def _evaluate(emulator: Emulator, jobs: list[DrawnJob]) -> Outcome:
-    bad = [job for job in jobs if job.crashing]
+    crashing_jobs = [job for job in jobs if job.crashing]
     failed = {job for job, status in emulator.statuses.items() if status is JobStatus.FAILED}
-    good = [job for job in jobs if not job.crashing]
-    waits = [emulator.finished_at[job.job] - job.at for job in bad if job.job in failed]
+    other_jobs = [job for job in jobs if not job.crashing]
+    waits = [emulator.finished_at[job.job] - job.at for job in crashing_jobs if job.job in failed]
     return Outcome(
-        bad=len(bad),
-        bad_ended=sum(job.job in failed for job in bad),
-        innocent=sum(
-            job.job in failed and emulator.checks.may_fail_after_crashes(job.job) for job in good
+        crashing_jobs=len(crashing_jobs),
+        detected_jobs=sum(job.job in failed for job in crashing_jobs),
+        wrongly_failed=sum(
+            job.job in failed and emulator.checks.may_fail_after_crashes(job.job)
+            for job in other_jobs
         ),
-        crashes=sum(emulator.checks.count_crashes(job.crashing) for job in bad),
-        heard_s=statistics.median(waits) if waits else 0.0,
-        worth=make_report(emulator, good).worth,
-        broken=len(emulator.checks.violations),
+        crashes=sum(emulator.checks.count_crashes(job.crashing) for job in crashing_jobs),
+        report_delay_s=statistics.median(waits) if waits else 0.0,
+        worth=make_report(emulator, other_jobs).worth,
+        violations=len(emulator.checks.violations),
     )
 
 
 def main() -> None:
-    """Play all ways and print a table."""
+    """Run all ways and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("ways", nargs="+", help="standing, or MODULE.CONSTANT=VALUE[,...]")
     parser.add_argument("--seeds", type=int, default=8)
@@ -139,19 +140,21 @@
     parser.add_argument("--changes", action="store_true")
     parser.add_argument("--processes", type=int, default=4)
     options = parser.parse_args()
-    given = (options.share, options.flaps, options.changes)
-    days = run_paired(play, options.ways, options.seeds, options.processes, *given)
+    arguments = (options.share, options.flaps, options.changes)
+    outcomes_by_way = run_paired(
+        run_seed, options.ways, options.seeds, options.processes, *arguments
+    )
     print(f"{'way':<60} bad ended innocent crashes/bad heard_s worth (difference, spread) broken")
-    first = days[options.ways[0]]
-    for way, outcomes in days.items():
-        bad = sum(day.bad for day in outcomes)
+    first = outcomes_by_way[options.ways[0]]
+    for way, outcomes in outcomes_by_way.items():
+        crashing_jobs = sum(outcome.crashing_jobs for outcome in outcomes)
         print(
-            f"{way:<60} {bad:3d} {sum(day.bad_ended for day in outcomes):5d}"
-            f" {sum(day.innocent for day in outcomes):8d}"
-            f" {sum(day.crashes for day in outcomes) / max(1, bad):11.2f}"
-            f" {statistics.mean(day.heard_s for day in outcomes):7.1f}"
+            f"{way:<60} {crashing_jobs:3d} {sum(outcome.detected_jobs for outcome in outcomes):5d}"
+            f" {sum(outcome.wrongly_failed for outcome in outcomes):8d}"
+            f" {sum(outcome.crashes for outcome in outcomes) / max(1, crashing_jobs):11.2f}"
+            f" {statistics.mean(outcome.report_delay_s for outcome in outcomes):7.1f}"
             f" {format_worth(outcomes, first)}"
-            f" {sum(day.broken for day in outcomes):4d}"
+            f" {sum(outcome.violations for outcome in outcomes):4d}"
         )
 
 
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,9 +1,10 @@
-"""Compare ways to decide, paired: ``python -m bench.ways WAY ... [--seeds N]``.
+"""Compare scheduler settings on the same seeds: ``python -m bench.ways WAY ... [--seeds N]``.
 
-A way is ``standing``, or settings of the decisions such as ``quotas._RESERVES_QUOTA=False``, joined
-by commas: the constants of modules of ``snowdock.jobs``. All ways play the same seeds on the
-emulator: a settlement service on 176 workers with 20 teams, one of which sends many times its
-usual, a burst of lookups and one of payouts. A leader's own processor time is not modelled.
+A way is ``standing`` (the defaults), or comma-separated settings such as
+``quotas._RESERVES_QUOTA=False``, which set constants of modules of ``snowdock.jobs``. All ways run
+the same seeds on the emulator: a settlement service on 176 workers with 20 teams, one of which
+sends ten times its usual load, a burst of lookups and one of payouts. The leader's processor time
+isn't modelled.
 """
 
 import argparse
@@ -31,7 +32,13 @@
 
 
 def apply_settings(way: str) -> None:
-    """Set the constants that a way names."""
+    """Set the constants that are named in a way.
+
+    Raises
+    ------
+    SystemExit
+        If there is no such constant.
+    """
     for setting in way.split(",") if way != STANDING else ():
         name, _, value = setting.partition("=")
         module, _, constant = name.rpartition(".")
@@ -42,42 +49,43 @@
 
 
 def run_paired(
-    play: Callable, ways: list[str], seeds: int, processes: int, *given: object
+    run_seed: Callable, ways: list[str], seeds: int, processes: int, *arguments: object
 ) -> dict[str, list]:
-    """Play all ways on the same seeds, from 1; give what came of each, by way.
+    """Run all ways on the same seeds, counted from 1; return the results by way.
 
     Parameters
     ----------
-    play
-        (way, seed, *given) -> what came of a day; it puts the way in force.
+    run_seed
+        Called with a way, a seed and ``arguments``; it applies the way's settings, runs the seed
+        and returns the result.
     ways, seeds
-        The ways, and how many seeds each plays.
+        The ways, and the number of seeds for each.
     processes
-        How many days are played at the same time.
-    given
-        What else each play gets.
+        The number of concurrent runs.
+    arguments
+        Further arguments of ``run_seed``.
     """
-    # A process for each play: settings of one way may not stay in force for the next.
+    # Each run has its own process, so that settings don't carry over to the next run.
     with concurrent.futures.ProcessPoolExecutor(processes, max_tasks_per_child=1) as pool:
         runs = {
-            way: [pool.submit(play, way, seed, *given) for seed in range(1, seeds + 1)]
+            way: [pool.submit(run_seed, way, seed, *arguments) for seed in range(1, seeds + 1)]
             for way in ways
         }
         return {way: [run.result() for run in of_way] for way, of_way in runs.items()}
 
 
 def format_worth(outcomes: list, first: list) -> str:
-    """Write the mean worth of a way's days, and how it differs from the first way's."""
-    gains = [day.worth - before.worth for day, before in zip(outcomes, first, strict=True)]
-    mean = statistics.mean(day.worth for day in outcomes)
+    """Format the mean worth of a way's runs, and its difference from the first way's."""
+    gains = [result.worth - before.worth for result, before in zip(outcomes, first, strict=True)]
+    mean = statistics.mean(result.worth for result in outcomes)
     return f"{mean:.3f} ({statistics.mean(gains):+.3f}, {statistics.pstdev(gains):.3f})"
 
 
-def play(way: str, seed: int, load: float) -> tuple[str, int, Report, float, float]:
-    """Play a day; give its report, the mean use of processors under load, and the time taken."""
+def run_seed(way: str, seed: int, load: float) -> tuple[str, int, Report, float, float]:
+    """Run one seed; return way, seed, report, mean processor use under load, and seconds taken."""
     apply_settings(way)
-    whole = CAPACITY.times(WORKERS)
-    teams = uneven_teams(TEAMS, whole.scaled(QUOTA_FACTOR))
+    total_capacity = CAPACITY.times(WORKERS)
+    teams = uneven_teams(TEAMS, total_capacity.scaled(QUOTA_FACTOR))
     workload = WorkloadOptions(SECONDS, load, wide_mixes(), BURSTS, teams, HOT_TEAM)
     options = EmulatorOptions(workload, WORKERS, CAPACITY, racks=15, advice_node_count=45)
     jobs = draw_workload(seed, workload)
@@ -88,14 +96,14 @@
         emulator.run_until(second + 1.0)
         if 5 <= second < SECONDS:
             busy = sum(worker.used_cpu for worker in emulator.workers.values())
-            used.append(busy / whole.cpu)
-    # What a team sends far beyond its weight is not owed.
+            used.append(busy / total_capacity.cpu)
+    # The overloading team's jobs aren't counted, since they exceed its share.
     report = make_report(emulator, [job for job in jobs if job.team != HOT_TEAM[0]])
     return way, seed, report, statistics.mean(used), time.perf_counter() - began
 
 
 def main() -> None:
-    """Play all ways and print a table."""
+    """Run all ways and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("ways", nargs="+", help="standing, or MODULE.CONSTANT=VALUE[,...]")
     parser.add_argument("--seeds", type=int, default=3)
@@ -103,12 +111,14 @@
     parser.add_argument("--processes", type=int, default=4)
     options = parser.parse_args()
     seeds = range(1, options.seeds + 1)
-    days = run_paired(play, options.ways, options.seeds, options.processes, options.load)
-    played = [day for of_way in days.values() for day in of_way]
+    results_by_way = run_paired(
+        run_seed, options.ways, options.seeds, options.processes, options.load
+    )
+    results = [result for of_way in results_by_way.values() for result in of_way]
     first: dict[int, float] = {}
     print(f"{'way':<48} worth  (difference, spread)  queues' worth; worst teams; in use; broken")
     for way in options.ways:
-        of_way = [each for each in played if each[0] == way]
+        of_way = [each for each in results if each[0] == way]
         worths = {seed: report.worth for _, seed, report, _, _ in of_way}
         first = first or worths
         gains = [worths[seed] - first[seed] for seed in seeds]
@@ -125,7 +135,7 @@
             f" {statistics.mean(use for _, _, _, use, _ in of_way):.2f};"
             f" {sum(r.violations for r in reports)}"
         )
-    longest = max(seconds for *_, seconds in played)
+    longest = max(seconds for *_, seconds in results)
     print(f"the longest play took {longest:.0f} s")
 
 
--- a/specs/quota_model.py
+++ b/specs/quota_model.py
@@ -1,11 +1,12 @@
-"""What a team has running, as its leader counts it and as it is: no start passes the quota.
+"""Model of a team's quota use, as counted by the leader and as it is: no start exceeds the quota.
 
-Tasks of one size. The leader counts what is or may be at a worker; an order may be carried out long
-after it was sent, its answer may be lost, a worker may be cut off and run on, another leader may
-take over, and the quota may be lowered between a placement and its start.
+All tasks have the same size. The leader counts tasks that run or may run at a worker. An order may
+be executed long after it was sent, its response may be lost, a worker may be disconnected and
+continue to run, the leader may change, and the quota may be lowered between a placement and its
+start.
 
-What is held until it is on record is counted as well, and is no rule here: the look where a start
-goes out would catch it.
+Placements that aren't recorded yet are counted, too. This isn't a rule that can be left out, since
+the check before a start is sent would prevent the violation.
 """
 
 import dataclasses
@@ -22,11 +23,11 @@
 LOWERED_QUOTA = 1
 
 RULES = ("unanswered", "stopping", "cut_off", "adopted", "looked_at_where_sent")
-"""Rules that may be left out: what is counted, and the second look."""
+"""Rules that may be left out: the phases that are counted, and the check before sending."""
 
 
 class Phase(enum.IntEnum):
-    """What the leader believes of a task."""
+    """A task's phase in the leader's state."""
 
     WAITING = 0
     HELD = 1
@@ -36,12 +37,12 @@
     STOPPING = 5
     CUT_OFF = 6
     ADOPTED = 7
-    """An earlier leader placed it; its worker has not told yet."""
+    """Placed by an earlier leader; its worker has not reported yet."""
     DONE = 8
 
 
 class RemoteState(enum.IntEnum):
-    """What is at the worker."""
+    """A task's state at its worker."""
 
     NOTHING = 0
     IN_TRANSIT = 1
@@ -59,31 +60,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     tasks: int = 3
     takeovers: int = 1
 
 
 class State(NamedTuple):
-    """The leader's belief and the truth of each task; whether a start passed the quota of then."""
+    """The leader's phases, the tasks' states at workers, and whether a start exceeded the quota."""
 
     phases: tuple = ()
-    there: tuple = ()
+    remote: tuple = ()
     quota: int = QUOTA
     takeovers: int = 0
-    passed: bool = False
+    exceeded: bool = False
 
 
 class Model:
-    """Makes the transitions."""
+    """The transitions of the model."""
 
     def __init__(self, bounds: Bounds, rules: Rules) -> None:
         self._bounds = bounds
         self._holds = rules.holds
 
     def transitions(self, state: State) -> list:
-        """List what can happen next."""
+        """Return all labels and next states."""
         steps = []
         if state.quota == QUOTA:
             steps.append(("the quota is lowered", state._replace(quota=LOWERED_QUOTA)))
@@ -104,7 +105,7 @@
         return rule is None or self._holds(rule)
 
     def _change_leader(self, state: State) -> State:
-        """Take everything on record as possibly at its worker."""
+        """Adopt every recorded placement as possibly running."""
         unplaced_phases = (Phase.WAITING, Phase.DONE)
         phases = tuple(
             phase if phase in unplaced_phases else Phase.ADOPTED for phase in state.phases
@@ -112,13 +113,13 @@
         return state._replace(phases=phases, takeovers=state.takeovers + 1)
 
     def _leader_steps(self, state: State, task: int) -> list:
-        phase, there = state.phases[task], state.there[task]
+        phase, remote = state.phases[task], state.remote[task]
         if phase is Phase.WAITING and self._count_quota_use(state) < state.quota:
             return [(f"{task} is placed", _set_phase(state, task, Phase.HELD))]
         if phase is Phase.HELD:
             return [self._send_step(state, task)]
         steps = []
-        if phase is Phase.ORDERED and there is RemoteState.RUNNING:
+        if phase is Phase.ORDERED and remote is RemoteState.RUNNING:
             steps.append((f"{task} is answered", _set_phase(state, task, Phase.RUNNING)))
         if phase is Phase.ORDERED:
             steps.append((f"no answer of {task}", _set_phase(state, task, Phase.UNANSWERED)))
@@ -126,7 +127,7 @@
             steps.append((f"{task} is to stop", _set_phase(state, task, Phase.STOPPING)))
         if phase is Phase.RUNNING:
             steps.append((f"{task} is cut off", _set_phase(state, task, Phase.CUT_OFF)))
-        if there is RemoteState.ENDED and phase in (Phase.RUNNING, Phase.UNANSWERED):
+        if remote is RemoteState.ENDED and phase in (Phase.RUNNING, Phase.UNANSWERED):
             steps.append((f"end of {task} is listed", _set_phase(state, task, Phase.DONE)))
         steps += self._run_end_steps(state, task)
         return steps
@@ -136,32 +137,35 @@
         if others >= state.quota and self._holds("looked_at_where_sent"):
             return (f"{task} is not sent", _set_phase(state, task, Phase.WAITING))
         running = sum(
-            there in (RemoteState.IN_TRANSIT, RemoteState.RUNNING) for there in state.there
+            remote in (RemoteState.IN_TRANSIT, RemoteState.RUNNING) for remote in state.remote
         )
         after = _set_phase(state, task, Phase.ORDERED)
         after = _set_remote_state(after, task, RemoteState.IN_TRANSIT)
-        return (f"{task} is sent", after._replace(passed=state.passed or running >= state.quota))
+        return (
+            f"{task} is sent",
+            after._replace(exceeded=state.exceeded or running >= state.quota),
+        )
 
     def _run_end_steps(self, state: State, task: int) -> list:
-        """List how it becomes sure that a run is over, or what it is."""
-        phase, there = state.phases[task], state.there[task]
+        """Return the transitions by which the leader learns a run's state or end."""
+        phase, remote = state.phases[task], state.remote[task]
         if phase is Phase.STOPPING:
-            # The worker refuses what is not there yet for good, and lists what ended.
+            # The worker refuses a start that arrives later, and lists a run that ended.
             return [(f"{task} has stopped", _requeue(state, task))]
-        if phase is Phase.CUT_OFF and there is RemoteState.ENDED:
+        if phase is Phase.CUT_OFF and remote is RemoteState.ENDED:
             return [(f"lease of {task} is over", _requeue(state, task))]
         if phase is not Phase.ADOPTED:
             return []
-        if there is RemoteState.RUNNING:
+        if remote is RemoteState.RUNNING:
             return [(f"{task} goes on", _set_phase(state, task, Phase.RUNNING))]
-        # The new leader's token shuts out what is on its way.
+        # The new leader's fencing token rejects a start that is in transit.
         return [(f"{task} was not there", _requeue(state, task))]
 
     def _worker_steps(self, state: State, task: int) -> list:
-        there = state.there[task]
-        if there is RemoteState.IN_TRANSIT:
+        remote = state.remote[task]
+        if remote is RemoteState.IN_TRANSIT:
             return [(f"{task} begins", _set_remote_state(state, task, RemoteState.RUNNING))]
-        if there is RemoteState.RUNNING:
+        if remote is RemoteState.RUNNING:
             return [(f"{task} ends", _set_remote_state(state, task, RemoteState.ENDED))]
         return []
 
@@ -170,8 +174,8 @@
     return state._replace(phases=replace_item(state.phases, task, phase))
 
 
-def _set_remote_state(state: State, task: int, there: RemoteState) -> State:
-    return state._replace(there=replace_item(state.there, task, there))
+def _set_remote_state(state: State, task: int, remote: RemoteState) -> State:
+    return state._replace(remote=replace_item(state.remote, task, remote))
 
 
 def _requeue(state: State, task: int) -> State:
@@ -179,7 +183,7 @@
 
 
 def make_model(bounds: Bounds, left_out: str = "") -> Protocol:
-    """Make the model for the checker; ``left_out`` is one of `RULES`, or nothing."""
+    """Build the checker's protocol; ``left_out`` is one of `RULES`, or an empty string."""
     model = Model(bounds, Rules(left_out))
     initial = State((Phase.WAITING,) * bounds.tasks, (RemoteState.NOTHING,) * bounds.tasks)
     return make_protocol(
@@ -187,6 +191,6 @@
         left_out,
         initial,
         model.transitions,
-        {"no_start_passes_the_quota": lambda state: not state["passed"]},
+        {"no_start_passes_the_quota": lambda state: not state["exceeded"]},
         lambda state: all(phase is Phase.DONE for phase in state["phases"]),
     )
