--- a/tests/test_active_nodes.py
+++ b/tests/test_active_nodes.py
@@ -36,9 +36,9 @@
     def test_nothing_changes_between_refreshes(self) -> None:
         """Ownership changes only in refresh; otherwise a work could be left without an owner."""
         keys = [f"work/{n}" for n in range(50)]
-        before = [self.active_nodes.owns(thing) for thing in keys]
+        before = [self.active_nodes.owns(key) for key in keys]
         self.reaches_log = False
-        self.assertEqual([self.active_nodes.owns(thing) for thing in keys], before)
+        self.assertEqual([self.active_nodes.owns(key) for key in keys], before)
         self.assertTrue(self.active_nodes.refresh(MEMBERS))
-        self.assertFalse(any(self.active_nodes.owns(thing) for thing in keys))
+        self.assertFalse(any(self.active_nodes.owns(key) for key in keys))
         self.assertFalse(self.active_nodes.refresh(MEMBERS))
