--- a/src/snowdock/decisions/minion_choice.py
+++ b/src/snowdock/decisions/minion_choice.py
@@ -1,4 +1,4 @@
-"""Which minion a request goes to, and which minions are set aside for a while."""
+"""Selection of the minion for a request, with temporary exclusion of failing minions."""
 
 import dataclasses
 import random
@@ -13,7 +13,7 @@
 
 
 class MinionLike(Protocol):
-    """What the choice needs to know of a minion."""
+    """The attributes of a minion that the selection reads."""
 
     name: str
     hall: str
@@ -21,7 +21,17 @@
 
 @dataclasses.dataclass(slots=True)
 class MinionHealth:
-    """A minion's record: failures in a row, and until when it is set aside."""
+    """Consecutive failures of a minion and the end of its exclusion.
+
+    Attributes
+    ----------
+    failures
+        Consecutive failed requests.
+    excluded_until
+        Monotonic time in seconds until which the minion gets no requests.
+    is_probing
+        Whether a probe request to the minion is in flight.
+    """
 
     failures: int = 0
     excluded_until: float = 0.0
@@ -34,26 +44,27 @@
     session_minion: str,
     now: float,
 ) -> MinionLike | None:
-    """Choose among minions with idle slots.
+    """Return the best minion with idle slots for a request.
 
-    The wanted one goes first, if it is there; then near ones, then the ones with most idle
-    slots. One that is set aside gets one request at a time after its pause, as a probe.
+    Minions without recent failures are preferred, then those in the node's data hall, then
+    those with the most idle slots. After its exclusion a failing minion gets one request at
+    a time as a probe.
 
     Parameters
     ----------
     candidates
-        Minions with their idle slots and records.
+        Minions with their number of idle slots and their health.
     hall
         The data hall of this node.
-    wanted
-        The minion that a session stays with, or nothing.
+    session_minion
+        The only minion that may serve the request's session, or an empty string.
     now
-        The monotonic clock.
+        Monotonic time in seconds.
 
     Returns
     -------
     MinionLike or None
-        None where there is none to choose.
+        None if no candidate is eligible.
     """
     best, best_key = None, None
     for minion, idle, health in candidates:
@@ -70,7 +81,7 @@
 
 
 def record_result(health: MinionHealth, failed: bool, now: float) -> None:
-    """Write down how a request to a minion went."""
+    """Update a minion's health with the result of a request."""
     health.is_probing = False
     if not failed:
         health.failures = 0
@@ -78,5 +89,5 @@
         return
     health.failures += 1
     excess = max(0, health.failures - _EXCLUSION_FAILURES)
-    pause = min(_INITIAL_EXCLUSION_SECONDS * 2**excess, _MAX_EXCLUSION_SECONDS)
-    health.excluded_until = now + pause * random.uniform(0.5, 1.0)
+    exclusion = min(_INITIAL_EXCLUSION_SECONDS * 2**excess, _MAX_EXCLUSION_SECONDS)
+    health.excluded_until = now + exclusion * random.uniform(0.5, 1.0)
--- a/src/snowdock/decisions/preemption.py
+++ b/src/snowdock/decisions/preemption.py
@@ -1,4 +1,4 @@
-"""Making room for work that its policy puts before running work."""
+"""Preemption of running work in favour of queued work."""
 
 import dataclasses
 import random
@@ -13,12 +13,12 @@
 __all__ = ["choose_preemptions"]
 
 _MIN_SAMPLED_WORKERS = 24
-"""Workers that are looked at for one decision."""
+"""Minimum number of workers sampled for one decision, if that many are live."""
 
 
 @dataclasses.dataclass(slots=True)
 class _PreemptionPlan:
-    """What has to end on one worker so that a task fits there."""
+    """The attempts to end on one worker so that a task fits, and the size they free."""
 
     stops: list[StopRequested] = dataclasses.field(default_factory=list)
     freed: Size = ZERO
@@ -27,24 +27,24 @@
 def choose_preemptions(
     work: Work, state: State, policies: PolicySet, rng: random.Random
 ) -> list[StopRequested]:
-    """Choose running attempts to end so that a work's queued tasks find room.
+    """Choose running attempts to end so that the queued tasks of a work can be placed.
 
     Parameters
     ----------
     work
-        The work that found no room.
+        The work that could not be placed.
     state
         The shared state.
     policies
-        Asked for each possible victim whether and how it is to end.
-    source
-        Chooses the workers that are looked at.
+        The policy programs, which decide for each victim whether and how it ends.
+    rng
+        Source of randomness for sampling workers.
 
     Returns
     -------
     list of StopRequested
-        The fewest ends found; empty where the policy allows none, and for a gang where not
-        all of its tasks would find room. Work that may not be dropped is never named.
+        The plans that end the fewest attempts. Empty if the policy allows none, or if not
+        all tasks of a gang would fit. Non-preemptible work is never included.
     """
     live = [w for w in state.workers.values() if w.state == VmState.LIVE]
     live = [w for w in live if w.capacity.holds(work.spec.size)]
@@ -61,13 +61,13 @@
 def _plan_worker(
     work: Work, worker: Worker, state: State, policies: PolicySet
 ) -> _PreemptionPlan | None:
-    """Plan for one worker; None where the allowed ends would not free enough."""
+    """Plan the preemptions on one worker, or return None if they would not free enough."""
     plan = _PreemptionPlan()
     missing = work.spec.size.minus(worker.free)
     work_view = describe_work(work.spec, 0)
     stopping = _stopping_size(worker, state)
     if stopping.holds(missing):
-        # Enough is on its way out already; ending more would be waste.
+        # Attempts that are already stopping will free enough.
         return None
     for number, task, attempt, victim in _find_victims(worker, state):
         if plan.freed.plus(stopping).holds(missing):
@@ -89,7 +89,7 @@
 
 
 def _find_victims(worker: Worker, state: State) -> Iterator[tuple[int, int, int, Work]]:
-    """Give the attempts that may be ended, the lowest priority first."""
+    """Return the preemptible attempts on a worker, lowest priority first."""
     found = []
     for name in worker.attempts:
         number, task, attempt = parse_attempt_id(name)
