--- a/src/snowdock/entry/leader_signs.py
+++ b/src/snowdock/entry/leader_liveness.py
@@ -1,4 +1,4 @@
-"""What tells a follower whether the leader still leads: its heartbeats, and its address."""
+"""Failure detection for the leader, by its heartbeats and by connecting to its address."""
 
 import socket
 from collections.abc import Callable
@@ -11,50 +11,50 @@
 __all__ = ["LeaderLiveness", "find_end_evidence"]
 
 _DEFAULT_HEARTBEAT_SECONDS = 0.2
-"""When a leader's next heartbeat is due where it does not tell."""
+"""Interval between a leader's heartbeats before the first one states it."""
 
 _SILENCE_HEARTBEATS = 2.0
-"""Where so many heartbeats that are due have not come, the leader may be gone."""
+"""Silence after which the leader counts as not alive, in heartbeat intervals."""
 
 _MISSED_HEARTBEAT_FACTOR = 1.5
-"""After this, one heartbeat is missing: it is worth a look whether the leader's process is there at
-all, which takes a millisecond."""
+"""Silence after which a heartbeat counts as missed, in heartbeat intervals. The leader's port is
+then probed, which takes a millisecond."""
 
 _MAX_RENEWAL_AGE_SECONDS = 0.7
-"""A leader whose own renewal is this old may have lost the store: two are due meanwhile."""
+"""A leader whose last renewal is older may have lost the store: two more are due in this time."""
 
 _GAP_FACTOR = 1.5
-"""A leader that has been late and came back is waited for so many times as long again."""
+"""Limits are at least this multiple of the longest recent gap that ended."""
 
 _GAP_DECAY_PER_SECOND = 0.1
-"""By how many seconds a second such a gap is forgotten."""
+"""Linear decay of the longest recent gap, in seconds per second."""
 
 _CONNECT_TIMEOUT_SECONDS = 0.2
-"""How long the look for the leader's process may take."""
+"""Timeout of the connection attempt that probes the leader's port."""
 
 
 class _DecayingMaximum:
-    """The longest gap lately after which a sign did come; it fades."""
+    """The longest recent gap between two heartbeats or renewals; decays linearly."""
 
     def __init__(self) -> None:
         self._seconds = 0.0
         self._recorded_at = 0.0
 
     def record(self, seconds: float, now: float) -> None:
-        """Take over a gap that is over."""
+        """Record a gap that has ended."""
         self._seconds = max(seconds, self.value_at(now))
         self._recorded_at = now
 
     def value_at(self, now: float) -> float:
-        """Give the gap, in seconds."""
+        """Return the decayed maximum at a time, in seconds."""
         return max(0.0, self._seconds - _GAP_DECAY_PER_SECOND * (now - self._recorded_at))
 
 
 class LeaderLiveness:
-    """The newest signs of a leader; written by the thread that hears, read by the election's.
+    """Failure detector for one leader; written by the peer thread, read by the election thread.
 
-    How late they may be follows from how late the leader's own have come: one on a busy node is
-    late now and then, and leads on.
+    The limits adapt to the leader's recent delays, since the leader of a busy node may send
+    heartbeats and renewals late without having failed.
     """
 
     def __init__(self) -> None:
@@ -67,9 +67,9 @@
         self._longest_renewal_gap = _DecayingMaximum()
 
     def is_alive(self, factor: float = 1.0) -> bool:
-        """Tell whether the leader has been heard of lately, and reaches the store.
+        """Check whether the leader's heartbeats and renewals are on time, and not rejected.
 
-        ``factor`` is how many times longer than usual it is waited for.
+        ``factor`` is the least factor by which the limits are extended.
         """
         now = steady_seconds()
         return (
@@ -79,7 +79,7 @@
         )
 
     def delay_factor(self) -> float:
-        """Give how many times longer than usual the leader's signs have taken lately."""
+        """Return the factor by which recent delays extend the limits."""
         now = steady_seconds()
         return max(
             self._silence_limit(now, 1.0) / self._base_silence_limit,
@@ -103,36 +103,36 @@
 
     @property
     def store_is_slow(self) -> bool:
-        """Whether the leader has told with its last heartbeat that its appends take long."""
+        """Whether the leader's last heartbeat reported slow appends."""
         return self._store_is_slow
 
     @property
     def renewals_rejected(self) -> bool:
-        """Whether the leader has told lately that the store turns it away."""
+        """Whether a recent heartbeat reported that the store rejects the leader's renewals."""
         recently = steady_seconds() - self._last_heartbeat_at < self._base_silence_limit
         return recently and self._renewals_rejected
 
     @property
     def has_missed_heartbeat(self) -> bool:
-        """Whether a heartbeat is missing."""
+        """Whether the leader's next heartbeat is overdue."""
         return steady_seconds() - self._last_heartbeat_at > _MISSED_HEARTBEAT_FACTOR * self._due_s
 
-    def record_heartbeat(self, beat: Heartbeat) -> None:
-        """Take a heartbeat of the leader over."""
+    def record_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Record a heartbeat of the leader."""
         now = steady_seconds()
         if self._last_heartbeat_at:
             self._longest_heartbeat_gap.record(now - self._last_heartbeat_at, now)
-        if beat.renewal_age_s < self._renewal_age_s and not self._renewals_rejected:
-            # It has renewed meanwhile, this late.
+        if heartbeat.renewal_age_s < self._renewal_age_s and not self._renewals_rejected:
+            # A smaller age means a renewal in between; the last known age is its gap.
             self._longest_renewal_gap.record(self._renewal_age_s, now)
         self._last_heartbeat_at = now
-        self._due_s = beat.due_s
-        self._renewal_age_s = beat.renewal_age_s
-        self._renewals_rejected = beat.renewals_rejected
-        self._store_is_slow = beat.store_is_slow
+        self._due_s = heartbeat.due_s
+        self._renewal_age_s = heartbeat.renewal_age_s
+        self._renewals_rejected = heartbeat.renewals_rejected
+        self._store_is_slow = heartbeat.store_is_slow
 
     def start_term(self) -> None:
-        """Give a leader that was just elected the time for its first heartbeat."""
+        """Reset all limits for a new leader, and start the wait for its first heartbeat."""
         self._longest_heartbeat_gap = _DecayingMaximum()
         self._longest_renewal_gap = _DecayingMaximum()
         self._last_heartbeat_at = steady_seconds()
@@ -141,7 +141,7 @@
         self._store_is_slow = False
 
     def mark_silent(self) -> None:
-        """Take the leader as not heard: it has resigned, or what is known of it may be old."""
+        """Discard the last heartbeat: the leader has resigned, or its record may be outdated."""
         self._last_heartbeat_at = 0.0
         self._renewal_age_s = 0.0
         self._renewals_rejected = False
@@ -150,35 +150,40 @@
 def find_end_evidence(
     leader: LeaderRecord,
     identity: NodeIdentity,
-    signs: LeaderLiveness,
+    liveness: LeaderLiveness,
     reaches_store: Callable[[], bool],
 ) -> str | None:
-    """Tell by what it is evident that a leader leads no more; None where by nothing.
+    """Return the evidence that a leader is gone; None if there is none.
 
     Parameters
     ----------
     leader
         The leader on record, which has not resigned.
     identity
-        This node.
-    signs
-        What was heard of the leader.
+        The identity of this node.
+    liveness
+        The heartbeats received from the leader.
     reaches_store
-        Whether the store has answered this node lately.
+        Returns whether the store has answered this node recently.
+
+    Returns
+    -------
+    str or None
+        The reason to log.
     """
     if leader.incarnation == identity.incarnation:
         return None
     if leader.node == identity.node:
         return "its process on this node has been replaced"
-    if signs.renewals_rejected and reaches_store():
-        return "the store turns it away"
-    if signs.has_missed_heartbeat and _refuses_connections(leader):
+    if liveness.renewals_rejected and reaches_store():
+        return "the store rejects its renewals"
+    if liveness.has_missed_heartbeat and _refuses_connections(leader):
         return "no process listens at its address"
     return None
 
 
 def _refuses_connections(leader: LeaderRecord) -> bool:
-    """Tell whether no process listens at a leader's address, though its machine is reached."""
+    """Check whether the leader's host refuses connections to the leader's port."""
     host, _, port = leader.address.rpartition(":")
     try:
         with socket.create_connection((host, int(port)), _CONNECT_TIMEOUT_SECONDS):
@@ -186,5 +191,5 @@
     except ConnectionRefusedError:
         return True
     except OSError:
-        # No answer tells nothing: the machine may be cut off, and its process run on.
+        # A timeout is no evidence: the VM may be partitioned, and its process still running.
         return False
--- a/tests/test_jobs_reducer.py
+++ b/tests/test_jobs_reducer.py
@@ -1,4 +1,4 @@
-"""Tests of the leader's reducer: what is ordered when, and what follows from answers."""
+"""Tests of the leader's reducer: when orders are sent, and how answers are handled."""
 
 import dataclasses
 import unittest
@@ -35,7 +35,7 @@
 
 class TestDurability(unittest.TestCase):
     def test_start_waits_for_its_record(self) -> None:
-        """No start is sent before its placement is on record."""
+        """No start is sent before its placement is recorded."""
         bench = Bench()
         bench.add_worker()
         bench.is_store_paused = True
@@ -48,7 +48,7 @@
         self.assertEqual(len(bench.starts()), 1)
 
     def test_one_batch_at_a_time(self) -> None:
-        """What changes while a batch is on its way goes with the next."""
+        """Changes made while a batch is in flight are sent with the next one."""
         bench = Bench()
         bench.add_worker()
         bench.is_store_paused = True
@@ -61,8 +61,8 @@
         bench.tick(0.1)
         self.assertEqual(bench.cell.batch_number, 2)
 
-    def test_end_is_forgotten_after_its_record(self) -> None:
-        """A worker may forget an end, and callers see it, once it is on record."""
+    def test_end_is_acknowledged_after_its_record(self) -> None:
+        """An end is acknowledged to its worker, and published, once it is recorded."""
         bench = Bench()
         bench.add_worker()
         job = bench.submit()
@@ -103,27 +103,27 @@
         return found
 
     def test_lease_of_a_silent_worker_is_not_renewed(self) -> None:
-        """Renewals to a worker that does not answer only look, so its leases run out."""
+        """Renewals to a worker that does not answer carry no lease, so its leases expire."""
         found = self.leave_unanswered_for(3.0)
         lease_ends = [effect.order.lease_until_ms for effect in filter_by_type(found, SendRenewal)]
         self.assertGreater(len(lease_ends), 3)
         self.assertEqual(set(lease_ends), {0})
 
     def test_runs_restart_after_the_lease(self) -> None:
-        """Not before its leases are over, at the slowest rate of its clock, then elsewhere."""
+        """Runs restart elsewhere once the leases have expired at the slowest clock rate."""
         self.bench.add_worker("v")
         found = self.leave_unanswered_for(9.0)
         again = [effect for effect in filter_by_type(found, SendStart) if effect.life == "v"]
         self.assertEqual([effect.order.run for effect in again], [2])
 
     def test_runs_do_not_restart_within_the_lease(self) -> None:
-        """Within the lease nothing begins again."""
+        """No run restarts while the leases may still be valid."""
         self.bench.add_worker("v")
         found = self.leave_unanswered_for(3.5)
         self.assertEqual(filter_by_type(found, SendStart), [])
 
     def test_other_life_ends_all_runs(self) -> None:
-        """Where another life answers, the runs of the one meant are over."""
+        """If another life of the worker answers, the runs of the addressed life have ended."""
         self.bench.add_worker("v")
         event = StartAnswered("w", self.order.task, 1, StartResult(Refusal.OTHER_LIFE))
         found = self.bench.feed(event) + self.bench.tick(0.2)
@@ -142,7 +142,7 @@
         return self.bench.feed(StartAnswered("w", self.order.task, 1, None))
 
     def test_listed_run_is_adopted(self) -> None:
-        """A run that the worker lists has started."""
+        """An unanswered start has succeeded if the worker reports the run."""
         self.bench.report("w", running=[(self.order.task, 1, 0.0)])
         self.leave_start_unanswered()
         self.bench.report("w", running=[(self.order.task, 1, 5.0)])
@@ -150,15 +150,15 @@
         self.assertEqual((task.phase, task.run), (Phase.RUNNING, 1))
 
     def report_missing_run(self) -> list:
-        """Report, after the lost answer, that nothing runs."""
+        """Report no runs after the lost answer to the start."""
         self.bench.report("w")
         self.leave_start_unanswered()
         self.bench.now += 0.01
         self.bench.report("w")
         return self.bench.report("w")
 
-    def test_missing_run_is_stopped_before_it_begins_again(self) -> None:
-        """A run that is not listed may come later, so the worker must refuse it first."""
+    def test_missing_run_is_stopped_before_it_restarts(self) -> None:
+        """An unreported run may still start, so it is stopped before it restarts elsewhere."""
         found = self.report_missing_run()
         self.assertEqual(len(filter_by_type(found, SendStop)), 1)
         self.assertEqual(filter_by_type(found, SendStart), [])
@@ -173,7 +173,7 @@
         )
 
     def test_repeated_stop_keeps_its_first_answer(self) -> None:
-        """Stops that are sent again do not put off what follows from the first answer."""
+        """Repeated stop orders do not reset the time of the first answer."""
         self.report_missing_run()
         self.bench.feed(StopAnswered("w", self.order.task, 1, True))
         stop = next(iter(self.bench.cell.pending_stops.values()))
@@ -186,7 +186,7 @@
 
 class TestWaiting(unittest.TestCase):
     def test_refused_start_leaves_its_job_waiting(self) -> None:
-        """A job counts as waiting until a start of it has been confirmed."""
+        """A job stays pending until one of its starts is confirmed."""
         bench = Bench()
         bench.add_worker()
         job = bench.submit()
@@ -203,7 +203,7 @@
 
 class TestFailures(unittest.TestCase):
     def test_attempts_are_counted_and_end_the_job(self) -> None:
-        """A job has failed with the last attempt that its queue allows, not before."""
+        """A job fails with the last attempt that its queue permits, not before."""
         bench = Bench(attempts=2)
         bench.add_worker()
         bench.submit()
@@ -217,8 +217,8 @@
         self.assertEqual(statuses, [JobStatus.FAILED])
         self.assertEqual(bench.starts(), [])
 
-    def test_failure_of_a_run_given_up_counts(self) -> None:
-        """A run that was taken for lost and had failed uses an attempt up all the same."""
+    def test_failure_of_a_lost_run_counts(self) -> None:
+        """The failure of a run that was considered lost still counts as an attempt."""
         bench = Bench(attempts=2)
         bench.add_worker("w")
         bench.submit()
@@ -229,8 +229,8 @@
         bench.report("w", ended=[(start.order.task, 1, FAILED)])
         self.assertEqual(task.failures, 1)
 
-    def test_gang_fails_once_a_run(self) -> None:
-        """Two failed members of one run are one failure of the gang."""
+    def test_gang_run_fails_once(self) -> None:
+        """Two failed members of one run count as one failure of the gang."""
         bench = Bench(attempts=2)
         bench.add_worker()
         job = bench.submit(make_gang(3))
@@ -256,7 +256,7 @@
 
 class TestGangs(unittest.TestCase):
     def test_starts_as_a_whole_or_not_at_all(self) -> None:
-        """A gang without room for all its members starts none."""
+        """A gang starts none of its members unless there are resources for all."""
         bench = Bench()
         bench.add_worker("w", cpu=4000)
         bench.submit(make_gang(5))
@@ -267,7 +267,7 @@
         self.assertEqual({start.order.run for start in bench.starts(found)}, {1})
 
     def test_refused_member_stops_the_other_members(self) -> None:
-        """Where one member cannot start, the others are stopped before they wait in vain."""
+        """If a member is refused, the other members are stopped immediately."""
         bench = Bench()
         bench.add_worker()
         bench.submit(make_gang(3))
@@ -278,9 +278,9 @@
         self.assertEqual(stopped, {start.order.task for start in others})
 
 
-class TestPlacing(unittest.TestCase):
+class TestPlacement(unittest.TestCase):
     def test_stopping_run_still_takes_room(self) -> None:
-        """What is being stopped still takes room."""
+        """A run that is being stopped still uses its resources."""
         bench = Bench()
         bench.add_worker("w", cpu=1000)
         job = bench.submit()
@@ -294,7 +294,7 @@
         self.assertEqual(len(bench.starts(bench.effects + bench.tick(0.2))), 1)
 
     def test_steps_follow_their_predecessors(self) -> None:
-        """A later step waits for all tasks of the earlier one."""
+        """A step waits for all tasks of its predecessor."""
         bench = Bench()
         bench.add_worker()
         later = msgspec.structs.replace(SMALL, after=(0,))
@@ -309,7 +309,7 @@
         self.assertEqual([start.order.task.step for start in started], [1])
 
     def test_draining_worker_gets_nothing_new(self) -> None:
-        """A worker that is about to leave takes nothing, and what runs there goes on."""
+        """Nothing is placed on a draining worker."""
         bench = Bench()
         bench.add_worker("w")
         entry = dataclasses.replace(bench.cell.workers["w"].entry, draining=True)
@@ -318,7 +318,7 @@
         self.assertEqual(bench.starts(bench.effects + bench.tick(0.5)), [])
 
     def test_delisted_worker_keeps_its_runs(self) -> None:
-        """A missing entry is no evidence that runs are over."""
+        """The removal of a worker's entry does not end its runs."""
         bench = Bench()
         bench.add_worker("w")
         bench.submit()
@@ -330,7 +330,7 @@
         self.assertEqual(len(bench.cell.workers["w"].runs), 1)
 
     def test_worker_delisted_without_draining_gets_nothing_new(self) -> None:
-        """A worker whose entry goes while the store is well is leaving, though it answers."""
+        """Nothing is placed on a worker whose entry was removed while the store was available."""
         bench = Bench()
         bench.add_worker("w")
         bench.feed(WorkerDelisted("w", may_return=False))
@@ -338,8 +338,8 @@
         bench.tick(1.0)
         self.assertEqual(bench.starts(bench.all_effects), [])
 
-    def test_entry_that_lapsed_with_the_store_may_return(self) -> None:
-        """A worker whose entry went with an outage is used while it may come back, no longer."""
+    def test_entry_that_expired_in_a_store_outage_may_return(self) -> None:
+        """A worker whose entry expired in a store outage is used for a grace period only."""
         bench = Bench()
         bench.add_worker("w")
         bench.feed(WorkerDelisted("w", may_return=True))
@@ -351,7 +351,7 @@
         self.assertEqual(len(bench.starts(bench.all_effects)), 1)
 
     def test_failed_run_goes_elsewhere(self) -> None:
-        """The next try of a failed run avoids the worker that it failed on."""
+        """The next attempt after a failed run avoids the worker that it failed on."""
         bench = Bench()
         bench.add_worker("w", cpu=8000)
         bench.submit()
@@ -374,7 +374,7 @@
         return self.bench.feed(AdviceAnswered(AdviceResult(asked.request, tickets)))
 
     def test_start_carries_the_ticket(self) -> None:
-        """Only advised workers are used, with the ticket for the worker's life."""
+        """Only workers with a ticket are used, and the start carries that ticket."""
         self.bench.submit()
         (asked,) = filter_by_type(self.bench.effects, AskAdvice)
         self.assertEqual(set(asked.request.workers), {"w", "v"})
@@ -383,14 +383,14 @@
         self.assertEqual((start.life, start.order.ticket), ("v", "ticket-v"))
 
     def test_pending_requests_are_bounded(self) -> None:
-        """No more than two questions a node are on their way, whatever waits."""
+        """At most two requests for each node are pending, however many steps wait."""
         for _ in range(20):
             self.bench.submit()
         self.bench.tick(0.2)
         self.assertEqual(len(self.bench.cell.advice_requests), 4)
 
     def test_unfit_workers_are_not_asked_about_again(self) -> None:
-        """What the service has told stays; only tickets are renewed."""
+        """Fitness is remembered; only tickets are renewed."""
         self.bench.submit(msgspec.structs.replace(SMALL, size=Size(4000, 1000)))
         (asked,) = filter_by_type(self.bench.effects, AskAdvice)
         self.bench.cell.workers["w"].used = Size(4000, 0)
@@ -400,8 +400,8 @@
         (again,) = filter_by_type(self.bench.tick(0.1), AskAdvice)
         self.assertEqual(again.request.workers, ("w",))
 
-    def test_gang_asks_about_as_many_workers_as_it_needs(self) -> None:
-        """A question about all of many workers would outlast its tickets."""
+    def test_gang_request_size_is_bounded(self) -> None:
+        """Requests are limited in size; otherwise tickets would expire before the placement."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(90):
             bench.add_worker(f"x{number}")
@@ -412,7 +412,7 @@
         self.assertGreaterEqual(len(asked[0]), 10)
 
     def test_gang_asks_about_all_workers_in_parallel(self) -> None:
-        """Several nodes are asked at the same time, about each worker once."""
+        """Parallel requests cover all workers, each of them once."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(90):
             bench.add_worker(f"x{number}")
@@ -424,7 +424,7 @@
         self.assertEqual(len(set(asked)), 90)
 
     def test_gang_counts_valid_tickets(self) -> None:
-        """Only what is missing beside valid tickets is asked for, among those known to be fit."""
+        """Only expired tickets of workers known to be fit are requested again."""
         bench = Bench(advice=AdviceTerms(440.0, 6.0, 1500.0))
         for number in range(4):
             bench.add_worker(f"x{number}", cpu=1000)
@@ -439,8 +439,8 @@
         (again,) = filter_by_type(bench.tick(0.1), AskAdvice)
         self.assertEqual(again.request.workers, ("x0",))
 
-    def test_answer_from_before_the_terms_changed(self) -> None:
-        """A queue whose advice was taken away and given back is asked about as before."""
+    def test_answer_to_a_request_under_previous_terms(self) -> None:
+        """An answer to a request sent before the queue's terms changed is not counted."""
         cell = self.bench.cell
         self.bench.submit(msgspec.structs.replace(SMALL, size=Size(4000, 1000)))
         (asked,) = filter_by_type(self.bench.effects, AskAdvice)
@@ -450,8 +450,8 @@
         self.answer(asked)
         self.assertEqual(step.advice.pending_requests, 0)
 
-    def test_failed_question_is_asked_again(self) -> None:
-        """A question without an answer is repeated a little later."""
+    def test_failed_request_is_repeated(self) -> None:
+        """A request without an answer is repeated after a delay."""
         self.bench.submit()
         (asked,) = filter_by_type(self.bench.effects, AskAdvice)
         self.bench.feed(AdviceFailed(asked.request))
@@ -471,23 +471,23 @@
         return bench, job
 
     def test_running_run_is_adopted(self) -> None:
-        """What the worker lists goes on; nothing is started or stopped."""
+        """A run that the worker reports continues; nothing is started or stopped."""
         bench, job = self.restore_bench()
         bench.add_worker("w", is_settled=False)
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
         found = bench.report("w", running=[(task.id, 3, 50.0)]) + bench.tick(1.0)
         self.assertEqual(filter_by_type(found, SendStart) + filter_by_type(found, SendStop), [])
 
-    def test_statuses_are_shown_at_once(self) -> None:
-        """A new leader shows all jobs on record before it takes any event."""
+    def test_statuses_are_published_on_restore(self) -> None:
+        """A new leader publishes the statuses of all recorded jobs before any event."""
         bench = Bench(token=9)
         job = "a" * 16
         effects = bench.restore(self.make_recorded_jobs(job, "w"))
         shown = [(e.job, e.status) for e in filter_by_type(effects, PublishStatus)]
         self.assertEqual(shown, [(job, JobStatus.RUNNING)])
 
-    def test_failure_on_record_is_not_counted_again(self) -> None:
-        """An end that is on record, and that the worker lists again, counts once."""
+    def test_recorded_failure_is_not_counted_again(self) -> None:
+        """A recorded failure that the worker reports again is counted once."""
         bench = Bench(token=9, attempts=2)
         job = "a" * 16
         bench.restore(self.make_recorded_jobs(job, "", failed_runs=[3]))
@@ -499,21 +499,21 @@
         self.assertEqual([start.order.run for start in bench.starts(bench.all_effects)], [4])
 
     def test_run_that_never_arrived_is_restarted(self) -> None:
-        """The first report under the new token settles what runs there."""
+        """A run missing from the first report to the new leader is restarted."""
         bench, _ = self.restore_bench()
         bench.add_worker("w", is_settled=False)
         found = bench.report("w") + bench.tick(0.2)
         self.assertEqual([start.order.run for start in bench.starts(found)], [4])
 
-    def test_worker_never_seen_again(self) -> None:
-        """Its runs are over only after the longest lease and a cut-off leader's silence."""
+    def test_runs_of_an_unreached_worker(self) -> None:
+        """The runs of an unreached worker restart only after all leases have expired."""
         bench, _ = self.restore_bench(life="gone")
         bench.add_worker("w")
         self.assertEqual(bench.starts(bench.tick(9.5)), [])
         self.assertEqual(len(bench.starts(bench.tick(1.0))), 1)
 
-    def test_placement_that_never_began_still_waits(self) -> None:
-        """A job whose placement is on record counts as waiting until a worker tells of it."""
+    def test_unconfirmed_placement_stays_pending(self) -> None:
+        """A job with a recorded placement stays pending until a worker reports the run."""
         bench = Bench(token=9)
         job = "a" * 16
         progress = JobProgress(JobStatus.PENDING, [TaskProgress(0, 0, 0, run=1, life="w")])
@@ -525,7 +525,7 @@
         self.assertEqual(bench.cell.jobs[job].status, JobStatus.RUNNING)
 
     def test_cancelled_job_is_stopped_by_the_successor(self) -> None:
-        """A run of a job that was cancelled is stopped where it is found."""
+        """A reported run of a cancelled job is stopped."""
         bench = Bench(token=9)
         job = "a" * 16
         recorded = self.make_recorded_jobs(job, "w")
@@ -537,7 +537,7 @@
         self.assertEqual(filter_by_type(found, SendStart), [])
 
     def test_unrecorded_run_is_stopped(self) -> None:
-        """A run under no record takes room until it has ended, and is stopped."""
+        """A reported run without a record is stopped, and uses resources until it has ended."""
         bench, job = self.restore_bench(life="elsewhere")
         task = bench.cell.jobs[job].repetitions[0][0].tasks[0]
         bench.add_worker("w", is_settled=False)
@@ -545,8 +545,8 @@
         self.assertEqual([e.order.run for e in filter_by_type(found, SendStop)], [2])
         self.assertEqual(bench.cell.workers["w"].used.cpu, 1000)
 
-    def test_job_that_ended_is_known_by_its_end_alone(self) -> None:
-        """It is shown as it ended, and does not run again when it is handed in again."""
+    def test_ended_job_does_not_run_again(self) -> None:
+        """An ended job is published with its status and does not run again if resubmitted."""
         bench = Bench(token=9)
         bench.add_worker()
         job = "a" * 16
@@ -560,8 +560,8 @@
         )
         self.assertEqual([e.names for e in filter_by_type(found, ForgetAccepted)], [(job,)])
 
-    def test_run_of_a_job_that_ended_takes_all_that_is_free(self) -> None:
-        """How much it takes is known no more; nothing is placed beside it until it has ended."""
+    def test_run_of_an_ended_job_blocks_its_worker(self) -> None:
+        """A run whose size is unknown blocks its worker until it has ended."""
         bench = Bench(token=9)
         job = "a" * 16
         bench.restore(RecordedJobs({}, set(), {job: JobProgress(JobStatus.COMPLETED, [])}))
@@ -575,7 +575,7 @@
         self.assertEqual(len(bench.starts(found)), 1)
 
     def test_fenced_leader_steps_down(self) -> None:
-        """A worker that has seen a higher token ends a leadership."""
+        """A refusal from a worker that has seen a higher token makes the leader step down."""
         bench = Bench()
         bench.add_worker()
         bench.submit()
@@ -585,8 +585,8 @@
         self.assertEqual(len(filter_by_type(found, StepDown)), 1)
 
 
-class TestForgetting(unittest.TestCase):
-    """How a job was taken in is forgotten once nothing rests on it any more."""
+class TestSubmissionRecord(unittest.TestCase):
+    """A job's submission record is deleted once it is not needed any more."""
 
     def setUp(self) -> None:
         self.bench = Bench()
@@ -601,8 +601,8 @@
     def end_run(self, kind: EndKind) -> list:
         return self.bench.report("w", ended=[(self.start.order.task, 1, kind)])
 
-    def test_not_before_its_end_is_on_record(self) -> None:
-        """While the store is away, a successor needs to know what is to be done."""
+    def test_not_before_its_end_is_recorded(self) -> None:
+        """The submission record is kept until the job's end is recorded."""
         self.bench.is_store_paused = True
         found = self.end_run(DONE) + self.bench.tick(1.0)
         self.assertEqual(self.forgotten_names(found), [])
@@ -610,8 +610,8 @@
         found = self.bench.feed(Persisted(self.bench.cell.batch_number))
         self.assertEqual(self.forgotten_names(found), [(self.job,)])
 
-    def test_handed_in_again_while_its_end_waits(self) -> None:
-        """Until its end is on record, a successor knows of it by how it was taken in alone."""
+    def test_resubmitted_before_its_end_is_recorded(self) -> None:
+        """The record of a resubmitted job is kept until the job's end is recorded."""
         self.bench.is_store_paused = True
         self.end_run(DONE)
         found = self.bench.feed(JobAccepted(self.job, make_accepted_job())) + self.bench.tick(1.0)
@@ -620,8 +620,8 @@
         found = self.bench.feed(Persisted(self.bench.cell.batch_number)) + self.bench.tick(0.2)
         self.assertIn((self.job,), self.forgotten_names(found))
 
-    def test_not_while_something_runs(self) -> None:
-        """A successor counts the room of runs that are being stopped."""
+    def test_not_while_a_run_is_being_stopped(self) -> None:
+        """The record is kept while a run is being stopped, as a successor counts its resources."""
         found = self.bench.feed(JobCancelled(self.job)) + self.bench.tick(0.3)
         self.assertEqual(self.forgotten_names(found), [])
         found = self.end_run(EndKind.STOPPED) + self.bench.tick(0.1)
@@ -630,7 +630,7 @@
 
 class TestCancelling(unittest.TestCase):
     def test_cancellation_may_precede_its_job(self) -> None:
-        """A cancelling on record before its job keeps the job from running."""
+        """A cancellation that arrives before its job keeps the job from running."""
         bench = Bench()
         bench.add_worker()
         bench.feed(JobCancelled("a" * 16))
@@ -642,7 +642,7 @@
 
 class TestSlowWorkers(unittest.TestCase):
     def test_run_moves_away_from_a_slow_worker(self) -> None:
-        """A run that stands still is stopped where another worker has room for it."""
+        """A run without progress is stopped if another worker can run it."""
         bench = Bench()
         bench.add_worker("w")
         bench.submit()
@@ -660,8 +660,8 @@
         self.assertEqual([stop.order.task for stop in stops[:1]], [start.order.task])
         self.assertGreater(bench.cell.workers["w"].slowness, 1.8)
 
-    def test_run_at_the_usual_pace_stays(self) -> None:
-        """Progress as estimated moves nothing."""
+    def test_run_at_the_estimated_speed_stays(self) -> None:
+        """A run that progresses as estimated is not moved."""
         bench = Bench()
         bench.add_worker("w")
         bench.submit()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tests of quotas: what a team has running stays within them, whatever happens to its runs."""
+"""Tests of quotas: a team's runs stay within its quota, also under faults."""
 
 import random
 import unittest
@@ -38,7 +38,7 @@
 
 
 class QuotaBench(Bench):
-    """A cell with teams."""
+    """A harness with teams."""
 
     def __init__(self, *teams: Team, **more) -> None:
         super().__init__(**more)
@@ -60,13 +60,13 @@
         return self.starts(self.all_effects)
 
     @property
-    def used(self) -> int:
+    def used_cpu(self) -> int:
         return self.cell.team_usage.used("a").cpu
 
 
 class TestWaves(unittest.TestCase):
     def test_wide_step_goes_in_waves(self) -> None:
-        """No more tasks run than the quota holds; each end lets the next begin."""
+        """No more tasks run than the quota admits; each end lets the next task start."""
         bench = QuotaBench(make_team(3000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
@@ -77,17 +77,17 @@
         bench.report("w", running=[], ended=[(first.task, 1, DONE)])
         bench.tick(0.2)
         self.assertEqual(len(bench.started), 4)
-        self.assertEqual(bench.used, 3000)
+        self.assertEqual(bench.used_cpu, 3000)
 
     def test_every_kind_of_room_counts(self) -> None:
-        """A quota of memory binds as well as one of processors."""
+        """Quotas of memory are enforced as well as quotas of processors."""
         bench = QuotaBench(make_team(UNBOUNDED, memory=250))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
         self.assertEqual(len(bench.started), 2)
 
-    def test_other_teams_are_not_held_up(self) -> None:
-        """A team at its quota keeps nobody else waiting."""
+    def test_other_teams_are_not_delayed(self) -> None:
+        """A team at its quota does not delay other teams."""
         bench = QuotaBench(make_team(1000), make_team(5000, name="b"))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
@@ -97,14 +97,14 @@
         self.assertEqual(sorted(owners), ["1", "2", "2", "2", "2", "2"])
 
     def test_jobs_of_no_team_are_not_bound(self) -> None:
-        """What needed no key has no quota."""
+        """Jobs that were submitted without a key have no quota."""
         bench = QuotaBench(make_team(1000))
         bench.add_worker(cpu=20_000)
         bench.submit(WIDE)
         self.assertEqual(len(bench.started), 10)
 
     def test_task_larger_than_the_quota_runs_alone(self) -> None:
-        """It may pass the quota by itself, but by no second one."""
+        """A task may exceed the quota alone, but no second task may start beside it."""
         bench = QuotaBench(make_team(500))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
@@ -113,7 +113,7 @@
 
 class TestGangs(unittest.TestCase):
     def test_gang_starts_whole_or_not_at_all(self) -> None:
-        """Beside other work of its team a gang waits until all of it is within the quota."""
+        """A gang waits until the quota admits all of it beside the team's other runs."""
         bench = QuotaBench(make_team(4500))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", StepSpec(count=1, size=ONE))
@@ -125,8 +125,8 @@
         bench.tick(0.2)
         self.assertEqual(len(bench.started), 5)
 
-    def test_gang_without_room_keeps_no_quota_for_long(self) -> None:
-        """What no worker holds for now may not keep its team's other gangs from starting."""
+    def test_gang_without_room_reserves_quota_briefly(self) -> None:
+        """A gang that no workers can hold does not block the other gangs of its team."""
         bench = QuotaBench(make_team(10_000))
         bench.add_worker(cpu=4000)
         bench.submit_as("a", msgspec.structs.replace(GANG, size=Size(2000, 100)))
@@ -136,8 +136,8 @@
         bench.tick(2.0)
         self.assertEqual([start.order.task.job[-1] for start in bench.started], ["2"] * 4)
 
-    def test_gang_that_can_never_run_waits_and_is_not_failed(self) -> None:
-        """A quota may rise again: then it runs; until then it is shown as waiting."""
+    def test_gang_larger_than_the_quota_stays_pending(self) -> None:
+        """A gang that exceeds the quota stays pending, and runs once the quota is raised."""
         bench = QuotaBench(make_team(2000))
         bench.add_worker(cpu=20_000)
         job = bench.submit_as("a", GANG)
@@ -149,7 +149,7 @@
         self.assertEqual(len(bench.started), 4)
 
     def test_gang_is_not_starved_by_its_own_team(self) -> None:
-        """Freed quota is kept for a gang that waits, and not given to tasks that rank lower."""
+        """Freed quota is reserved for a waiting gang rather than used by lower-ranked tasks."""
         bench = QuotaBench(make_team(4000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", StepSpec(count=3, size=ONE, estimate_ms=1000))
@@ -166,8 +166,8 @@
         self.assertEqual(after, {gang})
         self.assertEqual(len(bench.started), 7)
 
-    def test_gang_larger_than_the_quota_keeps_nothing(self) -> None:
-        """What can never run holds up nobody."""
+    def test_gang_larger_than_the_quota_reserves_nothing(self) -> None:
+        """No quota is reserved for a gang that exceeds the whole quota."""
         bench = QuotaBench(make_team(2000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", GANG)
@@ -178,7 +178,7 @@
 
 
 class TestCountedRuns(unittest.TestCase):
-    """Each kind of run that is or may be at a worker is counted until it surely is not."""
+    """Each run that exists or may exist on a worker counts until it certainly does not."""
 
     def setUp(self) -> None:
         self.bench = QuotaBench(make_team(1000))
@@ -191,41 +191,41 @@
         return start
 
     def test_deferred_start(self) -> None:
-        """A placement that is not on record yet."""
+        """A placement that is not recorded yet counts."""
         self.bench.is_store_paused = True
         self.bench.submit_as("a", WIDE)
         self.bench.tick(1.0)
-        self.assertEqual(self.bench.used, 1000)
+        self.assertEqual(self.bench.used_cpu, 1000)
         self.assertEqual(self.bench.started, [])
 
     def test_unanswered_start(self) -> None:
-        """It may be carried out seconds later."""
+        """A start without an answer counts, as it may still be carried out."""
         start = self.start_one()
         self.bench.feed(StartAnswered(start.life, start.order.task, 1, None))
         self.bench.tick(1.0)
         self.assertEqual(len(self.bench.started), 1)
 
     def test_run_being_stopped(self) -> None:
-        """Until its end is listed, or its worker has refused it for good."""
+        """A run being stopped counts until its end is reported or its start is excluded."""
         start = self.start_one()
         self.bench.feed(StartAnswered(start.life, start.order.task, 1, None))
         while not filter_by_type(self.bench.all_effects, SendStop):
             self.bench.tick(0.1)
             self.bench.report(start.life)
         self.bench.tick(0.2)
-        self.assertEqual((self.bench.used, len(self.bench.started)), (1000, 1))
+        self.assertEqual((self.bench.used_cpu, len(self.bench.started)), (1000, 1))
         self.bench.feed(StopAnswered(start.life, start.order.task, 1, True))
         self.bench.tick(0.2)
-        self.assertEqual((self.bench.used, len(self.bench.started)), (1000, 1))
+        self.assertEqual((self.bench.used_cpu, len(self.bench.started)), (1000, 1))
         for _ in range(3):
             self.bench.tick(0.6)
             self.bench.report(start.life)
         self.bench.tick(0.2)
         self.assertEqual(len(self.bench.started), 2)
-        self.assertEqual(self.bench.used, 1000)
+        self.assertEqual(self.bench.used_cpu, 1000)
 
-    def test_worker_that_is_cut_off(self) -> None:
-        """What runs there runs on until its lease is over."""
+    def test_unreachable_worker(self) -> None:
+        """Runs on an unreachable worker count until their leases have expired."""
         start = self.start_one()
         self.bench.confirm(start)
         self.bench.report(start.life, running=[(start.order.task, 1, 10.0)])
@@ -237,23 +237,23 @@
         self.assertEqual(len(self.bench.started), 1)
 
     def test_runs_of_an_earlier_leader(self) -> None:
-        """They count before their worker is known, and after."""
+        """Runs of an earlier leader count before and after their worker is known."""
         job = "a" * 16
         progress = JobProgress(JobStatus.RUNNING, [TaskProgress(0, 0, 0, 1, "u")], "a")
         bench = QuotaBench(make_team(1000))
         bench.restore(RecordedJobs({job: make_team_job(WIDE)}, set(), {job: progress}))
-        self.assertEqual(bench.used, 1000)
+        self.assertEqual(bench.used_cpu, 1000)
         bench.add_worker("w", cpu=20_000)
         bench.tick(0.5)
         self.assertEqual(bench.started, [])
         bench.add_worker("u", is_settled=False)
-        self.assertEqual(bench.used, 1000)
+        self.assertEqual(bench.used_cpu, 1000)
         bench.report("u")
         bench.tick(0.2)
         self.assertEqual(len(bench.started), 1)
 
-    def test_nothing_is_left_counted(self) -> None:
-        """Once all have ended, nothing is."""
+    def test_usage_is_empty_after_all_ends(self) -> None:
+        """No usage is left once all runs have ended."""
         start = self.start_one()
         self.bench.confirm(start)
         self.bench.report(start.life, ended=[(start.order.task, 1, DONE)])
@@ -265,8 +265,8 @@
 
 
 class TestChangedQuotas(unittest.TestCase):
-    def test_lowered_quota_holds_starts_back(self) -> None:
-        """A start that waits for its record does not go out over the quota of then."""
+    def test_lowered_quota_delays_starts(self) -> None:
+        """A deferred start is not sent if it exceeds a quota that was lowered meanwhile."""
         bench = QuotaBench(make_team(4000))
         bench.add_worker(cpu=20_000)
         bench.is_store_paused = True
@@ -279,7 +279,7 @@
         self.assertLessEqual(len(bench.started), 2)
 
     def test_raised_quota_is_used_at_once(self) -> None:
-        """What waited for it begins with the next look for room."""
+        """Waiting tasks start with the first pass after the quota is raised."""
         bench = QuotaBench(make_team(1000))
         bench.add_worker(cpu=20_000)
         bench.submit_as("a", WIDE)
@@ -292,7 +292,7 @@
     SECONDS = 15
 
     def test_quotas_hold_under_faults(self) -> None:
-        """Late orders, lost answers, takeovers and changed quotas: checked at the workers."""
+        """No quota is exceeded with late orders, lost answers, leader changes and new quotas."""
         for seed in range(6):
             with self.subTest(seed=seed):
                 emulator, jobs = self.run_emulation(seed)
@@ -300,7 +300,7 @@
                 self.assertEqual(find_unended_jobs(emulator, jobs), [])
 
     def run_emulation(self, seed: int):
-        source = random.Random(seed)
+        rng = random.Random(seed)
         total = Size(24 * 16_000, 24 * 65_536, UNBOUNDED)
         teams = uneven_teams(5, total)
         workload = WorkloadOptions(
@@ -311,9 +311,9 @@
         emulator.checks.is_calm = False
         at = 0.0
         while at < self.SECONDS:
-            at += source.uniform(0.5, 2)
+            at += rng.uniform(0.5, 2)
             emulator.run_until(at)
-            self.inject_fault(emulator, source, total)
+            self.inject_fault(emulator, rng, total)
         emulator.faults.lost_answers = emulator.faults.late_orders = 0
         emulator.faults.cut.clear()
         emulator.change_teams(uneven_teams(5, total.times(4)))
@@ -321,14 +321,14 @@
         return emulator, jobs
 
     @staticmethod
-    def inject_fault(emulator: Emulator, source: random.Random, total: Size) -> None:
-        match source.randrange(8):
+    def inject_fault(emulator: Emulator, rng: random.Random, total: Size) -> None:
+        match rng.randrange(8):
             case 0:
                 emulator.faults.late_orders = 0.1
             case 1:
                 emulator.faults.lost_answers = 0.3
             case 2:
-                emulator.kill_leader(source.uniform(0.5, 2))
+                emulator.kill_leader(rng.uniform(0.5, 2))
             case 3:
                 emulator.depose_leader()
             case 4:
@@ -336,7 +336,7 @@
             case 5:
                 emulator.change_teams(uneven_teams(5, total))
             case 6:
-                emulator.faults.cut.add(source.choice(list(emulator.workers)))
+                emulator.faults.cut.add(rng.choice(list(emulator.workers)))
             case 7:
-                for job in source.sample(sorted(emulator.statuses), len(emulator.statuses) // 3):
+                for job in rng.sample(sorted(emulator.statuses), len(emulator.statuses) // 3):
                     emulator.cancel(job)
