--- a/src/snowdock/entry/turnover.py
+++ b/src/snowdock/entry/turnover.py
@@ -13,8 +13,8 @@
 _MAX_DOUBLINGS = 4
 
 MAX_TIMEOUT_FACTOR = 2.0**_MAX_DOUBLINGS
-"""Upper bound of the timeout as a multiple of the usual one: about 14 s. A node with 0.12 of a
-core needs 3.4 s from its claim to its first orders, with 350 jobs on record."""
+"""Upper bound of the timeout as a multiple of the usual one, so that slow nodes can complete a
+takeover."""
 
 
 def timeout_factor(turnover: int, term_s: float) -> float:
--- a/src/snowdock/jobs/candidates.py
+++ b/src/snowdock/jobs/candidates.py
@@ -35,9 +35,8 @@
 """Time for which the last attempt of a task waits for a worker without recent failures."""
 
 _MAX_CAUTION_SECONDS = 2.0
-"""Maximum time for which a step that runs nothing avoids workers quarantined for failures. Users
-accept 3 s while room is free, of which a ticket and the recording take up to one. A last
-attempt waits 0.5 s longer."""
+"""Maximum time for which a step that runs nothing avoids workers quarantined for failures; a last
+attempt waits longer."""
 
 
 class Caution(enum.IntEnum):
--- a/src/snowdock/jobs/failed_runs.py
+++ b/src/snowdock/jobs/failed_runs.py
@@ -40,8 +40,8 @@
 succeeded. Above 0, since only some tasks of the step may fail everywhere."""
 
 _QUARANTINE_SCORE = 3.2
-"""Failure score from which a worker is quarantined. With few failing steps, two failed runs are
-enough, of one step or of two; if 40 % of the steps fail everywhere, it takes four steps."""
+"""Failure score from which a worker is quarantined: two failed runs are enough where few steps
+fail, and more are needed where many steps fail everywhere."""
 
 _MIN_FAILING_SHARE = 0.03
 """Initial value and lower bound of the share of steps that fail everywhere."""
--- a/src/snowdock/jobs/placement.py
+++ b/src/snowdock/jobs/placement.py
@@ -33,9 +33,9 @@
 """Approximate time to examine one worker for one step."""
 
 _MAX_EXAMINED_PER_PASS = 1_500
-"""Maximum number of workers examined in one pass, which takes about 15 ms, so that renewals and
-answers are not delayed for longer. Half of them are examined for the steps with the highest rank,
-half for the steps whose last search is the oldest."""
+"""Maximum number of workers examined in one pass, so that renewals and answers are not delayed for
+long. Half of them are examined for the steps with the highest rank, half for the steps whose last
+search is the oldest."""
 
 _MAX_PASS_TIME_SHARE = 0.3
 """Maximum fraction of the time spent in passes. The rest is left for other events: if these are
@@ -43,8 +43,7 @@
 
 _MAX_BLOCKED_SECONDS = 1.5
 """Time after which a step that runs nothing, and that only reservations block, may place one task
-on reserved room. Together with up to 0.5 s for tickets this stays below the 3 s that users
-accept for a small job while room is free."""
+on reserved room."""
 
 _CROWDED_STEP_COUNT = 50
 _SEARCH_RETRY_SECONDS = 0.05
--- a/src/snowdock/jobs/ranking.py
+++ b/src/snowdock/jobs/ranking.py
@@ -9,8 +9,8 @@
 
 _REFRESH_INTERVAL_SECONDS = 0.05
 _MAX_STEPS_PER_REFRESH = 20
-"""Minimum time between two refreshes, and the maximum number of steps of one. A policy program
-takes about 0.15 ms for each step, so ranking takes at most 6 % of a core."""
+"""Minimum time between two refreshes, and the maximum number of steps of one: these bound the
+processor time spent on ranking."""
 
 
 def refresh_ranks(cell: Cell, now: float) -> None:
--- a/src/snowdock/jobs/room_use.py
+++ b/src/snowdock/jobs/room_use.py
@@ -13,7 +13,6 @@
 __all__ = ["WaitReason", "find_wait_reason", "log_room_use", "used_share"]
 
 _LOG_INTERVAL_SECONDS = 1.0
-"""Interval between two log lines; one takes about 3 ms with 150 waiting steps and 270 workers."""
 
 
 class WaitReason(enum.Enum):
--- a/src/snowdock/jobs/speeds.py
+++ b/src/snowdock/jobs/speeds.py
@@ -14,8 +14,7 @@
 __all__ = ["decay_idle_slowness", "learn_speed", "should_move", "typical_seconds"]
 
 _WINDOW_SECONDS = 0.25
-"""Minimum time over which progress is measured: it is reported in whole percents, and a typical
-run advances 4 to 40 % in that time."""
+"""Minimum time over which progress is measured, as it is reported in whole percents."""
 
 _WORKER_WEIGHT = 0.06
 """Weight of one observation in a worker's slowness: a busy worker yields about 20 a second, so the
--- a/src/snowdock/jobs/starving.py
+++ b/src/snowdock/jobs/starving.py
@@ -24,8 +24,7 @@
 """Time without any run after which a job is logged; the tolerated time is three seconds."""
 
 _MAX_LOGGED = 5
-"""Maximum number of jobs logged at a time, longest waiting first; each takes about 1 ms with 270
-workers."""
+"""Maximum number of jobs logged at a time, longest waiting first."""
 
 _MAX_USED_SHARE = 0.5
 """Share of a service's room in use above which a waiting job is not considered starving."""
--- a/src/snowdock/jobs/suspects.py
+++ b/src/snowdock/jobs/suspects.py
@@ -35,8 +35,7 @@
 
 _EXCLUSIVE_WAIT_SECONDS = 0.8
 _SEPARATE_WAIT_SECONDS = 1.6
-"""How long a task waits for an empty worker, and for one without a suspect. Together with the waits
-for its ticket and record, a start must not exceed three seconds if room is free."""
+"""How long a task waits for an empty worker, and for one without a suspect."""
 
 _CRASHED_ADDRESS_SECONDS = 30.0
 _CRASHED_ADDRESS_PENALTY = 10.0
--- a/src/snowdock/logs.py
+++ b/src/snowdock/logs.py
@@ -22,7 +22,8 @@
 """Lines queued for the stream: a few seconds of the busiest node, about 1 MB."""
 
 _EVENT_LINES_PER_SECOND = 400
-"""Lines of one kind per second; a leader of 270 workers logs about 300 ends of runs."""
+"""Maximum number of lines of one kind per second; a large cluster's leader logs hundreds of ends of
+runs in that time."""
 
 _ERROR_LINES_PER_SECOND = 800
 """Lines of one kind of error per second; higher because operators look for errors."""
