--- a/src/snowdock/emulator/emulator.py
+++ b/src/snowdock/emulator/emulator.py
@@ -119,7 +119,7 @@
             self.checks,
             self._plan_run,
             self._post_to_all,
-            self.starvation.excuse,
+            self.starvation.exempt_tasks,
         )
         calls = WorkerCalls(
             self.timeline,
--- a/src/snowdock/emulator/fleet.py
+++ b/src/snowdock/emulator/fleet.py
@@ -57,7 +57,7 @@
         Returns the plan of a run.
     post
         Called with the leaders' events on workers' entries.
-    excuse
+    exempt_tasks
         Called with tasks whose jobs are exempt from starvation checks, and until when.
 
     Attributes
@@ -74,7 +74,7 @@
         checks: InvariantChecker,
         plan_run: PlanRun,
         post: Callable[[Event], None],
-        excuse: Callable[[list[TaskId], float], None],
+        exempt_tasks: Callable[[list[TaskId], float], None],
     ) -> None:
         self.workers: dict[str, WorkerModel] = {}
         self._random = rng
@@ -83,7 +83,7 @@
         self._checks = checks
         self._plan_run = plan_run
         self._post = post
-        self._excuse = excuse
+        self._exempt_tasks = exempt_tasks
         self._gangs = GangRegistry()
         self._life_count = 0
         self._listed_after_end: set[str] = set()
@@ -157,7 +157,7 @@
             self._timeline.call_after(return_delay_s, lambda: self._begin_next_life(model))
 
     def _end_life(self, model: WorkerModel) -> None:
-        self._excuse(model.running, self._timeline.now + _CRASH_DETECTION_SECONDS)
+        self._exempt_tasks(model.running, self._timeline.now + _CRASH_DETECTION_SECONDS)
         model.crash()
         self._listed_after_end.add(model.entry.life)
         self._timeline.call_after(_ENTRY_EXPIRY_SECONDS, lambda: self._delist(model))
--- a/src/snowdock/emulator/starvation.py
+++ b/src/snowdock/emulator/starvation.py
@@ -56,12 +56,12 @@
         self._checks = checks
         self._may_run = may_run
         self._idle_since: dict[str, float] = {}
-        self._excused_until: dict[str, float] = {}
+        self._exempt_until: dict[str, float] = {}
 
-    def excuse(self, tasks: Iterable[TaskId], until: float) -> None:
+    def exempt_tasks(self, tasks: Iterable[TaskId], until: float) -> None:
         """Exempt the jobs of tasks lost with their worker until the loss can be detected."""
         for task in tasks:
-            self._excused_until[task.job] = until
+            self._exempt_until[task.job] = until
 
     def reset(self) -> None:
         """Forget since when jobs are idle, because a fault explains their waiting."""
@@ -74,8 +74,8 @@
         if _is_mostly_free(available):
             busy = {task.job for worker in available for task in worker.running}
             for job in open_jobs:
-                is_excused = job in busy or self._excused_until.get(job, now) > now
-                step = None if is_excused else self._find_idle_step(job, available)
+                is_exempt = job in busy or self._exempt_until.get(job, now) > now
+                step = None if is_exempt else self._find_idle_step(job, available)
                 if step is not None:
                     since = idle[job] = self._idle_since.get(job, now)
                     self._record(job, step, since, now)
